--- /dev/null
+++ b/tests/transcript.c
@@ -0,0 +1,28 @@
+#include "transcript.h"
+
+#include <stdio.h>
+#include <stdlib.h>
+
+/* The file of this process, opened at the first line; NULL: no transcript is wanted. */
+static FILE *transcript_file(void)
+{
+    static FILE *file;
+    static bool opened;
+    if (!opened) {
+        opened = true;
+        const char *path = g_getenv("LL_TRANSCRIPT");
+        file = path ? fopen(path, "w") : NULL;
+        if (path && !file)
+            g_error("%s: cannot be written", path);
+    }
+    return file;
+}
+
+void transcript_write(mono_time now, const char *from, const char *to, const char *message,
+                      const char *body)
+{
+    FILE *file = transcript_file();
+    if (file)
+        fprintf(file, "%" G_GINT64_FORMAT " %s > %s %s %s\n", now.us, from, to, message,
+                body ? body : "");
+}
--- /dev/null
+++ b/tests/transcript.sh
@@ -0,0 +1,57 @@
+#!/usr/bin/env bash
+# Compares what nodes do, seen from outside, between two builds: the whole-node tests write a
+# transcript of every message to and from users, workers, cloud, state service and between nodes,
+# with its simulated time (tests/transcript.h). It is a tool for changes that must not change
+# behaviour, and no part of CI, as libm differs between machines.
+#
+#   tests/transcript.sh record DIR [BUILD]   writes the transcripts of the tests in BUILD/tests to DIR
+#   tests/transcript.sh compare DIR [BUILD]  plays them again and shows the first difference
+#   tests/transcript.sh check                compares with $LL_TRANSCRIPT_REFERENCE
+#
+# BUILD is "target" unless given. JOBS plays run at once (2). TESTS names the tests to play.
+set -eu
+cd "$(dirname "$0")/.."
+TESTS=${TESTS:-"test_world test_scheduling test_troubles test_outages test_gap test_meetings
+    test_gangs test_gangs_anew test_gang_failures test_pipeline test_upgrade test_load test_duties"}
+JOBS=${JOBS:-2}
+verb=${1:-check}
+
+play() { # DIR BUILD
+    mkdir -p "$1"
+    export LL_OUT=$1 LL_BUILD=$2
+    # shellcheck disable=SC2016
+    for name in $TESTS; do
+        printf '%s plain\n%s roles\n' "$name" "$name"
+    done | xargs -L 1 -P "$JOBS" bash -c '
+        [ "$1" = roles ] && export LL_TEST_DUTIES=1
+        LL_TRANSCRIPT=$LL_OUT/$0.$1 "$LL_BUILD/tests/$0" >"$LL_OUT/$0.$1.log" 2>&1 ||
+            { echo "FAILED: $0 $1"; exit 1; }'
+}
+
+case $verb in
+record)
+    play "$2" "${3:-target}"
+    ;;
+compare | check)
+    reference=${2:-${LL_TRANSCRIPT_REFERENCE:?names the folder that record wrote}}
+    out=$(mktemp -d)
+    trap 'rm -rf "$out"' EXIT
+    play "$out" "${3:-target}"
+    status=0
+    for name in $TESTS; do
+        for mode in plain roles; do
+            if ! cmp -s "$reference/$name.$mode" "$out/$name.$mode"; then
+                status=1
+                echo "differs: $name $mode"
+                diff "$reference/$name.$mode" "$out/$name.$mode" | head -4 | cut -c 1-600
+            fi
+        done
+    done
+    [ $status = 0 ] && echo "transcripts equal"
+    exit $status
+    ;;
+*)
+    sed -n '2,11p' "$0"
+    exit 2
+    ;;
+esac
--- a/tests/world.c
+++ b/tests/world.c
@@ -313,7 +313,7 @@
     struct http_request request = {method, path, "", body ? body : "", body ? strlen(body) : 0,
                                    NULL};
     assert_non_null(world->nodes[node]);
-    frontend_serve(world->nodes[node]->frontend, &world->replier, ref, &request);
+    node_receives(world, node, "user", ref, &request);
     for (int i = 0; i < 500 && !answer.status; i++)
         world_run(world, 10);
     g_hash_table_remove(world->answers, &ref.v);
--- a/tests/world_internal.h
+++ b/tests/world_internal.h
@@ -93,6 +93,9 @@
 void serve_worker(struct flight *flight, struct worker *worker);
 /* Makes a connection of a user or a worker to a node. */
 struct wconn *conn_new(struct world *world, conn_ref *ref);
+/* A request of a user or a worker arrives at a node. */
+void node_receives(struct world *world, int node, const char *from, conn_ref ref,
+                   const struct http_request *request);
 /* http_replier.reply of the world. */
 void world_reply(struct http_replier *self, conn_ref to, int status, const char *fields,
                  const char *body, size_t len);
--- a/tests/world_net.c
+++ b/tests/world_net.c
@@ -1,4 +1,5 @@
 /* Requests on their way in the test world, and what becomes of them. */
+#include "transcript.h"
 #include "world_internal.h"
 
 #include <stdio.h>
@@ -22,8 +23,23 @@
     g_ptr_array_add(flight->world->inboxes[node], flight);
 }
 
+/* Notes a request, or its answer, that crosses a node's boundary. */
+static void note_flight(const struct flight *flight, bool answer, int status, const char *body)
+{
+    char node[16], message[256];
+    g_snprintf(node, sizeof node, flight->outside ? "outside" : "node-%d", flight->node);
+    if (answer)
+        g_snprintf(message, sizeof message, "answer %d %s %s", status, flight->method,
+                   flight->path);
+    else
+        g_snprintf(message, sizeof message, "%s %s", flight->method, flight->path);
+    transcript_write(loop_now(flight->world->loop), answer ? flight->addr : node,
+                     answer ? node : flight->addr, message, body);
+}
+
 void flight_answer(struct flight *flight, int status, const char *body)
 {
+    note_flight(flight, true, status, body);
     bool alive = flight->outside || (flight->process && flight->world->nodes[flight->node] &&
                                      flight->world->process[flight->node] == flight->process);
     if (alive && flight->world->paused[flight->node]) {
@@ -106,6 +122,7 @@
     flight->process = wnet->world->process[wnet->node];
     flight->fate =
         wnet->world->fate ? wnet->world->fate(wnet->world, wnet->node, request) : FATE_NORMAL;
+    note_flight(flight, false, 0, flight->body);
     if (wnet->world->lost && g_str_has_suffix(request->addr, ":8081") &&
         g_str_has_suffix(request->path, wnet->world->lost))
         flight->fate = FATE_LOST;
--- a/tests/world_worker.c
+++ b/tests/world_worker.c
@@ -1,4 +1,5 @@
 /* Workers as the protocol describes them, as far as tests need them. */
+#include "transcript.h"
 #include "world_internal.h"
 
 #include <stdio.h>
@@ -205,6 +206,16 @@
     return wconn;
 }
 
+void node_receives(struct world *world, int node, const char *from, conn_ref ref,
+                   const struct http_request *request)
+{
+    char to[16], message[256];
+    g_snprintf(to, sizeof to, "node-%d", node);
+    g_snprintf(message, sizeof message, "%s %s", request->method, request->path);
+    transcript_write(loop_now(world->loop), from, to, message, request->body);
+    frontend_serve(world->nodes[node]->frontend, &world->replier, ref, request);
+}
+
 void worker_report(struct worker *worker)
 {
     struct world *world = worker->world;
@@ -218,6 +229,7 @@
         worker->node = (worker->node + 1) % worker->world->plan.nodes;
         return;
     }
+    int served_by = worker->node;
     conn_ref ref;
     struct wconn *wconn = conn_new(world, &ref);
     wconn->worker = worker;
@@ -231,14 +243,14 @@
         worker->node = (worker->node + 1) % worker->world->plan.nodes;
         wconn->deaf = true;
     }
-    frontend_serve(node->frontend, &world->replier, ref, &request);
+    node_receives(world, served_by, worker->id, ref, &request);
     json_object_put(object);
 }
 
 void world_say_again(struct world *world, int node, const char *report)
 {
     struct http_request request = {"POST", "/agent/beat", "", report, strlen(report), NULL};
-    frontend_serve(world->nodes[node]->frontend, &world->replier, (conn_ref){UINT64_MAX}, &request);
+    node_receives(world, node, "copy", (conn_ref){UINT64_MAX}, &request);
 }
 
 int world_starts(struct world *world)
@@ -275,6 +287,12 @@
     struct wconn *wconn = g_hash_table_lookup(world->answers, &to.v);
     if (!wconn)
         return;
+    char message[32];
+    g_snprintf(message, sizeof message, "answer %d", status);
+    char *text = g_strndup(body, len);
+    transcript_write(loop_now(world->loop), "node", wconn->worker ? wconn->worker->id : "user",
+                     message, text);
+    g_free(text);
     if (wconn->worker) {
         if (!wconn->deaf)
             worker_answered(wconn->worker, wconn, status, body, len);
