--- a/src/frontend.c
+++ b/src/api/frontend.c
@@ -9,21 +9,21 @@
 static void serve_here(void *ctx, struct http_replier *replier, conn_ref from,
                        const struct http_request *request);
 
-struct frontend *frontend_new(const struct node *node)
+struct frontend *frontend_new(const struct frontend_setup *setup)
 {
     struct frontend *frontend = g_new0(struct frontend, 1);
-    *frontend = (struct frontend){.loop = node->loop,
-                                  .store = node->store,
-                                  .view = node->view,
-                                  .settings = node->settings,
-                                  .shard = node->shard,
-                                  .bus = node->bus,
-                                  .peers = node->peers,
-                                  .members = node->members,
-                                  .most_waiting = MAX(FEW_WAITING, node->settings->fd_limit / 4)};
+    *frontend = (struct frontend){.loop = setup->loop,
+                                  .store = setup->store,
+                                  .view = setup->view,
+                                  .settings = setup->settings,
+                                  .shard = setup->shard,
+                                  .bus = setup->bus,
+                                  .peers = setup->peers,
+                                  .members = setup->members,
+                                  .most_waiting = MAX(FEW_WAITING, setup->settings->fd_limit / 4)};
     g_queue_init(&frontend->asks);
     timer_init(&frontend->sweep, frontend_sweep, frontend);
-    bus_on_relay(node->bus, serve_here, frontend);
+    bus_on_relay(setup->bus, serve_here, frontend);
     return frontend;
 }
 
--- a/src/frontend.h
+++ b/src/api/frontend.h
@@ -7,9 +7,19 @@
 
 struct frontend;
 
-struct node;
+/* What it works with; all of it outlives the frontend. */
+struct frontend_setup {
+    struct loop *loop;
+    struct store *store;
+    struct view *view;
+    struct membership *members;
+    struct bus *bus;
+    struct peers *peers;
+    struct shard *shard;
+    const struct settings *settings;
+};
 
-struct frontend *frontend_new(const struct node *node);
+struct frontend *frontend_new(const struct frontend_setup *setup);
 void frontend_free(struct frontend *frontend);
 /* For the server on the API's address. */
 void frontend_serve(void *frontend, struct http_replier *replier, conn_ref from,
--- a/src/fleet.c
+++ b/src/cloud/fleet.c
@@ -1,7 +1,6 @@
 #include "fleet_state.h"
 
 #include "log.h"
-#include "node.h"
 
 enum { CALL_TIMEOUT_MS = 4000 };
 
@@ -67,19 +66,19 @@
         take_over(fleet);
 }
 
-struct fleet *fleet_new(const struct node *node, struct actor *listener)
+struct fleet *fleet_new(const struct fleet_setup *setup)
 {
     struct fleet *fleet = g_new0(struct fleet, 1);
-    fleet->loop = node->loop;
-    fleet->net = node->net;
-    fleet->store = node->store;
-    fleet->view = node->view;
-    fleet->members = node->members;
-    fleet->duties = node->duties;
-    fleet->shard = node->shard;
-    fleet->settings = node->settings;
-    fleet->features = node->features;
-    fleet->listener = listener;
+    fleet->loop = setup->loop;
+    fleet->net = setup->net;
+    fleet->store = setup->store;
+    fleet->view = setup->view;
+    fleet->members = setup->members;
+    fleet->duties = setup->duties;
+    fleet->shard = setup->shard;
+    fleet->settings = setup->settings;
+    fleet->features = setup->features;
+    fleet->listener = setup->listener;
     fleet->actor = (struct actor){"fleet", receive};
     fleet->machines = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
     fleet->gone = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
@@ -90,19 +89,19 @@
     fleet->level_at = fleet->delays_at = loop_now(fleet->loop);
     fleet->rent_delays = delay_histogram_new();
     fleet->return_delays = delay_histogram_new();
-    const struct intent_log_setup setup = {.loop = node->loop,
-                                           .store = node->store,
-                                           .duties = node->duties,
-                                           .table = node->view->duties,
-                                           .duty = DUTY_FLEET,
-                                           .condition_key = KEY_MAP,
-                                           .ctx = fleet,
-                                           .condition_stamp = map_version,
-                                           .await = await_view,
-                                           .wrote = intents_wrote,
-                                           .changed = intents_changed};
-    fleet->intents = intent_log_new(&setup);
-    duties_listen(node->duties, &fleet->actor);
+    const struct intent_log_setup log_setup = {.loop = setup->loop,
+                                               .store = setup->store,
+                                               .duties = setup->duties,
+                                               .table = setup->view->duties,
+                                               .duty = DUTY_FLEET,
+                                               .condition_key = KEY_MAP,
+                                               .ctx = fleet,
+                                               .condition_stamp = map_version,
+                                               .await = await_view,
+                                               .wrote = intents_wrote,
+                                               .changed = intents_changed};
+    fleet->intents = intent_log_new(&log_setup);
+    duties_listen(setup->duties, &fleet->actor);
     return fleet;
 }
 
--- a/src/fleet.h
+++ b/src/cloud/fleet.h
@@ -3,17 +3,32 @@
 #ifndef LL_FLEET_H
 #define LL_FLEET_H
 
+#include "duties.h"
+#include "feature_set.h"
 #include "http.h"
 #include "membership.h"
+#include "shard.h"
 #include "view.h"
 
 struct fleet;
 
 enum { MSG_FLEET = 300 }; /* to the listener: something changed */
 
-struct node;
+/* What it works with; all of it outlives the fleet. */
+struct fleet_setup {
+    struct loop *loop;
+    struct net *net;
+    struct store *store;
+    struct view *view;
+    struct membership *members;
+    struct duties *duties;
+    struct shard *shard;
+    const struct settings *settings;
+    const struct feature_set *features;
+    struct actor *listener; /* gets MSG_FLEET */
+};
 
-struct fleet *fleet_new(const struct node *node, struct actor *listener);
+struct fleet *fleet_new(const struct fleet_setup *setup);
 void fleet_free(struct fleet *fleet);
 /* While it is this node's duty: calls what is due. */
 void fleet_step(struct fleet *fleet);
--- a/src/node.c
+++ b/src/node/node.c
@@ -23,12 +23,36 @@
         membership_new(loop, node->store, node->view, settings, features->duties.enabled);
     node->duty_keeper = duty_keeper_new(loop, node->store, node->view, node->members, settings);
     node->duties = duty_keeper_duties(node->duty_keeper);
-    node->cleanup = cleanup_new(node);
+    node->cleanup = cleanup_new(loop, node->store, node->view, node->members, node->duties);
     node->bus = bus_new(loop, net, settings);
     node->peers = peers_new(loop, node->bus, node->store, node->view, settings);
-    node->shard = shard_new(node);
-    node->leader = leader_new(node, policy);
-    node->frontend = frontend_new(node);
+    node->shard = shard_new(&(struct shard_setup){.loop = loop,
+                                                  .net = net,
+                                                  .store = node->store,
+                                                  .view = node->view,
+                                                  .members = node->members,
+                                                  .bus = node->bus,
+                                                  .peers = node->peers,
+                                                  .settings = settings});
+    node->leader = leader_new(&(struct leader_setup){.loop = loop,
+                                                     .net = net,
+                                                     .store = node->store,
+                                                     .view = node->view,
+                                                     .members = node->members,
+                                                     .duties = node->duties,
+                                                     .bus = node->bus,
+                                                     .shard = node->shard,
+                                                     .settings = settings,
+                                                     .features = features,
+                                                     .policy = policy});
+    node->frontend = frontend_new(&(struct frontend_setup){.loop = loop,
+                                                           .store = node->store,
+                                                           .view = node->view,
+                                                           .members = node->members,
+                                                           .bus = node->bus,
+                                                           .peers = node->peers,
+                                                           .shard = node->shard,
+                                                           .settings = settings});
     return node;
 }
 
--- a/src/cleanup.c
+++ b/src/scheduler/cleanup.c
@@ -1,6 +1,5 @@
 #include "cleanup.h"
 
-#include "node.h"
 #include "page.h"
 
 enum { EVERY_MS = 5000 };
@@ -112,14 +111,15 @@
     remove_inventories(cleanup);
 }
 
-struct cleanup *cleanup_new(const struct node *node)
+struct cleanup *cleanup_new(struct loop *loop, struct store *store, struct view *view,
+                            struct membership *members, struct duties *duties)
 {
     struct cleanup *cleanup = g_new0(struct cleanup, 1);
-    cleanup->loop = node->loop;
-    cleanup->store = node->store;
-    cleanup->view = node->view;
-    cleanup->members = node->members;
-    cleanup->duties = node->duties;
+    cleanup->loop = loop;
+    cleanup->store = store;
+    cleanup->view = view;
+    cleanup->members = members;
+    cleanup->duties = duties;
     timer_init(&cleanup->tick, tick, cleanup);
     return cleanup;
 }
--- a/src/cleanup.h
+++ b/src/scheduler/cleanup.h
@@ -4,10 +4,14 @@
 #ifndef LL_CLEANUP_H
 #define LL_CLEANUP_H
 
+#include "duties.h"
+#include "membership.h"
+#include "view.h"
+
 struct cleanup;
-struct node;
 
-struct cleanup *cleanup_new(const struct node *node);
+struct cleanup *cleanup_new(struct loop *loop, struct store *store, struct view *view,
+                            struct membership *members, struct duties *duties);
 void cleanup_free(struct cleanup *cleanup);
 void cleanup_start(struct cleanup *cleanup);
 
--- a/src/leader.c
+++ b/src/scheduler/leader.c
@@ -8,7 +8,6 @@
 #include "leader_sweep.h"
 #include "leader_switch.h"
 #include "log.h"
-#include "node.h"
 
 enum {
     SETTLE_MS = 1500, /* after a new epoch: for the digests to come in */
@@ -36,21 +35,31 @@
         leader_pass_soon(leader);
 }
 
-struct leader *leader_new(const struct node *node, const struct policy *policy)
+struct leader *leader_new(const struct leader_setup *setup)
 {
-    const struct settings *settings = node->settings;
+    const struct settings *settings = setup->settings;
     struct leader *leader = g_new0(struct leader, 1);
     leader->actor = (struct actor){"leader", receive};
-    leader->loop = node->loop;
-    leader->store = node->store;
-    leader->view = node->view;
-    leader->members = node->members;
-    leader->bus = node->bus;
+    leader->loop = setup->loop;
+    leader->store = setup->store;
+    leader->view = setup->view;
+    leader->members = setup->members;
+    leader->bus = setup->bus;
     leader->settings = settings;
-    leader->policy = policy;
-    leader->features = node->features;
-    leader->duties = node->duties;
-    leader->fleet = fleet_new(node, &leader->actor);
+    leader->policy = setup->policy;
+    leader->features = setup->features;
+    leader->duties = setup->duties;
+    const struct fleet_setup fleet_setup = {.loop = setup->loop,
+                                            .net = setup->net,
+                                            .store = setup->store,
+                                            .view = setup->view,
+                                            .members = setup->members,
+                                            .duties = setup->duties,
+                                            .shard = setup->shard,
+                                            .settings = settings,
+                                            .features = setup->features,
+                                            .listener = &leader->actor};
+    leader->fleet = fleet_new(&fleet_setup);
     leader_ledger_init(leader);
     leader->run_times = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     leader_shards_init(leader);
--- /dev/null
+++ b/src/scheduler/leader.h
@@ -0,0 +1,31 @@
+/* The leader: team queues by shares, the only quota ledger, dealing to parts, renting and
+ * returning. On every node; it acts only while its node leads. */
+#ifndef LL_LEADER_H
+#define LL_LEADER_H
+
+#include "bus.h"
+#include "fleet.h"
+#include "policy.h"
+
+struct leader;
+
+/* What it works with; all of it outlives the leader. */
+struct leader_setup {
+    struct loop *loop;
+    struct net *net;
+    struct store *store;
+    struct view *view;
+    struct membership *members;
+    struct duties *duties;
+    struct bus *bus;
+    struct shard *shard;
+    const struct settings *settings;
+    const struct feature_set *features;
+    const struct policy *policy;
+};
+
+struct leader *leader_new(const struct leader_setup *setup);
+void leader_free(struct leader *leader);
+void leader_start(struct leader *leader);
+
+#endif
--- a/src/leader_shards.c
+++ b/src/scheduler/leader_shards.c
@@ -8,7 +8,7 @@
     EXCLUDE_MS = 20000,
 };
 
-static void shard_free(gpointer q)
+static void leader_shard_free(gpointer q)
 {
     struct leader_shard *shard = q;
     cJSON_Delete(shard->deal);
@@ -22,7 +22,7 @@
 
 void leader_shards_init(struct leader *leader)
 {
-    leader->shards = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, shard_free);
+    leader->shards = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, leader_shard_free);
 }
 
 struct leader_shard *leader_shard_get(struct leader *leader, const char *label)
--- a/src/shard.c
+++ b/src/shard/shard.c
@@ -1,7 +1,6 @@
 #include "shard_record.h"
 
 #include "log.h"
-#include "node.h"
 
 enum {
     TICK_MS = 250,
@@ -39,18 +38,18 @@
     cJSON_Delete(q);
 }
 
-struct shard *shard_new(const struct node *node)
+struct shard *shard_new(const struct shard_setup *setup)
 {
     struct shard *shard = g_new0(struct shard, 1);
     shard->actor = (struct actor){"part", receive};
-    shard->loop = node->loop;
-    shard->net = node->net;
-    shard->store = node->store;
-    shard->view = node->view;
-    shard->members = node->members;
-    shard->bus = node->bus;
-    shard->peers = node->peers;
-    shard->settings = node->settings;
+    shard->loop = setup->loop;
+    shard->net = setup->net;
+    shard->store = setup->store;
+    shard->view = setup->view;
+    shard->members = setup->members;
+    shard->bus = setup->bus;
+    shard->peers = setup->peers;
+    shard->settings = setup->settings;
     shard->redirects = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     shard->returned_machines = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     shard->returned_machines_before = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
--- a/src/shard.h
+++ b/src/shard/shard.h
@@ -10,9 +10,19 @@
 
 struct shard;
 
-struct node;
+/* What it works with; all of it outlives the shard. */
+struct shard_setup {
+    struct loop *loop;
+    struct net *net;
+    struct store *store;
+    struct view *view;
+    struct membership *members;
+    struct bus *bus;
+    struct peers *peers;
+    const struct settings *settings;
+};
 
-struct shard *shard_new(const struct node *node);
+struct shard *shard_new(const struct shard_setup *setup);
 void shard_free(struct shard *shard);
 void shard_start(struct shard *shard);
 
