--- a/src/api/frontend.c
+++ b/src/api/api.c
@@ -1,4 +1,4 @@
-#include "frontend_state.h"
+#include "api_internal.h"
 
 enum {
     FEW_WAITING = 400, /* requests that may always wait for the state service */
--- a/src/api/frontend_state.h
+++ b/src/api/api_internal.h
@@ -7,7 +7,7 @@
 #ifndef LL_FRONTEND_STATE_H
 #define LL_FRONTEND_STATE_H
 
-#include "frontend.h"
+#include "api.h"
 
 /* Users wait 2 s for a poll's answer, so what cannot be told by then is not told at all. */
 enum { ANSWER_MS = 1500 };
--- a/src/api/frontend_request.c
+++ b/src/api/api_request.c
@@ -1,5 +1,5 @@
-#include "codec_state.h"
-#include "frontend_state.h"
+#include "api_internal.h"
+#include "kv_codec.h"
 #include "log.h"
 
 enum {
--- a/src/api/frontend_answer.c
+++ b/src/api/api_response.c
@@ -1,4 +1,4 @@
-#include "frontend_state.h"
+#include "api_internal.h"
 
 void frontend_reply(struct http_replier *replier, conn_ref to, int status, char *text)
 {
--- a/src/api/frontend_cancel.c
+++ b/src/api/cancel.c
@@ -1,4 +1,4 @@
-#include "frontend_state.h"
+#include "api_internal.h"
 
 /* What a cancelled job's tasks take has to stay known until they are gone, but no more than that:
  * of a job that was stored when more was allowed the rest is left out, as nothing of it starts
--- a/src/api/frontend_query.c
+++ b/src/api/query.c
@@ -1,4 +1,4 @@
-#include "frontend_state.h"
+#include "api_internal.h"
 
 void frontend_get_or_cancel(struct frontend *frontend, struct http_replier *replier, conn_ref from,
                             enum action action, const char *id)
--- a/src/api/frontend_submit.c
+++ b/src/api/submit.c
@@ -1,5 +1,5 @@
-#include "frontend_state.h"
-#include "room.h"
+#include "api_internal.h"
+#include "resources.h"
 
 static void await_answered(void *arg, const struct net_answer *answer)
 {
--- a/src/base/loop.c
+++ b/src/base/event_loop.c
@@ -1,4 +1,4 @@
-#include "loop.h"
+#include "event_loop.h"
 
 #include <errno.h>
 #include <sys/epoll.h>
--- a/src/base/codec_json.c
+++ b/src/base/json_fields.c
@@ -1,4 +1,4 @@
-#include "codec_json.h"
+#include "json_fields.h"
 
 #include <math.h>
 
--- a/src/cloud/fleet.c
+++ b/src/cloud/cloud_provider.c
@@ -1,4 +1,4 @@
-#include "fleet_state.h"
+#include "cloud_provider_internal.h"
 
 #include "log.h"
 
--- a/src/cloud/fleet.h
+++ b/src/cloud/cloud_provider.h
@@ -3,12 +3,12 @@
 #ifndef LL_FLEET_H
 #define LL_FLEET_H
 
-#include "duties.h"
 #include "feature_set.h"
 #include "http.h"
 #include "membership.h"
+#include "replica.h"
+#include "role_manager.h"
 #include "shard.h"
-#include "view.h"
 
 struct fleet;
 
--- a/src/cloud/fleet_state.h
+++ b/src/cloud/cloud_provider_internal.h
@@ -7,8 +7,8 @@
 #ifndef LL_FLEET_STATE_H
 #define LL_FLEET_STATE_H
 
+#include "cloud_provider.h"
 #include "delay_histogram.h"
-#include "fleet.h"
 #include "intent_log.h"
 
 enum { FLEET_RETRY_MS = 700 };
--- a/src/cloud/fleet_list.c
+++ b/src/cloud/machine_list.c
@@ -1,5 +1,5 @@
 /* The cloud's list of machines: what was rented, by whomever. */
-#include "fleet_state.h"
+#include "cloud_provider_internal.h"
 
 enum { PAGE = 500 };
 
--- a/src/cloud/fleet_types.c
+++ b/src/cloud/machine_types.c
@@ -1,5 +1,5 @@
 /* Machine types: asked of the cloud, and stored for the nodes that do not ask. */
-#include "fleet_state.h"
+#include "cloud_provider_internal.h"
 
 #include "log.h"
 
--- a/src/cloud/fleet_return.c
+++ b/src/cloud/scale_in.c
@@ -1,5 +1,5 @@
 /* Returns of machines. */
-#include "fleet_state.h"
+#include "cloud_provider_internal.h"
 
 #include "log.h"
 
--- a/src/cloud/fleet_rent.c
+++ b/src/cloud/scale_out.c
@@ -1,5 +1,5 @@
 /* Requests to rent. */
-#include "fleet_state.h"
+#include "cloud_provider_internal.h"
 
 #include "log.h"
 
--- a/src/cluster/membership.c
+++ b/src/cluster/membership.c
@@ -1,6 +1,6 @@
 #include "membership.h"
 
-#include "codec_state.h"
+#include "kv_codec.h"
 #include "log.h"
 
 #include <stdlib.h>
--- a/src/cluster/membership.h
+++ b/src/cluster/membership.h
@@ -2,8 +2,8 @@
 #ifndef LL_MEMBERSHIP_H
 #define LL_MEMBERSHIP_H
 
+#include "replica.h"
 #include "settings.h"
-#include "view.h"
 
 struct membership;
 
--- a/src/cluster/peers.h
+++ b/src/cluster/peers.h
@@ -3,8 +3,8 @@
 #ifndef LL_PEERS_H
 #define LL_PEERS_H
 
-#include "bus.h"
-#include "view.h"
+#include "node_rpc.h"
+#include "replica.h"
 
 struct peers;
 
--- a/src/config/feature_set.c
+++ b/src/config/feature_set.c
@@ -1,8 +1,8 @@
 #include "feature_set.h"
 
-#include "codec_json.h"
 #include "feature_check.h"
-#include "toml_read.h"
+#include "json_fields.h"
+#include "toml_reader.h"
 
 #include <stdlib.h>
 
--- a/src/config/settings.c
+++ b/src/config/settings.c
@@ -1,6 +1,6 @@
 #include "settings.h"
 
-#include "toml_read.h"
+#include "toml_reader.h"
 
 #include <arpa/inet.h>
 #include <json-c/json.h>
--- a/src/config/toml_read.cpp
+++ b/src/config/toml_reader.cpp
@@ -1,4 +1,4 @@
-#include "toml_read.h"
+#include "toml_reader.h"
 
 #include <cstdio>
 #include <cstdlib>
--- a/src/kv/codec_state.c
+++ b/src/kv/kv_codec.c
@@ -1,4 +1,4 @@
-#include "codec_state.h"
+#include "kv_codec.h"
 
 static GArray *items_new(void)
 {
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -2,7 +2,7 @@
 #ifndef LL_HTTP_H
 #define LL_HTTP_H
 
-#include "loop.h"
+#include "event_loop.h"
 
 /* ---- parser ---- */
 
--- a/src/net/http_client.c
+++ b/src/net/http_client.c
@@ -1,5 +1,5 @@
 #include "http.h"
-#include "idle.h"
+#include "idle_list.h"
 #include "log.h"
 #include "settings.h"
 
--- a/src/net/http_server.c
+++ b/src/net/http_server.c
@@ -1,6 +1,6 @@
 #define _GNU_SOURCE /* accept4 */
 #include "http.h"
-#include "idle.h"
+#include "idle_list.h"
 #include "log.h"
 #include "settings.h"
 
--- a/src/net/bus.c
+++ b/src/net/node_rpc.c
@@ -1,4 +1,4 @@
-#include "bus.h"
+#include "node_rpc.h"
 
 #include "log.h"
 
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -2,11 +2,11 @@
 #ifndef LL_NODE_H
 #define LL_NODE_H
 
-#include "cleanup.h"
-#include "duty_keeper.h"
+#include "api.h"
 #include "feature_set.h"
-#include "frontend.h"
+#include "garbage_collector.h"
 #include "leader.h"
+#include "role_assigner.h"
 
 struct node {
     const struct settings *settings;
--- a/src/node/duty_keeper.c
+++ b/src/node/role_assigner.c
@@ -1,4 +1,4 @@
-#include "duty_keeper.h"
+#include "role_assigner.h"
 
 enum { TICK_MS = 200 };
 
--- a/src/node/duty_keeper.h
+++ b/src/node/role_assigner.h
@@ -6,8 +6,8 @@
 #ifndef LL_DUTY_KEEPER_H
 #define LL_DUTY_KEEPER_H
 
-#include "duties.h"
 #include "membership.h"
+#include "role_manager.h"
 
 struct duty_keeper;
 
--- a/src/replica/view_cluster.c
+++ b/src/replica/cluster_records.c
@@ -1,5 +1,5 @@
 #include "log.h"
-#include "view_state.h"
+#include "replica_internal.h"
 
 void view_node_free(gpointer p)
 {
--- a/src/replica/pipeline.c
+++ b/src/replica/job_dag.c
@@ -1,4 +1,4 @@
-#include "pipeline.h"
+#include "job_dag.h"
 
 enum { LEAST_URGENT = 1000 };
 
--- a/src/replica/view_seek.c
+++ b/src/replica/job_lookup.c
@@ -1,5 +1,5 @@
-#include "codec_state.h"
-#include "view_state.h"
+#include "kv_codec.h"
+#include "replica_internal.h"
 
 enum {
     SEEK_MS = 1000,       /* between two rounds of reads */
--- a/src/replica/view_keys.c
+++ b/src/replica/kv_keys.c
@@ -1,4 +1,4 @@
-#include "view_keys.h"
+#include "kv_keys.h"
 
 #include <stdlib.h>
 
--- a/src/replica/view_host.c
+++ b/src/replica/machines.c
@@ -1,5 +1,5 @@
-#include "images.h"
-#include "view_state.h"
+#include "image_cache.h"
+#include "replica_internal.h"
 
 void view_host_free(gpointer p)
 {
--- a/src/replica/view_wait.c
+++ b/src/replica/read_barrier.c
@@ -1,4 +1,4 @@
-#include "view_state.h"
+#include "replica_internal.h"
 
 enum {
     AWAIT_MS = 1800, /* until a waiter is told that its revision did not come */
--- a/src/replica/page.c
+++ b/src/replica/record_page_codec.c
@@ -1,4 +1,4 @@
-#include "page.h"
+#include "record_page_codec.h"
 
 #include <stdlib.h>
 
--- a/src/replica/view.c
+++ b/src/replica/replica.c
@@ -1,4 +1,4 @@
-#include "view_state.h"
+#include "replica_internal.h"
 
 enum {
     MOST_OVER = 20000, /* jobs that are over and kept in memory */
--- a/src/replica/view.h
+++ b/src/replica/replica.h
@@ -6,11 +6,11 @@
 #ifndef LL_VIEW_H
 #define LL_VIEW_H
 
-#include "duty_table.h"
-#include "page.h"
-#include "pipeline.h"
-#include "store.h"
-#include "view_keys.h"
+#include "job_dag.h"
+#include "kv_client.h"
+#include "kv_keys.h"
+#include "record_page_codec.h"
+#include "role_records.h"
 
 /* What a node understands, as it says in its own key. */
 enum node_version {
--- a/src/replica/view_state.h
+++ b/src/replica/replica_internal.h
@@ -8,8 +8,8 @@
 #ifndef LL_VIEW_STATE_H
 #define LL_VIEW_STATE_H
 
-#include "view.h"
-#include "view_keys.h"
+#include "kv_keys.h"
+#include "replica.h"
 
 /* How often those are looked for who have waited too long, and jobs that are needed. */
 enum { VIEW_EXPIRE_EVERY_MS = 200 };
--- a/src/replica/view_page.c
+++ b/src/replica/run_records.c
@@ -1,4 +1,4 @@
-#include "view_state.h"
+#include "replica_internal.h"
 
 void view_page_free(gpointer p)
 {
--- a/src/replica/view_sync.c
+++ b/src/replica/watch.c
@@ -1,6 +1,6 @@
-#include "codec_state.h"
+#include "kv_codec.h"
 #include "log.h"
-#include "view_state.h"
+#include "replica_internal.h"
 
 enum {
     BLOCK_MS = 2000,      /* a watch waits so long for a change */
--- a/src/scheduler/leader_scale.c
+++ b/src/scheduler/autoscaler.c
@@ -1,8 +1,8 @@
 /* When the leader rents and returns machines. */
-#include "leader_ledger.h"
-#include "leader_rent.h"
-#include "leader_return.h"
+#include "autoscaler_scale_in.h"
+#include "autoscaler_scale_out.h"
 #include "log.h"
+#include "quota_ledger.h"
 #include "shard.h"
 
 enum { SCALE_MS = 500 };
--- a/src/scheduler/leader_return.c
+++ b/src/scheduler/autoscaler_scale_in.c
@@ -1,8 +1,8 @@
-#include "leader_return.h"
+#include "autoscaler_scale_in.h"
 
-#include "leader_ledger.h"
-#include "leader_placement.h"
-#include "leader_rent.h"
+#include "autoscaler_scale_out.h"
+#include "placement.h"
+#include "quota_ledger.h"
 #include "shard.h"
 
 bool leader_host_idle(const struct leader_host *host)
--- a/src/scheduler/leader_return.h
+++ b/src/scheduler/autoscaler_scale_in.h
@@ -2,7 +2,7 @@
 #ifndef LL_LEADER_RETURN_H
 #define LL_LEADER_RETURN_H
 
-#include "leader_state.h"
+#include "scheduler_internal.h"
 
 /* Returns machines that are no use or idle, and tells their owners of those that are gone. */
 void leader_return_machines(struct leader *leader);
--- a/src/scheduler/leader_rent.c
+++ b/src/scheduler/autoscaler_scale_out.c
@@ -1,8 +1,8 @@
-#include "leader_rent.h"
+#include "autoscaler_scale_out.h"
 
-#include "leader_ledger.h"
-#include "leader_placement.h"
-#include "leader_queue.h"
+#include "job_queue.h"
+#include "placement.h"
+#include "quota_ledger.h"
 #include "shard.h"
 
 #include <math.h>
--- a/src/scheduler/leader_rent.h
+++ b/src/scheduler/autoscaler_scale_out.h
@@ -2,7 +2,7 @@
 #ifndef LL_LEADER_RENT_H
 #define LL_LEADER_RENT_H
 
-#include "leader_state.h"
+#include "scheduler_internal.h"
 
 /* Room that is there or on its way, and not needed yet. */
 struct planned {
--- a/src/scheduler/leader_sweep.c
+++ b/src/scheduler/dispatch_timeout.c
@@ -1,4 +1,4 @@
-#include "leader_sweep.h"
+#include "dispatch_timeout.h"
 
 #include "log.h"
 
--- a/src/scheduler/leader_sweep.h
+++ b/src/scheduler/dispatch_timeout.h
@@ -2,7 +2,7 @@
 #ifndef LL_LEADER_SWEEP_H
 #define LL_LEADER_SWEEP_H
 
-#include "leader_state.h"
+#include "scheduler_internal.h"
 
 /* Does so if it was not done within the last few seconds. */
 void leader_sweep(struct leader *leader);
--- a/src/scheduler/leader_switch.c
+++ b/src/scheduler/feature_switch.c
@@ -1,4 +1,4 @@
-#include "leader_switch.h"
+#include "feature_switch.h"
 
 #include "log.h"
 
--- a/src/scheduler/leader_switch.h
+++ b/src/scheduler/feature_switch.h
@@ -3,7 +3,7 @@
 #ifndef LL_LEADER_SWITCH_H
 #define LL_LEADER_SWITCH_H
 
-#include "leader_state.h"
+#include "scheduler_internal.h"
 
 /* Turns the switch if that is due. */
 void leader_switch(struct leader *leader);
--- a/src/scheduler/leader_gang.c
+++ b/src/scheduler/gang_scheduler.c
@@ -1,10 +1,10 @@
-#include "leader_gang.h"
+#include "gang_scheduler.h"
 
-#include "leader_ledger.h"
-#include "leader_placement.h"
-#include "leader_preempt.h"
-#include "leader_shards.h"
 #include "log.h"
+#include "placement.h"
+#include "preemption.h"
+#include "quota_ledger.h"
+#include "shard_dispatcher.h"
 
 enum {
     ANY_ZONE = -1,
--- a/src/scheduler/leader_gang.h
+++ b/src/scheduler/gang_scheduler.h
@@ -2,7 +2,7 @@
 #ifndef LL_LEADER_GANG_H
 #define LL_LEADER_GANG_H
 
-#include "leader_state.h"
+#include "scheduler_internal.h"
 
 /* Deals all tasks of a gang at once, each to a machine where it has room, or none; tells whether it
  * did. One that finds no room for all of them holds what there is for this pass, or others would
--- a/src/scheduler/cleanup.c
+++ b/src/scheduler/garbage_collector.c
@@ -1,6 +1,6 @@
-#include "cleanup.h"
+#include "garbage_collector.h"
 
-#include "page.h"
+#include "record_page_codec.h"
 
 enum { EVERY_MS = 5000 };
 
--- a/src/scheduler/cleanup.h
+++ b/src/scheduler/garbage_collector.h
@@ -4,9 +4,9 @@
 #ifndef LL_CLEANUP_H
 #define LL_CLEANUP_H
 
-#include "duties.h"
 #include "membership.h"
-#include "view.h"
+#include "replica.h"
+#include "role_manager.h"
 
 struct cleanup;
 
--- a/src/scheduler/leader_job_end.c
+++ b/src/scheduler/job_completion.c
@@ -1,6 +1,6 @@
-#include "leader_job_end.h"
+#include "job_completion.h"
 
-#include "leader_ledger.h"
+#include "quota_ledger.h"
 
 enum { MOST_CANCELLING = 4 }; /* ends of cancelled jobs that are being stored at a time */
 
--- a/src/scheduler/leader_job_end.h
+++ b/src/scheduler/job_completion.h
@@ -2,7 +2,7 @@
 #ifndef LL_LEADER_JOB_END_H
 #define LL_LEADER_JOB_END_H
 
-#include "leader_state.h"
+#include "scheduler_internal.h"
 
 /* Stores the end of a job whose tasks are all done, or that was cancelled and of which nothing is
  * on record. */
--- a/src/scheduler/leader_queue.c
+++ b/src/scheduler/job_queue.c
@@ -1,10 +1,10 @@
-#include "leader_queue.h"
+#include "job_queue.h"
 
-#include "leader_gang.h"
-#include "leader_ledger.h"
-#include "leader_placement.h"
-#include "leader_preempt.h"
-#include "leader_shards.h"
+#include "gang_scheduler.h"
+#include "placement.h"
+#include "preemption.h"
+#include "quota_ledger.h"
+#include "shard_dispatcher.h"
 
 /* Of cpus, in thousandths. */
 enum {
--- a/src/scheduler/leader_queue.h
+++ b/src/scheduler/job_queue.h
@@ -2,7 +2,7 @@
 #ifndef LL_LEADER_QUEUE_H
 #define LL_LEADER_QUEUE_H
 
-#include "leader_state.h"
+#include "scheduler_internal.h"
 
 /* The job's class of precedence, below RANKS; the lowest goes first: services, as people wait on
  * them; then what a team was promised; then what it borrows. */
--- a/src/scheduler/leader.c
+++ b/src/scheduler/leader.c
@@ -1,13 +1,13 @@
-#include "leader_queue.h"
+#include "job_queue.h"
 
-#include "leader_digest.h"
-#include "leader_job_end.h"
-#include "leader_ledger.h"
-#include "leader_placement.h"
-#include "leader_shards.h"
-#include "leader_sweep.h"
-#include "leader_switch.h"
+#include "dispatch_timeout.h"
+#include "feature_switch.h"
+#include "job_completion.h"
 #include "log.h"
+#include "placement.h"
+#include "quota_ledger.h"
+#include "shard_dispatcher.h"
+#include "shard_status_receiver.h"
 
 enum {
     SETTLE_MS = 1500, /* after a new epoch: for the digests to come in */
--- a/src/scheduler/leader.h
+++ b/src/scheduler/leader.h
@@ -3,8 +3,8 @@
 #ifndef LL_LEADER_H
 #define LL_LEADER_H
 
-#include "bus.h"
-#include "fleet.h"
+#include "cloud_provider.h"
+#include "node_rpc.h"
 #include "policy.h"
 
 struct leader;
--- a/src/scheduler/leader_health.c
+++ b/src/scheduler/machine_health.c
@@ -1,7 +1,7 @@
-#include "leader_health.h"
+#include "machine_health.h"
 
-#include "leader_ledger.h"
 #include "log.h"
+#include "quota_ledger.h"
 
 enum {
     SLOW_AFTER = 5,  /* tasks, before a machine can be slow */
--- a/src/scheduler/leader_health.h
+++ b/src/scheduler/machine_health.h
@@ -4,7 +4,7 @@
 #ifndef LL_LEADER_HEALTH_H
 #define LL_LEADER_HEALTH_H
 
-#include "leader_state.h"
+#include "scheduler_internal.h"
 
 /* Learns from a task that ended well on a machine how long its job's tasks take, and how slow the
  * machine is beside others. Owners' estimates are wrong for all tasks of a job together, so a task
--- a/src/scheduler/leader_placement.c
+++ b/src/scheduler/placement.c
@@ -1,8 +1,8 @@
-#include "leader_placement.h"
+#include "placement.h"
 
-#include "images.h"
-#include "leader_ledger.h"
-#include "score.h"
+#include "image_cache.h"
+#include "placement_score.h"
+#include "quota_ledger.h"
 #include "shard.h"
 
 bool leader_host_takes(struct leader *leader, struct leader_host *host)
--- a/src/scheduler/leader_placement.h
+++ b/src/scheduler/placement.h
@@ -3,7 +3,7 @@
 #ifndef LL_LEADER_PLACEMENT_H
 #define LL_LEADER_PLACEMENT_H
 
-#include "leader_state.h"
+#include "scheduler_internal.h"
 
 /* A machine that could take a task, and how well it suits it. */
 struct host_choice {
--- a/src/scheduler/leader_preempt.c
+++ b/src/scheduler/preemption.c
@@ -1,10 +1,10 @@
-#include "leader_preempt.h"
+#include "preemption.h"
 
-#include "images.h"
-#include "leader_ledger.h"
-#include "leader_placement.h"
-#include "leader_shards.h"
+#include "image_cache.h"
 #include "log.h"
+#include "placement.h"
+#include "quota_ledger.h"
+#include "shard_dispatcher.h"
 
 enum {
     MOVE_AFTER_MS = 35000,  /* a start counts once it has run for a while */
--- a/src/scheduler/leader_preempt.h
+++ b/src/scheduler/preemption.h
@@ -3,7 +3,7 @@
 #ifndef LL_LEADER_PREEMPT_H
 #define LL_LEADER_PREEMPT_H
 
-#include "leader_state.h"
+#include "scheduler_internal.h"
 
 /* Makes room for tasks that fit nowhere, by stopping work of lower priority where that loses the
  * least. What is stopped is off the record a moment later, and ranks behind. image: only on
--- a/src/scheduler/leader_ledger.c
+++ b/src/scheduler/quota_ledger.c
@@ -1,8 +1,8 @@
-#include "leader_ledger.h"
+#include "quota_ledger.h"
 
-#include "images.h"
-#include "leader_shards.h"
+#include "image_cache.h"
 #include "log.h"
+#include "shard_dispatcher.h"
 
 /* Of an attempt number: the low bits count, those above are the epoch. */
 enum { ATTEMPT_BITS = 20 };
--- a/src/scheduler/leader_ledger.h
+++ b/src/scheduler/quota_ledger.h
@@ -3,7 +3,7 @@
 #ifndef LL_LEADER_LEDGER_H
 #define LL_LEADER_LEDGER_H
 
-#include "leader_state.h"
+#include "scheduler_internal.h"
 
 /* Makes the tables of jobs and machines, empty. */
 void leader_ledger_init(struct leader *leader);
--- a/src/scheduler/leader_state.h
+++ b/src/scheduler/scheduler_internal.h
@@ -2,10 +2,10 @@
 #ifndef LL_LEADER_STATE_H
 #define LL_LEADER_STATE_H
 
-#include "duties.h"
 #include "feature_set.h"
 #include "leader.h"
-#include "room.h"
+#include "resources.h"
+#include "role_manager.h"
 
 enum { RANKS = 12 }; /* of precedence: see leader_rank_of */
 
--- a/src/scheduler/leader_policy.c
+++ b/src/scheduler/scheduling_policy.c
@@ -1,4 +1,4 @@
-#include "leader_state.h"
+#include "scheduler_internal.h"
 
 #include <math.h>
 
--- a/src/scheduler/leader_shards.c
+++ b/src/scheduler/shard_dispatcher.c
@@ -1,6 +1,6 @@
-#include "leader_shards.h"
+#include "shard_dispatcher.h"
 
-#include "leader_ledger.h"
+#include "quota_ledger.h"
 
 enum {
     OUT_TIMEOUT_MS = 1500,
--- a/src/scheduler/leader_shards.h
+++ b/src/scheduler/shard_dispatcher.h
@@ -4,7 +4,7 @@
 #ifndef LL_LEADER_SHARDS_H
 #define LL_LEADER_SHARDS_H
 
-#include "leader_state.h"
+#include "scheduler_internal.h"
 
 /* Makes the table of shards, empty. */
 void leader_shards_init(struct leader *leader);
--- a/src/scheduler/leader_digest.c
+++ b/src/scheduler/shard_status_receiver.c
@@ -1,8 +1,8 @@
-#include "leader_digest.h"
+#include "shard_status_receiver.h"
 
-#include "images.h"
-#include "leader_health.h"
-#include "leader_ledger.h"
+#include "image_cache.h"
+#include "machine_health.h"
+#include "quota_ledger.h"
 
 enum {
     AVOID_MS = 1500,       /* a machine to which a task could not be given */
--- a/src/scheduler/leader_digest.h
+++ b/src/scheduler/shard_status_receiver.h
@@ -3,7 +3,7 @@
 #ifndef LL_LEADER_DIGEST_H
 #define LL_LEADER_DIGEST_H
 
-#include "leader_state.h"
+#include "scheduler_internal.h"
 
 /* Handles the bus message "digest". ctx: the leader. */
 int leader_on_digest(void *ctx, const char *from, const cJSON *digest, cJSON **answer);
--- a/src/shard/shard_worker.c
+++ b/src/shard/agent_session.c
@@ -1,4 +1,4 @@
-#include "shard_state.h"
+#include "shard_internal.h"
 
 #include "log.h"
 
--- a/src/shard/shard_mark.c
+++ b/src/shard/completions.c
@@ -1,6 +1,6 @@
 /* Marks: the tasks that this node saw done, and the pages that say so. They only add up: a view
  * joins what all pages say. */
-#include "shard_record.h"
+#include "run_records_internal.h"
 
 #include "log.h"
 
--- a/src/shard/shard_inventory.c
+++ b/src/shard/machine_inventory.c
@@ -1,6 +1,6 @@
 /* What machines are, many in one value: until a machine is on such a list each page that names it
  * has to say so, which takes more room there than its tasks do. */
-#include "shard_record.h"
+#include "run_records_internal.h"
 
 #include "log.h"
 
--- a/src/shard/shard_host.c
+++ b/src/shard/machines.c
@@ -1,6 +1,6 @@
-#include "shard_record.h"
+#include "run_records_internal.h"
 
-#include "images.h"
+#include "image_cache.h"
 #include "log.h"
 
 /* How long tasks took may be left out when there is much to tell; what went wrong may not, so soon.
--- a/src/shard/shard_record_draft.c
+++ b/src/shard/page_draft.c
@@ -1,5 +1,5 @@
 /* Drafts: pages of this node that a transaction is to write, and the texts that come of them. */
-#include "shard_batch.h"
+#include "record_batch_internal.h"
 
 #include "log.h"
 
--- a/src/shard/shard_split.c
+++ b/src/shard/page_split.c
@@ -1,7 +1,7 @@
 /* Pages from when the state service allowed longer values: they can be read, but not written any
  * more. Their records go to pages that are short enough, before anything else is done with them.
  * docs/safety.md argues why each step by itself is safe. */
-#include "shard_record.h"
+#include "run_records_internal.h"
 
 #include "log.h"
 
--- a/src/shard/shard_record_batch.c
+++ b/src/shard/record_batch.c
@@ -1,5 +1,5 @@
 /* Makes the transaction: new records find room on the pages that it writes. */
-#include "shard_batch.h"
+#include "record_batch_internal.h"
 
 enum {
     TXN_CONDITIONS = 4, /* that a transaction may have, for each write that it may */
--- a/src/shard/shard_record_adopt.c
+++ b/src/shard/record_batch_adopt.c
@@ -1,5 +1,5 @@
 /* Takes run records over from pages of other nodes, for machines that have come to this one. */
-#include "shard_batch.h"
+#include "record_batch_internal.h"
 
 bool shard_source_fits(struct shard *shard, const struct page *page, bool plain)
 {
--- a/src/shard/shard_batch.h
+++ b/src/shard/record_batch_internal.h
@@ -3,7 +3,7 @@
 #ifndef LL_SHARD_BATCH_H
 #define LL_SHARD_BATCH_H
 
-#include "shard_record.h"
+#include "run_records_internal.h"
 
 enum {
     BATCH_BYTES = 48 * 1024, /* of all values in one transaction */
--- a/src/shard/shard_record_machine.c
+++ b/src/shard/record_batch_machine.c
@@ -1,6 +1,6 @@
 /* Records of what machines are, beside their run records: a machine gets one when there are writes
  * to spare, and loses it when it is gone and its last task is off the records. */
-#include "shard_batch.h"
+#include "record_batch_internal.h"
 
 enum {
     DESCRIBE_MS = 30000,              /* a machine's images are written again no sooner */
--- a/src/shard/shard_record_outcome.c
+++ b/src/shard/record_batch_outcome.c
@@ -1,6 +1,6 @@
 /* What became of a transaction: machines and tasks follow it when it was done, and the view when it
  * was not or when nobody knows. */
-#include "shard_batch.h"
+#include "record_batch_internal.h"
 
 #include "log.h"
 
--- a/src/shard/shard_record_choose.c
+++ b/src/shard/record_batch_select.c
@@ -1,6 +1,6 @@
 /* Chooses which pages a transaction writes: a survey of what waits to be written, and what of it
  * comes first. */
-#include "shard_batch.h"
+#include "record_batch_internal.h"
 
 enum {
     NEW_WEIGHT = 1, /* a start that waits for a page, beside an end that has waited a second less */
--- a/src/shard/shard_record_flush.c
+++ b/src/shard/run_records_flush.c
@@ -1,6 +1,6 @@
 /* When records are written: soon after a change, within this node's share of the writes that the
  * state service allows. */
-#include "shard_batch.h"
+#include "record_batch_internal.h"
 
 #include <math.h>
 
--- a/src/shard/shard_record.h
+++ b/src/shard/run_records_internal.h
@@ -3,7 +3,7 @@
 #ifndef LL_SHARD_RECORD_H
 #define LL_SHARD_RECORD_H
 
-#include "shard_state.h"
+#include "shard_internal.h"
 
 /* One of this node's pages: see page.h. */
 struct own_page {
--- a/src/shard/shard_record_pages.c
+++ b/src/shard/run_records_pages.c
@@ -1,5 +1,5 @@
 /* This node's pages: which of them a machine's records are on, and how much room they have. */
-#include "shard_record.h"
+#include "run_records_internal.h"
 
 enum {
     VALUE_BYTES = 32,   /* of a page's value besides its texts */
--- a/src/shard/shard_record_sync.c
+++ b/src/shard/run_records_reconcile.c
@@ -1,6 +1,6 @@
 /* Agreement with the view: takes what the pages of this node say, and which records its machines
  * have, from what was read of the state service. */
-#include "shard_record.h"
+#include "run_records_internal.h"
 
 /* One page of ours as the view shows it. */
 static void page_sync(struct shard *shard, int number)
--- a/src/shard/shard.c
+++ b/src/shard/shard.c
@@ -1,4 +1,4 @@
-#include "shard_record.h"
+#include "run_records_internal.h"
 
 #include "log.h"
 
--- a/src/shard/shard.h
+++ b/src/shard/shard.h
@@ -3,10 +3,10 @@
 #ifndef LL_SHARD_H
 #define LL_SHARD_H
 
-#include "bus.h"
 #include "membership.h"
+#include "node_rpc.h"
 #include "peers.h"
-#include "view.h"
+#include "replica.h"
 
 struct shard;
 
--- a/src/shard/shard_state.h
+++ b/src/shard/shard_internal.h
@@ -3,7 +3,7 @@
 #define LL_SHARD_STATE_H
 
 #include "arq.h"
-#include "room.h"
+#include "resources.h"
 #include "shard.h"
 
 enum run_phase {
--- a/src/shard/shard_place.c
+++ b/src/shard/task_placement.c
@@ -1,8 +1,8 @@
-#include "shard_record.h"
+#include "run_records_internal.h"
 
-#include "images.h"
+#include "image_cache.h"
 #include "log.h"
-#include "score.h"
+#include "placement_score.h"
 
 enum {
     SWITCH_MS = 2000,
--- a/src/singleton/intent_log.h
+++ b/src/singleton/intent_log.h
@@ -6,7 +6,7 @@
 #ifndef LL_INTENT_LOG_H
 #define LL_INTENT_LOG_H
 
-#include "duties.h"
+#include "role_manager.h"
 
 struct intent_log;
 
--- a/src/singleton/duty_codec.c
+++ b/src/singleton/role_codec.c
@@ -1,4 +1,4 @@
-#include "duty_codec.h"
+#include "role_codec.h"
 
 #include <stdlib.h>
 
--- a/src/singleton/duty_codec.h
+++ b/src/singleton/role_codec.h
@@ -6,8 +6,8 @@
 #ifndef LL_DUTY_CODEC_H
 #define LL_DUTY_CODEC_H
 
-#include "codec_json.h"
-#include "duty_types.h"
+#include "json_fields.h"
+#include "role_types.h"
 
 #define KEY_DUTIES "ll/duty/"
 #define KEY_INTENTS "ll/pending/"
--- a/src/singleton/duties.c
+++ b/src/singleton/role_manager.c
@@ -1,4 +1,4 @@
-#include "duties.h"
+#include "role_manager.h"
 
 #include "log.h"
 
--- a/src/singleton/duties.h
+++ b/src/singleton/role_manager.h
@@ -8,9 +8,9 @@
 #ifndef LL_DUTIES_H
 #define LL_DUTIES_H
 
-#include "duty_table.h"
-#include "loop.h"
-#include "store.h"
+#include "event_loop.h"
+#include "kv_client.h"
+#include "role_records.h"
 
 struct duties;
 
--- a/src/singleton/duty_table.c
+++ b/src/singleton/role_records.c
@@ -1,4 +1,4 @@
-#include "duty_table.h"
+#include "role_records.h"
 
 #include "log.h"
 
--- a/src/singleton/duty_table.h
+++ b/src/singleton/role_records.h
@@ -2,7 +2,7 @@
 #ifndef LL_DUTY_TABLE_H
 #define LL_DUTY_TABLE_H
 
-#include "duty_codec.h"
+#include "role_codec.h"
 
 /* A page of intents as it stands in the state service. */
 struct intent_page {
--- a/src/wire/codec_cloud.c
+++ b/src/wire/cloud_codec.c
@@ -1,5 +1,5 @@
 #include "codec.h"
-#include "codec_json.h"
+#include "json_fields.h"
 
 static const char *const stage_words[] = {"booting", "running", "failed"};
 
--- a/src/wire/codec.h
+++ b/src/wire/codec.h
@@ -4,7 +4,7 @@
 #ifndef LL_CODEC_H
 #define LL_CODEC_H
 
-#include "codec_json.h"
+#include "json_fields.h"
 
 /* How a job's tasks belong together. */
 enum form { FORM_ARRAY, FORM_GANG, FORM_SERVICE };
--- a/src/wire/images.c
+++ b/src/wire/image_cache.c
@@ -1,4 +1,4 @@
-#include "images.h"
+#include "image_cache.h"
 
 static void release(gpointer q)
 {
--- a/src/wire/codec_job.c
+++ b/src/wire/job_codec.c
@@ -1,5 +1,5 @@
 #include "codec.h"
-#include "codec_json.h"
+#include "json_fields.h"
 
 enum { MOST_AWAITS = 100 }; /* that one job may name */
 
--- a/src/wire/score.c
+++ b/src/wire/placement_score.c
@@ -1,4 +1,4 @@
-#include "score.h"
+#include "placement_score.h"
 
 double score_host(const struct spec *spec, const struct score_facts *facts)
 {
--- a/src/wire/room.c
+++ b/src/wire/resources.c
@@ -1,4 +1,4 @@
-#include "room.h"
+#include "resources.h"
 
 static double share_of(int64_t ask, int64_t total)
 {
--- a/tests/duty_history.c
+++ b/tests/duty_history.c
@@ -1,7 +1,7 @@
 #include "duty_history.h"
 
-#include "duty_codec.h"
-#include "page.h"
+#include "record_page_codec.h"
+#include "role_codec.h"
 
 struct duty_history {
     uint64_t current[DUTIES], highest[DUTIES]; /* tokens; current 0: nobody holds it */
--- a/tests/test_duties.c
+++ b/tests/test_duties.c
@@ -2,7 +2,7 @@
  * or their successor's. Judged from what the state service and the cloud carried out. */
 #include "delay_histogram.h"
 #include "duty_history.h"
-#include "leader_state.h"
+#include "scheduler_internal.h"
 #include "world.h"
 
 #include <stdio.h>
--- a/tests/test_gap.c
+++ b/tests/test_gap.c
@@ -1,7 +1,7 @@
 /* Cancellations that one node has told of and another does not see: the state service refuses a
  * node alone, then it is away for all for longer than cancel_s, while workers go on reporting. What
  * was cancelled has to be gone in time all the same, and what was not has to go on. */
-#include "shard_state.h"
+#include "shard_internal.h"
 #include "world.h"
 
 #include <string.h>
--- a/tests/test_http.c
+++ b/tests/test_http.c
@@ -1,7 +1,7 @@
 /* The HTTP parser and the codecs at their edges. */
-#include "bus.h"
 #include "codec.h"
 #include "http.h"
+#include "node_rpc.h"
 #include "settings.h"
 
 #include <netinet/in.h>
--- a/tests/test_meetings.c
+++ b/tests/test_meetings.c
@@ -1,7 +1,7 @@
 /* Meetings of troubles: two or more at once, with whole nodes. After every step all rules are
  * looked at that can be seen from outside, and every answer to a user is held against those that
  * came before. See docs/safety.md. */
-#include "shard_state.h"
+#include "shard_internal.h"
 #include "world.h"
 
 #include <string.h>
--- a/tests/test_outages.c
+++ b/tests/test_outages.c
@@ -1,5 +1,5 @@
 /* Zones that are cut off, processes that are back at once, outages, and pages that change hands. */
-#include "shard_record.h"
+#include "run_records_internal.h"
 #include "trouble_fixtures.h"
 
 #include <string.h>
--- a/tests/test_troubles.c
+++ b/tests/test_troubles.c
@@ -1,5 +1,5 @@
 /* Machines that hear nothing, late copies of reports, and nodes that only workers reach. */
-#include "shard_record.h"
+#include "run_records_internal.h"
 #include "trouble_fixtures.h"
 
 #include <string.h>
--- a/tests/test_upgrade.c
+++ b/tests/test_upgrade.c
@@ -1,7 +1,7 @@
 /* The version in production (0.3.0, what is called version 0 here) and this one on each other's
  * data, and limits of the state service that fall. The values below were written by that version,
  * in this world, and are what a node of it leaves behind. */
-#include "shard_record.h"
+#include "run_records_internal.h"
 #include "world.h"
 
 #include <string.h>
