--- a/src/net/http_client.c
+++ b/src/net/http_client.c
@@ -10,463 +10,482 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-enum { FEW_PLACES = 2000 };
-
-struct client;
-struct place;
-
-struct exchange {
-    struct client *client;
-    char *bytes; /* the request as it goes out */
-    size_t len;
-    net_done done;
-    void *arg;
-    struct place *place;
+enum { MIN_ENDPOINT_SWEEP_THRESHOLD = 2000 };
+
+struct connection_pool;
+struct http_endpoint;
+
+struct http_exchange {
+    struct connection_pool *pool;
+    char *request_text; /* the request as it goes out */
+    size_t request_bytes;
+    http_response_callback callback;
+    void *callback_arg;
+    struct http_endpoint *endpoint;
     struct timer timer;
-    struct link *link; /* NULL: waits for a connection */
+    struct client_connection *connection; /* NULL: waits for a connection */
 };
 
 /* One connection. */
-struct link {
+struct client_connection {
     struct loop_io io;
-    struct client *client;
-    struct place *place;
-    bool connecting, want_write;
-    struct exchange *now;
-    size_t sent;
-    GByteArray *in;
+    struct connection_pool *pool;
+    struct http_endpoint *endpoint;
+    bool is_connecting, is_watching_writable;
+    struct http_exchange *exchange;
+    size_t sent_bytes;
+    GByteArray *input;
     struct timer timer; /* connecting, or idle */
-    struct idle_place idle;
+    struct idle_entry idle_entry;
 };
 
 /* One address. */
-struct place {
-    char *addr;
-    GQueue waiting; /* struct exchange */
-    GPtrArray *links;
-    bool kept;   /* see http_client_keep */
-    bool hungry; /* in the client's list of those that wait for a connection of others to end */
+struct http_endpoint {
+    char *address;
+    GQueue queued_exchanges; /* struct http_exchange */
+    GPtrArray *connections;
+    bool is_exempt;  /* see http_client_exempt_address */
+    bool is_starved; /* in the client's list of those that wait for a connection of others to end */
 };
 
-struct client {
-    struct net net;
+struct connection_pool {
+    struct http_client interface;
     struct loop *loop;
     struct http_client_limits limits;
-    GHashTable *places;
-    guint many_places; /* so many are looked through for some to forget */
-    GQueue idle;       /* struct link */
-    GQueue hungry;     /* struct place */
-    struct timer wake;
-    int links, waiting;
+    GHashTable *endpoints;
+    guint endpoint_sweep_threshold; /* so many are looked through for some to forget */
+    GQueue idle_connections;        /* struct client_connection */
+    GQueue starved_endpoints;       /* struct http_endpoint */
+    struct timer starved_timer;
+    int connection_count, queued_count;
 };
 
-static void place_go(struct client *client, struct place *place);
+static void endpoint_send_queued(struct connection_pool *pool, struct http_endpoint *endpoint);
 
-static void request_end(struct client *client, struct exchange *exchange,
-                        const struct net_answer *answer)
+static void exchange_finish(struct connection_pool *pool, struct http_exchange *exchange,
+                            const struct http_response *response)
 {
-    timer_stop(client->loop, &exchange->timer);
-    if (!exchange->link && g_queue_remove(&exchange->place->waiting, exchange))
-        client->waiting--;
-    net_done done = exchange->done;
-    void *arg = exchange->arg;
-    g_free(exchange->bytes);
-    loop_free_later(client->loop, exchange);
-    done(arg, answer);
+    timer_stop(pool->loop, &exchange->timer);
+    if (!exchange->connection && g_queue_remove(&exchange->endpoint->queued_exchanges, exchange))
+        pool->queued_count--;
+    http_response_callback callback = exchange->callback;
+    void *callback_arg = exchange->callback_arg;
+    g_free(exchange->request_text);
+    loop_defer_free(pool->loop, exchange);
+    callback(callback_arg, response);
 }
 
-static void wake_soon(struct client *client)
+static void schedule_starved_endpoints(struct connection_pool *pool)
 {
-    if (client->hungry.head && !client->wake.place)
-        timer_start(client->loop, &client->wake, 0);
+    if (pool->starved_endpoints.head && !pool->starved_timer.queue_position)
+        timer_start(pool->loop, &pool->starved_timer, 0);
 }
 
-static void link_close(struct link *l)
+static void connection_close(struct client_connection *connection)
 {
-    struct client *client = l->client;
-    idle_set(&l->client->idle, &l->idle, false);
-    wake_soon(client);
-    timer_stop(client->loop, &l->timer);
-    loop_unwatch(client->loop, &l->io);
-    close(l->io.fd);
-    g_byte_array_unref(l->in);
-    g_ptr_array_remove_fast(l->place->links, l);
-    client->links--;
-    loop_free_later(client->loop, l);
+    struct connection_pool *pool = connection->pool;
+    idle_list_update(&connection->pool->idle_connections, &connection->idle_entry, false);
+    schedule_starved_endpoints(pool);
+    timer_stop(pool->loop, &connection->timer);
+    loop_remove_io(pool->loop, &connection->io);
+    close(connection->io.fd);
+    g_byte_array_unref(connection->input);
+    g_ptr_array_remove_fast(connection->endpoint->connections, connection);
+    pool->connection_count--;
+    loop_defer_free(pool->loop, connection);
 }
 
-static void place_free(struct place *place)
+static void endpoint_free(struct http_endpoint *endpoint)
 {
-    g_ptr_array_unref(place->links);
-    g_free(place->addr);
-    g_free(place);
+    g_ptr_array_unref(endpoint->connections);
+    g_free(endpoint->address);
+    g_free(endpoint);
 }
 
 /* Machines come and go: addresses that nothing is sent to any more are forgotten each time their
  * number has doubled. */
-static void forget_places(struct client *client)
+static void sweep_unused_endpoints(struct connection_pool *pool)
 {
-    if (g_hash_table_size(client->places) < client->many_places)
+    if (g_hash_table_size(pool->endpoints) < pool->endpoint_sweep_threshold)
         return;
     GHashTableIter it;
-    struct place *place;
-    g_hash_table_iter_init(&it, client->places);
-    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&place)) {
-        if (place->links->len || place->waiting.head || place->kept || place->hungry)
+    struct http_endpoint *endpoint;
+    g_hash_table_iter_init(&it, pool->endpoints);
+    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&endpoint)) {
+        if (endpoint->connections->len || endpoint->queued_exchanges.head || endpoint->is_exempt ||
+            endpoint->is_starved)
             continue;
         g_hash_table_iter_remove(&it);
-        place_free(place);
+        endpoint_free(endpoint);
     }
-    client->many_places = MAX(2 * g_hash_table_size(client->places), FEW_PLACES);
+    pool->endpoint_sweep_threshold =
+        MAX(2 * g_hash_table_size(pool->endpoints), MIN_ENDPOINT_SWEEP_THRESHOLD);
 }
 
 /* Ends the connection and, with it, what it was carrying. */
-static void link_fail(struct link *l)
+static void connection_fail(struct client_connection *connection)
 {
-    struct client *client = l->client;
-    struct place *place = l->place;
-    struct exchange *exchange = l->now;
-    bool sent = l->sent > 0;
-    link_close(l);
+    struct connection_pool *pool = connection->pool;
+    struct http_endpoint *endpoint = connection->endpoint;
+    struct http_exchange *exchange = connection->exchange;
+    bool was_sent = connection->sent_bytes > 0;
+    connection_close(connection);
     if (exchange) {
-        exchange->link = NULL;
-        request_end(client, exchange,
-                    &(struct net_answer){.status = sent ? NET_NO_ANSWER : NET_NOT_SENT});
+        exchange->connection = NULL;
+        exchange_finish(
+            pool, exchange,
+            &(struct http_response){.status = was_sent ? HTTP_NO_RESPONSE : HTTP_NOT_SENT});
     }
-    place_go(client, place);
+    endpoint_send_queued(pool, endpoint);
 }
 
-static void link_write(struct link *l)
+static void connection_write(struct client_connection *connection)
 {
-    struct exchange *exchange = l->now;
-    while (exchange && l->sent < exchange->len) {
-        ssize_t n =
-            send(l->io.fd, exchange->bytes + l->sent, exchange->len - l->sent, MSG_NOSIGNAL);
-        if (n < 0 && (errno == EAGAIN || errno == EINTR))
+    struct http_exchange *exchange = connection->exchange;
+    while (exchange && connection->sent_bytes < exchange->request_bytes) {
+        ssize_t written_bytes =
+            send(connection->io.fd, exchange->request_text + connection->sent_bytes,
+                 exchange->request_bytes - connection->sent_bytes, MSG_NOSIGNAL);
+        if (written_bytes < 0 && (errno == EAGAIN || errno == EINTR))
             break;
-        if (n < 0) {
-            link_fail(l);
+        if (written_bytes < 0) {
+            connection_fail(connection);
             return;
         }
-        l->sent += n;
+        connection->sent_bytes += written_bytes;
     }
-    bool want = exchange && l->sent < exchange->len;
-    if (want != l->want_write) {
-        l->want_write = want;
-        loop_rewatch(l->client->loop, &l->io, want ? EPOLLIN | EPOLLOUT : EPOLLIN);
+    bool wants_write = exchange && connection->sent_bytes < exchange->request_bytes;
+    if (wants_write != connection->is_watching_writable) {
+        connection->is_watching_writable = wants_write;
+        loop_modify_io(connection->pool->loop, &connection->io,
+                       wants_write ? EPOLLIN | EPOLLOUT : EPOLLIN);
     }
 }
 
-static void link_take(struct link *l, struct exchange *exchange)
+static void connection_start_exchange(struct client_connection *connection,
+                                      struct http_exchange *exchange)
 {
-    idle_set(&l->client->idle, &l->idle, false);
-    l->now = exchange;
-    l->sent = 0;
-    exchange->link = l;
-    if (!l->connecting) {
-        timer_stop(l->client->loop, &l->timer);
-        link_write(l);
+    idle_list_update(&connection->pool->idle_connections, &connection->idle_entry, false);
+    connection->exchange = exchange;
+    connection->sent_bytes = 0;
+    exchange->connection = connection;
+    if (!connection->is_connecting) {
+        timer_stop(connection->pool->loop, &connection->timer);
+        connection_write(connection);
     }
 }
 
-static void link_rests(struct link *l)
+static void connection_become_idle(struct client_connection *connection)
 {
-    idle_set(&l->client->idle, &l->idle, !l->place->kept);
-    wake_soon(l->client);
-    timer_start(l->client->loop, &l->timer, l->client->limits.idle_ms);
+    idle_list_update(&connection->pool->idle_connections, &connection->idle_entry,
+                     !connection->endpoint->is_exempt);
+    schedule_starved_endpoints(connection->pool);
+    timer_start(connection->pool->loop, &connection->timer,
+                connection->pool->limits.idle_timeout_ms);
 }
 
-static void link_answered(struct link *l, struct http_head *head, const char *body, size_t len,
-                          size_t used)
+static void connection_finish_exchange(struct client_connection *connection, struct http_head *head,
+                                       const char *body, size_t body_bytes, size_t consumed_bytes)
 {
-    struct client *client = l->client;
-    struct place *place = l->place;
-    struct exchange *exchange = l->now;
-    char *copy = g_strndup(body, len);
-    struct net_answer answer = {head->status, copy, len, head->retry_after_s};
-    bool close_it = head->close || l->in->len > used || l->sent < exchange->len;
-    l->now = NULL;
-    exchange->link = NULL;
-    if (close_it) {
-        link_close(l);
+    struct connection_pool *pool = connection->pool;
+    struct http_endpoint *endpoint = connection->endpoint;
+    struct http_exchange *exchange = connection->exchange;
+    char *body_copy = g_strndup(body, body_bytes);
+    struct http_response response = {head->status, body_copy, body_bytes, head->retry_after_s};
+    bool must_close = head->closes_connection || connection->input->len > consumed_bytes ||
+                      connection->sent_bytes < exchange->request_bytes;
+    connection->exchange = NULL;
+    exchange->connection = NULL;
+    if (must_close) {
+        connection_close(connection);
     } else {
-        g_byte_array_set_size(l->in, 0);
-        link_rests(l);
+        g_byte_array_set_size(connection->input, 0);
+        connection_become_idle(connection);
     }
-    request_end(client, exchange, &answer);
-    g_free(copy);
-    place_go(client, place);
+    exchange_finish(pool, exchange, &response);
+    g_free(body_copy);
+    endpoint_send_queued(pool, endpoint);
 }
 
-static void link_parse(struct link *l)
+static void connection_parse_response(struct client_connection *connection)
 {
     struct http_head head;
-    const char *data = (const char *)l->in->data;
-    size_t limit = l->client->limits.answer_size;
-    enum http_parsed r = http_parse_head(data, l->in->len, true, &head);
-    if (r == HTTP_MORE)
+    const char *data = (const char *)connection->input->data;
+    size_t limit = connection->pool->limits.max_response_bytes;
+    enum http_parse_result result = http_parse_head(data, connection->input->len, true, &head);
+    if (result == HTTP_PARSE_INCOMPLETE)
         return;
-    if (r != HTTP_DONE) {
-        link_fail(l);
+    if (result != HTTP_PARSE_DONE) {
+        connection_fail(connection);
         return;
     }
-    const char *body = data + head.size;
-    if (head.chunked) {
-        if (memcmp(data + l->in->len - 4, "\r\n\r\n", 4) != 0)
+    const char *body = data + head.head_bytes;
+    if (head.is_chunked) {
+        if (memcmp(data + connection->input->len - 4, "\r\n\r\n", 4) != 0)
             return; /* long ones are not gone through again and again */
-        GString *s = g_string_new(NULL);
-        size_t used;
-        r = http_parse_chunks(body, l->in->len - head.size, limit, s, &used);
-        if (r == HTTP_DONE)
-            link_answered(l, &head, s->str, s->len, head.size + used);
-        else if (r != HTTP_MORE)
-            link_fail(l);
-        g_string_free(s, TRUE);
+        GString *decoded_body = g_string_new(NULL);
+        size_t consumed_bytes;
+        result = http_parse_chunks(body, connection->input->len - head.head_bytes, limit,
+                                   decoded_body, &consumed_bytes);
+        if (result == HTTP_PARSE_DONE)
+            connection_finish_exchange(connection, &head, decoded_body->str, decoded_body->len,
+                                       head.head_bytes + consumed_bytes);
+        else if (result != HTTP_PARSE_INCOMPLETE)
+            connection_fail(connection);
+        g_string_free(decoded_body, TRUE);
         return;
     }
-    size_t len = head.content_length < 0 ? 0 : (size_t)head.content_length;
-    if (len > limit) {
-        LOG_ERROR("answer_too_large", "addr=%s bytes=%zu", l->place->addr, len);
-        link_fail(l);
+    size_t body_bytes = head.content_length < 0 ? 0 : (size_t)head.content_length;
+    if (body_bytes > limit) {
+        LOG_ERROR("answer_too_large", "addr=%s bytes=%zu", connection->endpoint->address,
+                  body_bytes);
+        connection_fail(connection);
         return;
     }
-    if (l->in->len - head.size >= len)
-        link_answered(l, &head, body, len, head.size + len);
+    if (connection->input->len - head.head_bytes >= body_bytes)
+        connection_finish_exchange(connection, &head, body, body_bytes,
+                                   head.head_bytes + body_bytes);
 }
 
-static void link_ready(struct loop_io *io, uint32_t events)
+static void connection_on_io(struct loop_io *io, uint32_t events)
 {
-    struct link *l = (struct link *)io;
-    if (l->connecting) {
-        int err = 0;
-        socklen_t n = sizeof err;
-        getsockopt(io->fd, SOL_SOCKET, SO_ERROR, &err, &n);
-        if (err || (events & (EPOLLERR | EPOLLHUP))) {
-            link_fail(l);
+    struct client_connection *connection = (struct client_connection *)io;
+    if (connection->is_connecting) {
+        int socket_error = 0;
+        socklen_t size = sizeof socket_error;
+        getsockopt(io->fd, SOL_SOCKET, SO_ERROR, &socket_error, &size);
+        if (socket_error || (events & (EPOLLERR | EPOLLHUP))) {
+            connection_fail(connection);
             return;
         }
-        l->connecting = false;
-        l->want_write = true; /* that is how it is being watched */
-        timer_stop(l->client->loop, &l->timer);
-        if (!l->now)
-            link_rests(l);
-        link_write(l);
+        connection->is_connecting = false;
+        connection->is_watching_writable = true; /* that is how it is being watched */
+        timer_stop(connection->pool->loop, &connection->timer);
+        if (!connection->exchange)
+            connection_become_idle(connection);
+        connection_write(connection);
         return;
     }
     if (events & EPOLLOUT) {
-        link_write(l);
+        connection_write(connection);
         if (!io->ready)
             return;
     }
     if (!(events & (EPOLLIN | EPOLLERR | EPOLLHUP)))
         return;
-    char buf[32768];
-    ssize_t n = recv(io->fd, buf, sizeof buf, 0);
-    loop_refresh(l->client->loop);
-    if (n < 0 && (errno == EAGAIN || errno == EINTR))
+    char buffer[32768];
+    ssize_t size = recv(io->fd, buffer, sizeof buffer, 0);
+    loop_refresh(connection->pool->loop);
+    if (size < 0 && (errno == EAGAIN || errno == EINTR))
         return;
-    if (n <= 0 || !l->now) {
-        link_fail(l);
+    if (size <= 0 || !connection->exchange) {
+        connection_fail(connection);
         return;
     }
-    g_byte_array_append(l->in, (guint8 *)buf, n);
-    link_parse(l);
+    g_byte_array_append(connection->input, (guint8 *)buffer, size);
+    connection_parse_response(connection);
 }
 
-static void link_timeout(void *arg)
+static void connection_on_timeout(void *arg)
 {
-    link_fail(arg);
+    connection_fail(arg);
 }
 
-static bool link_open(struct client *client, struct place *place, struct exchange *exchange)
+static bool connection_open(struct connection_pool *pool, struct http_endpoint *endpoint,
+                            struct http_exchange *exchange)
 {
-    struct sockaddr_in sa = {.sin_family = AF_INET};
+    struct sockaddr_in socket_address = {.sin_family = AF_INET};
     uint16_t port;
-    if (!address_split(place->addr, &sa.sin_addr.s_addr, &port))
+    if (!address_parse(endpoint->address, &socket_address.sin_addr.s_addr, &port))
         return false;
-    sa.sin_port = htons(port);
-    int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0), one = 1;
+    socket_address.sin_port = htons(port);
+    int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0), enabled = 1;
     if (fd < 0)
         return false;
-    setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
-    if (connect(fd, (struct sockaddr *)&sa, sizeof sa) < 0 && errno != EINPROGRESS) {
+    setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof enabled);
+    if (connect(fd, (struct sockaddr *)&socket_address, sizeof socket_address) < 0 &&
+        errno != EINPROGRESS) {
         close(fd);
         return false;
     }
-    struct link *l = g_new0(struct link, 1);
-    l->io.fd = fd;
-    l->io.ready = link_ready;
-    l->client = client;
-    l->place = place;
-    l->connecting = true;
-    l->in = g_byte_array_new();
-    l->idle.place.data = l;
-    timer_init(&l->timer, link_timeout, l);
-    timer_start(client->loop, &l->timer, client->limits.connect_ms);
-    g_ptr_array_add(place->links, l);
-    client->links++;
-    loop_watch(client->loop, &l->io, EPOLLOUT);
-    link_take(l, exchange);
+    struct client_connection *connection = g_new0(struct client_connection, 1);
+    connection->io.fd = fd;
+    connection->io.ready = connection_on_io;
+    connection->pool = pool;
+    connection->endpoint = endpoint;
+    connection->is_connecting = true;
+    connection->input = g_byte_array_new();
+    connection->idle_entry.link.data = connection;
+    timer_init(&connection->timer, connection_on_timeout, connection);
+    timer_start(pool->loop, &connection->timer, pool->limits.connect_timeout_ms);
+    g_ptr_array_add(endpoint->connections, connection);
+    pool->connection_count++;
+    loop_add_io(pool->loop, &connection->io, EPOLLOUT);
+    connection_start_exchange(connection, exchange);
     return true;
 }
 
-static struct link *free_link(struct place *place)
+static struct client_connection *find_idle_connection(struct http_endpoint *endpoint)
 {
-    for (guint i = 0; i < place->links->len; i++) {
-        struct link *l = place->links->pdata[i];
-        if (!l->now && !l->connecting)
-            return l;
+    for (guint i = 0; i < endpoint->connections->len; i++) {
+        struct client_connection *connection = endpoint->connections->pdata[i];
+        if (!connection->exchange && !connection->is_connecting)
+            return connection;
     }
     return NULL;
 }
 
 /* Closes the connection that nobody has used for longest, to any address. */
-static bool make_room(struct client *client)
+static bool close_longest_idle_connection(struct connection_pool *pool)
 {
-    if (!client->idle.head)
+    if (!pool->idle_connections.head)
         return false;
-    link_close(client->idle.head->data);
+    connection_close(pool->idle_connections.head->data);
     return true;
 }
 
-static void place_go(struct client *client, struct place *place)
+static void endpoint_send_queued(struct connection_pool *pool, struct http_endpoint *endpoint)
 {
-    while (place->waiting.head) {
+    while (endpoint->queued_exchanges.head) {
         /* One that is free is used before room is made, which could close that very one. */
-        struct link *l = free_link(place);
-        if (!l && (int)place->links->len >= client->limits.per_address)
+        struct client_connection *connection = find_idle_connection(endpoint);
+        if (!connection &&
+            (int)endpoint->connections->len >= pool->limits.max_connections_per_address)
             return;
-        if (!l && !place->kept && client->links >= client->limits.connections &&
-            !make_room(client)) {
-            if (!place->hungry)
-                g_queue_push_tail(&client->hungry, place);
-            place->hungry = true;
+        if (!connection && !endpoint->is_exempt &&
+            pool->connection_count >= pool->limits.max_connections &&
+            !close_longest_idle_connection(pool)) {
+            if (!endpoint->is_starved)
+                g_queue_push_tail(&pool->starved_endpoints, endpoint);
+            endpoint->is_starved = true;
             return;
         }
-        struct exchange *exchange = g_queue_pop_head(&place->waiting);
-        client->waiting--;
-        if (l) {
-            link_take(l, exchange);
-        } else if (!link_open(client, place, exchange)) {
-            exchange->link = NULL;
-            request_end(client, exchange, &(struct net_answer){.status = NET_NOT_SENT});
+        struct http_exchange *exchange = g_queue_pop_head(&endpoint->queued_exchanges);
+        pool->queued_count--;
+        if (connection) {
+            connection_start_exchange(connection, exchange);
+        } else if (!connection_open(pool, endpoint, exchange)) {
+            exchange->connection = NULL;
+            exchange_finish(pool, exchange, &(struct http_response){.status = HTTP_NOT_SENT});
         }
     }
 }
 
 /* There may be room for those that found none. */
-static void wake(void *arg)
+static void serve_starved_endpoints(void *arg)
 {
-    struct client *client = arg;
-    for (guint n = client->hungry.length; n > 0; n--) {
-        struct place *place = g_queue_pop_head(&client->hungry);
-        place->hungry = false;
-        place_go(client, place);
-        if (place->hungry)
+    struct connection_pool *pool = arg;
+    for (guint n = pool->starved_endpoints.length; n > 0; n--) {
+        struct http_endpoint *endpoint = g_queue_pop_head(&pool->starved_endpoints);
+        endpoint->is_starved = false;
+        endpoint_send_queued(pool, endpoint);
+        if (endpoint->is_starved)
             return;
     }
 }
 
-static void request_timeout(void *arg)
+static void exchange_on_timeout(void *arg)
 {
-    struct exchange *exchange = arg;
-    if (exchange->link)
-        link_fail(exchange->link);
+    struct http_exchange *exchange = arg;
+    if (exchange->connection)
+        connection_fail(exchange->connection);
     else
-        request_end(exchange->client, exchange, &(struct net_answer){.status = NET_NOT_SENT});
+        exchange_finish(exchange->pool, exchange, &(struct http_response){.status = HTTP_NOT_SENT});
 }
 
-static struct place *place_make(struct client *client, const char *addr)
+static struct http_endpoint *endpoint_get_or_create(struct connection_pool *pool,
+                                                    const char *address)
 {
-    struct place *place = g_hash_table_lookup(client->places, addr);
-    if (place)
-        return place;
-    forget_places(client);
-    place = g_new0(struct place, 1);
-    place->addr = g_strdup(addr);
-    g_queue_init(&place->waiting);
-    place->links = g_ptr_array_new();
-    g_hash_table_insert(client->places, place->addr, place);
-    return place;
+    struct http_endpoint *endpoint = g_hash_table_lookup(pool->endpoints, address);
+    if (endpoint)
+        return endpoint;
+    sweep_unused_endpoints(pool);
+    endpoint = g_new0(struct http_endpoint, 1);
+    endpoint->address = g_strdup(address);
+    g_queue_init(&endpoint->queued_exchanges);
+    endpoint->connections = g_ptr_array_new();
+    g_hash_table_insert(pool->endpoints, endpoint->address, endpoint);
+    return endpoint;
 }
 
-void http_client_keep(struct net *net, const char *addr)
+void http_client_exempt_address(struct http_client *http_client, const char *address)
 {
-    place_make((struct client *)net, addr)->kept = true;
+    endpoint_get_or_create((struct connection_pool *)http_client, address)->is_exempt = true;
 }
 
-static void client_request(struct net *net, const struct net_request *request, net_done done,
-                           void *arg)
+static void pool_request(struct http_client *http_client, const struct http_client_request *request,
+                         http_response_callback callback, void *callback_arg)
 {
-    struct client *client = (struct client *)net;
-    struct place *place = place_make(client, request->addr);
-    if (client->waiting >= client->limits.queue && !place->kept) {
-        done(arg, &(struct net_answer){.status = NET_NOT_SENT});
+    struct connection_pool *pool = (struct connection_pool *)http_client;
+    struct http_endpoint *endpoint = endpoint_get_or_create(pool, request->address);
+    if (pool->queued_count >= pool->limits.max_queued_requests && !endpoint->is_exempt) {
+        callback(callback_arg, &(struct http_response){.status = HTTP_NOT_SENT});
         return;
     }
-    GString *s = g_string_sized_new(request->len + 160);
-    g_string_printf(s, "%s %s HTTP/1.1\r\nHost: %s\r\n", request->method, request->path,
-                    request->addr);
+    GString *request_text = g_string_sized_new(request->body_bytes + 160);
+    g_string_printf(request_text, "%s %s HTTP/1.1\r\nHost: %s\r\n", request->method, request->path,
+                    request->address);
     if (request->body)
-        g_string_append_printf(s, "Content-Type: application/json\r\nContent-Length: %zu\r\n",
-                               request->len);
-    g_string_append(s, "\r\n");
+        g_string_append_printf(request_text,
+                               "Content-Type: application/json\r\nContent-Length: %zu\r\n",
+                               request->body_bytes);
+    g_string_append(request_text, "\r\n");
     if (request->body)
-        g_string_append_len(s, request->body, request->len);
-    struct exchange *exchange = g_new0(struct exchange, 1);
-    exchange->client = client;
-    exchange->len = s->len;
-    exchange->bytes = g_string_free(s, FALSE);
-    exchange->done = done;
-    exchange->arg = arg;
-    exchange->place = place;
-    timer_init(&exchange->timer, request_timeout, exchange);
-    timer_start(client->loop, &exchange->timer, request->timeout_ms);
-    g_queue_push_tail(&place->waiting, exchange);
-    client->waiting++;
-    place_go(client, place);
+        g_string_append_len(request_text, request->body, request->body_bytes);
+    struct http_exchange *exchange = g_new0(struct http_exchange, 1);
+    exchange->pool = pool;
+    exchange->request_bytes = request_text->len;
+    exchange->request_text = g_string_free(request_text, FALSE);
+    exchange->callback = callback;
+    exchange->callback_arg = callback_arg;
+    exchange->endpoint = endpoint;
+    timer_init(&exchange->timer, exchange_on_timeout, exchange);
+    timer_start(pool->loop, &exchange->timer, request->timeout_ms);
+    g_queue_push_tail(&endpoint->queued_exchanges, exchange);
+    pool->queued_count++;
+    endpoint_send_queued(pool, endpoint);
 }
 
-struct net *http_client_new(struct loop *loop, struct http_client_limits limits)
+struct http_client *http_client_new(struct loop *loop, struct http_client_limits limits)
 {
-    struct client *client = g_new0(struct client, 1);
-    client->net.request = client_request;
-    client->loop = loop;
-    client->limits = limits;
-    client->places = g_hash_table_new(g_str_hash, g_str_equal);
-    client->many_places = FEW_PLACES;
-    g_queue_init(&client->idle);
-    g_queue_init(&client->hungry);
-    timer_init(&client->wake, wake, client);
-    return &client->net;
+    struct connection_pool *pool = g_new0(struct connection_pool, 1);
+    pool->interface.request = pool_request;
+    pool->loop = loop;
+    pool->limits = limits;
+    pool->endpoints = g_hash_table_new(g_str_hash, g_str_equal);
+    pool->endpoint_sweep_threshold = MIN_ENDPOINT_SWEEP_THRESHOLD;
+    g_queue_init(&pool->idle_connections);
+    g_queue_init(&pool->starved_endpoints);
+    timer_init(&pool->starved_timer, serve_starved_endpoints, pool);
+    return &pool->interface;
 }
 
-void http_client_free(struct net *net)
+void http_client_free(struct http_client *http_client)
 {
-    struct client *client = (struct client *)net;
-    timer_stop(client->loop, &client->wake);
-    g_queue_clear(&client->hungry);
+    struct connection_pool *pool = (struct connection_pool *)http_client;
+    timer_stop(pool->loop, &pool->starved_timer);
+    g_queue_clear(&pool->starved_endpoints);
     GHashTableIter it;
-    struct place *place;
-    g_hash_table_iter_init(&it, client->places);
-    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&place)) {
-        struct exchange *exchange;
-        while ((exchange = g_queue_pop_head(&place->waiting))) {
-            timer_stop(client->loop, &exchange->timer);
-            g_free(exchange->bytes);
+    struct http_endpoint *endpoint;
+    g_hash_table_iter_init(&it, pool->endpoints);
+    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&endpoint)) {
+        struct http_exchange *exchange;
+        while ((exchange = g_queue_pop_head(&endpoint->queued_exchanges))) {
+            timer_stop(pool->loop, &exchange->timer);
+            g_free(exchange->request_text);
             g_free(exchange);
         }
-        while (place->links->len) {
-            struct link *l = place->links->pdata[0];
-            if (l->now) {
-                timer_stop(client->loop, &l->now->timer);
-                g_free(l->now->bytes);
-                g_free(l->now);
+        while (endpoint->connections->len) {
+            struct client_connection *connection = endpoint->connections->pdata[0];
+            if (connection->exchange) {
+                timer_stop(pool->loop, &connection->exchange->timer);
+                g_free(connection->exchange->request_text);
+                g_free(connection->exchange);
             }
-            link_close(l);
+            connection_close(connection);
         }
-        place_free(place);
+        endpoint_free(endpoint);
     }
-    g_hash_table_unref(client->places);
-    g_free(client);
+    g_hash_table_unref(pool->endpoints);
+    g_free(pool);
 }
--- a/src/net/http_parser.c
+++ b/src/net/http_parser.c
@@ -2,173 +2,180 @@
 
 #include <stdlib.h>
 
-enum { HEAD_LIMIT = 8192 };
+enum { MAX_HEAD_BYTES = 8192 };
 
-static bool digits(const char *p, const char *end, int64_t *out)
+static bool parse_decimal(const char *text, const char *end, int64_t *out)
 {
-    if (p == end || end - p > 15)
+    if (text == end || end - text > 15)
         return false;
-    int64_t v = 0;
-    for (; p < end; p++) {
-        if (!g_ascii_isdigit(*p))
+    int64_t value = 0;
+    for (; text < end; text++) {
+        if (!g_ascii_isdigit(*text))
             return false;
-        v = v * 10 + (*p - '0');
+        value = value * 10 + (*text - '0');
     }
-    *out = v;
+    *out = value;
     return true;
 }
 
-static bool token_copy(char *out, size_t size, const char *p, const char *end)
+static bool copy_token(char *out, size_t size, const char *text, const char *end)
 {
-    if (p >= end || (size_t)(end - p) >= size)
+    if (text >= end || (size_t)(end - text) >= size)
         return false;
-    for (size_t i = 0; i < (size_t)(end - p); i++) {
-        if ((unsigned char)p[i] <= ' ' || (unsigned char)p[i] >= 127)
+    for (size_t i = 0; i < (size_t)(end - text); i++) {
+        if ((unsigned char)text[i] <= ' ' || (unsigned char)text[i] >= 127)
             return false;
-        out[i] = p[i];
+        out[i] = text[i];
     }
-    out[end - p] = 0;
+    out[end - text] = 0;
     return true;
 }
 
-static enum http_parsed request_line(const char *p, const char *end, struct http_head *head)
+static enum http_parse_result parse_request_line(const char *line, const char *end,
+                                                 struct http_head *head)
 {
-    const char *sp1 = memchr(p, ' ', end - p);
-    const char *sp2 = sp1 ? memchr(sp1 + 1, ' ', end - sp1 - 1) : NULL;
-    if (!sp2 || !token_copy(head->method, sizeof head->method, p, sp1))
-        return HTTP_BAD;
-    if ((size_t)(sp2 - sp1) >= sizeof head->target)
-        return HTTP_TOO_LARGE;
-    if (!token_copy(head->target, sizeof head->target, sp1 + 1, sp2) || head->target[0] != '/')
-        return HTTP_BAD;
-    if (end - sp2 != 9 || memcmp(sp2 + 1, "HTTP/1.", 7) != 0 || (sp2[8] != '0' && sp2[8] != '1'))
-        return HTTP_BAD;
-    head->close = sp2[8] == '0';
-    return HTTP_DONE;
+    const char *first_space = memchr(line, ' ', end - line);
+    const char *second_space =
+        first_space ? memchr(first_space + 1, ' ', end - first_space - 1) : NULL;
+    if (!second_space || !copy_token(head->method, sizeof head->method, line, first_space))
+        return HTTP_PARSE_MALFORMED;
+    if ((size_t)(second_space - first_space) >= sizeof head->target)
+        return HTTP_PARSE_TOO_LARGE;
+    if (!copy_token(head->target, sizeof head->target, first_space + 1, second_space) ||
+        head->target[0] != '/')
+        return HTTP_PARSE_MALFORMED;
+    if (end - second_space != 9 || memcmp(second_space + 1, "HTTP/1.", 7) != 0 ||
+        (second_space[8] != '0' && second_space[8] != '1'))
+        return HTTP_PARSE_MALFORMED;
+    head->closes_connection = second_space[8] == '0';
+    return HTTP_PARSE_DONE;
 }
 
-static enum http_parsed status_line(const char *p, const char *end, struct http_head *head)
+static enum http_parse_result parse_status_line(const char *line, const char *end,
+                                                struct http_head *head)
 {
     int64_t status;
-    if (end - p < 12 || memcmp(p, "HTTP/1.", 7) != 0 || p[8] != ' ' ||
-        !digits(p + 9, p + 12, &status) || (end - p > 12 && p[12] != ' '))
-        return HTTP_BAD;
-    head->close = p[7] == '0';
+    if (end - line < 12 || memcmp(line, "HTTP/1.", 7) != 0 || line[8] != ' ' ||
+        !parse_decimal(line + 9, line + 12, &status) || (end - line > 12 && line[12] != ' '))
+        return HTTP_PARSE_MALFORMED;
+    head->closes_connection = line[7] == '0';
     head->status = (int)status;
-    return HTTP_DONE;
+    return HTTP_PARSE_DONE;
 }
 
-static bool is_name(const char *p, const char *end, const char *name)
+static bool is_field_name(const char *text, const char *end, const char *name)
 {
-    return (size_t)(end - p) == strlen(name) && g_ascii_strncasecmp(p, name, end - p) == 0;
+    return (size_t)(end - text) == strlen(name) && g_ascii_strncasecmp(text, name, end - text) == 0;
 }
 
-static bool has_word(const char *p, const char *end, const char *word)
+static bool contains_word(const char *text, const char *end, const char *word)
 {
-    size_t n = strlen(word);
-    for (; p + n <= end; p++)
-        if (g_ascii_strncasecmp(p, word, n) == 0)
+    size_t word_length = strlen(word);
+    for (; text + word_length <= end; text++)
+        if (g_ascii_strncasecmp(text, word, word_length) == 0)
             return true;
     return false;
 }
 
-static bool header_field(const char *p, const char *end, struct http_head *head)
+static bool parse_header_field(const char *line, const char *end, struct http_head *head)
 {
-    const char *colon = memchr(p, ':', end - p);
-    if (!colon || colon == p)
+    const char *colon = memchr(line, ':', end - line);
+    if (!colon || colon == line)
         return false;
-    for (const char *c = p; c < colon; c++)
-        if ((unsigned char)*c <= ' ' || (unsigned char)*c >= 127)
+    for (const char *character = line; character < colon; character++)
+        if ((unsigned char)*character <= ' ' || (unsigned char)*character >= 127)
             return false;
-    const char *v = colon + 1;
-    while (v < end && (*v == ' ' || *v == '\t'))
-        v++;
-    while (end > v && (end[-1] == ' ' || end[-1] == '\t'))
+    const char *value = colon + 1;
+    while (value < end && (*value == ' ' || *value == '\t'))
+        value++;
+    while (end > value && (end[-1] == ' ' || end[-1] == '\t'))
         end--;
-    int64_t n;
-    if (is_name(p, colon, "content-length")) {
+    int64_t number;
+    if (is_field_name(line, colon, "content-length")) {
         /* Two lengths that differ are how requests get smuggled past one another. */
-        if (!digits(v, end, &n) || (head->content_length >= 0 && head->content_length != n))
+        if (!parse_decimal(value, end, &number) ||
+            (head->content_length >= 0 && head->content_length != number))
             return false;
-        head->content_length = n;
-    } else if (is_name(p, colon, "transfer-encoding")) {
-        if (!is_name(v, end, "chunked"))
+        head->content_length = number;
+    } else if (is_field_name(line, colon, "transfer-encoding")) {
+        if (!is_field_name(value, end, "chunked"))
             return false;
-        head->chunked = true;
-    } else if (is_name(p, colon, "connection")) {
-        if (has_word(v, end, "close"))
-            head->close = true;
-        else if (has_word(v, end, "keep-alive"))
-            head->close = false;
-    } else if (is_name(p, colon, "retry-after")) {
-        if (digits(v, end, &n) && n < 86400)
-            head->retry_after_s = (int)n;
+        head->is_chunked = true;
+    } else if (is_field_name(line, colon, "connection")) {
+        if (contains_word(value, end, "close"))
+            head->closes_connection = true;
+        else if (contains_word(value, end, "keep-alive"))
+            head->closes_connection = false;
+    } else if (is_field_name(line, colon, "retry-after")) {
+        if (parse_decimal(value, end, &number) && number < 86400)
+            head->retry_after_s = (int)number;
     }
     return true;
 }
 
-enum http_parsed http_parse_head(const char *data, size_t len, bool response,
-                                 struct http_head *head)
+enum http_parse_result http_parse_head(const char *data, size_t length, bool is_response,
+                                       struct http_head *head)
 {
-    const char *stop = g_strstr_len(data, MIN(len, (size_t)HEAD_LIMIT), "\r\n\r\n");
-    if (!stop) {
+    const char *head_end = g_strstr_len(data, MIN(length, (size_t)MAX_HEAD_BYTES), "\r\n\r\n");
+    if (!head_end) {
         /* A peer that does not speak HTTP should not have to send 8 KiB to be told so. */
-        if (len > 0 && !g_ascii_isupper(data[0]))
-            return HTTP_BAD;
-        return len >= HEAD_LIMIT ? HTTP_TOO_LARGE : HTTP_MORE;
+        if (length > 0 && !g_ascii_isupper(data[0]))
+            return HTTP_PARSE_MALFORMED;
+        return length >= MAX_HEAD_BYTES ? HTTP_PARSE_TOO_LARGE : HTTP_PARSE_INCOMPLETE;
     }
     memset(head, 0, sizeof *head);
     head->content_length = -1;
-    head->size = stop + 4 - data;
-    const char *p = data, *eol = g_strstr_len(p, head->size, "\r\n");
-    enum http_parsed r = response ? status_line(p, eol, head) : request_line(p, eol, head);
-    if (r != HTTP_DONE)
-        return r;
-    while (eol < stop) {
-        p = eol + 2;
-        eol = g_strstr_len(p, stop + 2 - p, "\r\n");
-        if (!header_field(p, eol, head))
-            return HTTP_BAD;
+    head->head_bytes = head_end + 4 - data;
+    const char *line = data, *line_end = g_strstr_len(line, head->head_bytes, "\r\n");
+    enum http_parse_result result = is_response ? parse_status_line(line, line_end, head)
+                                                : parse_request_line(line, line_end, head);
+    if (result != HTTP_PARSE_DONE)
+        return result;
+    while (line_end < head_end) {
+        line = line_end + 2;
+        line_end = g_strstr_len(line, head_end + 2 - line, "\r\n");
+        if (!parse_header_field(line, line_end, head))
+            return HTTP_PARSE_MALFORMED;
     }
-    if (head->chunked && head->content_length >= 0)
-        return HTTP_BAD;
-    return HTTP_DONE;
+    if (head->is_chunked && head->content_length >= 0)
+        return HTTP_PARSE_MALFORMED;
+    return HTTP_PARSE_DONE;
 }
 
-enum http_parsed http_parse_chunks(const char *data, size_t len, size_t limit, GString *out,
-                                   size_t *used)
+enum http_parse_result http_parse_chunks(const char *data, size_t length, size_t limit,
+                                         GString *out, size_t *consumed_bytes)
 {
-    size_t at = 0;
+    size_t offset = 0;
     g_string_truncate(out, 0);
     for (;;) {
-        const char *eol = g_strstr_len(data + at, len - at, "\r\n");
-        if (!eol)
-            return len - at > 64 ? HTTP_BAD : HTTP_MORE;
-        if (!g_ascii_isxdigit(data[at]) || eol - (data + at) > 12)
-            return HTTP_BAD;
-        uint64_t size = g_ascii_strtoull(data + at, NULL, 16);
-        at = eol + 2 - data;
+        const char *line_end = g_strstr_len(data + offset, length - offset, "\r\n");
+        if (!line_end)
+            return length - offset > 64 ? HTTP_PARSE_MALFORMED : HTTP_PARSE_INCOMPLETE;
+        if (!g_ascii_isxdigit(data[offset]) || line_end - (data + offset) > 12)
+            return HTTP_PARSE_MALFORMED;
+        uint64_t size = g_ascii_strtoull(data + offset, NULL, 16);
+        offset = line_end + 2 - data;
         if (out->len + size > limit)
-            return HTTP_TOO_LARGE;
+            return HTTP_PARSE_TOO_LARGE;
         if (size == 0)
             break;
-        if (len - at < size + 2)
-            return HTTP_MORE;
-        if (memcmp(data + at + size, "\r\n", 2) != 0)
-            return HTTP_BAD;
-        g_string_append_len(out, data + at, size);
-        at += size + 2;
+        if (length - offset < size + 2)
+            return HTTP_PARSE_INCOMPLETE;
+        if (memcmp(data + offset + size, "\r\n", 2) != 0)
+            return HTTP_PARSE_MALFORMED;
+        g_string_append_len(out, data + offset, size);
+        offset += size + 2;
     }
     /* Trailing fields, if any, end with a blank line. */
     for (;;) {
-        const char *eol = g_strstr_len(data + at, len - at, "\r\n");
-        if (!eol)
-            return len - at > HEAD_LIMIT ? HTTP_BAD : HTTP_MORE;
-        bool blank = eol == data + at;
-        at = eol + 2 - data;
+        const char *line_end = g_strstr_len(data + offset, length - offset, "\r\n");
+        if (!line_end)
+            return length - offset > MAX_HEAD_BYTES ? HTTP_PARSE_MALFORMED : HTTP_PARSE_INCOMPLETE;
+        bool blank = line_end == data + offset;
+        offset = line_end + 2 - data;
         if (blank) {
-            *used = at;
-            return HTTP_DONE;
+            *consumed_bytes = offset;
+            return HTTP_PARSE_DONE;
         }
     }
 }
--- a/src/net/http_server.c
+++ b/src/net/http_server.c
@@ -11,235 +11,243 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-enum conn_state { CONN_READING, CONN_WAITING, CONN_WRITING };
+enum connection_state { CONNECTION_READING, CONNECTION_HANDLING, CONNECTION_WRITING };
 
-struct conn {
+struct server_connection {
     struct loop_io io;
     struct http_server *server;
-    conn_ref ref;
-    enum conn_state state;
-    GByteArray *in;
-    GString *out;
-    size_t out_at;
-    bool close_after, want_write;
+    connection_ref ref;
+    enum connection_state state;
+    GByteArray *input;
+    GString *output;
+    size_t output_sent_bytes;
+    bool closes_after_response, is_watching_writable;
     struct timer timer;
-    struct idle_place idle;
+    struct idle_entry idle_entry;
 };
 
 struct http_server {
-    struct http_replier replier;
+    struct http_responder responder;
     struct loop *loop;
     struct loop_io io;
-    struct http_limits limits;
+    struct http_server_limits limits;
     http_handler handler;
     void *ctx;
-    GHashTable *conns; /* ref -> struct conn */
-    GQueue idle;
+    GHashTable *connections; /* ref -> struct server_connection */
+    GQueue idle_connections;
     uint64_t next_ref;
 };
 
-static void conn_read(struct conn *conn);
+static void connection_process_input(struct server_connection *connection);
 
-static void conn_close(struct conn *conn)
+static void connection_close(struct server_connection *connection)
 {
-    struct http_server *server = conn->server;
-    idle_set(&conn->server->idle, &conn->idle, false);
-    timer_stop(server->loop, &conn->timer);
-    loop_unwatch(server->loop, &conn->io);
-    close(conn->io.fd);
-    g_byte_array_unref(conn->in);
-    g_string_free(conn->out, TRUE);
-    g_hash_table_remove(server->conns, &conn->ref.v);
-    loop_free_later(server->loop, conn);
+    struct http_server *server = connection->server;
+    idle_list_update(&connection->server->idle_connections, &connection->idle_entry, false);
+    timer_stop(server->loop, &connection->timer);
+    loop_remove_io(server->loop, &connection->io);
+    close(connection->io.fd);
+    g_byte_array_unref(connection->input);
+    g_string_free(connection->output, TRUE);
+    g_hash_table_remove(server->connections, &connection->ref.value);
+    loop_defer_free(server->loop, connection);
 }
 
 /* What is read next is a new request, or the rest of one. */
-static void conn_await_request(struct conn *conn)
+static void connection_await_request(struct server_connection *connection)
 {
-    conn->state = CONN_READING;
-    idle_set(&conn->server->idle, &conn->idle, conn->in->len == 0);
-    timer_start(conn->server->loop, &conn->timer,
-                conn->in->len ? conn->server->limits.request_ms : conn->server->limits.idle_ms);
+    connection->state = CONNECTION_READING;
+    idle_list_update(&connection->server->idle_connections, &connection->idle_entry,
+                     connection->input->len == 0);
+    timer_start(connection->server->loop, &connection->timer,
+                connection->input->len ? connection->server->limits.request_timeout_ms
+                                       : connection->server->limits.idle_timeout_ms);
 }
 
-static void conn_write(struct conn *conn)
+static void connection_write(struct server_connection *connection)
 {
-    while (conn->out_at < conn->out->len) {
-        ssize_t n = send(conn->io.fd, conn->out->str + conn->out_at, conn->out->len - conn->out_at,
-                         MSG_NOSIGNAL);
-        if (n < 0 && (errno == EAGAIN || errno == EINTR)) {
-            if (!conn->want_write) {
-                conn->want_write = true;
-                loop_rewatch(conn->server->loop, &conn->io, EPOLLIN | EPOLLOUT);
+    while (connection->output_sent_bytes < connection->output->len) {
+        ssize_t sent_bytes =
+            send(connection->io.fd, connection->output->str + connection->output_sent_bytes,
+                 connection->output->len - connection->output_sent_bytes, MSG_NOSIGNAL);
+        if (sent_bytes < 0 && (errno == EAGAIN || errno == EINTR)) {
+            if (!connection->is_watching_writable) {
+                connection->is_watching_writable = true;
+                loop_modify_io(connection->server->loop, &connection->io, EPOLLIN | EPOLLOUT);
             }
             return;
         }
-        if (n < 0) {
-            conn_close(conn);
+        if (sent_bytes < 0) {
+            connection_close(connection);
             return;
         }
-        conn->out_at += n;
+        connection->output_sent_bytes += sent_bytes;
     }
-    if (conn->close_after) {
-        conn_close(conn);
+    if (connection->closes_after_response) {
+        connection_close(connection);
         return;
     }
-    if (conn->want_write) {
-        conn->want_write = false;
-        loop_rewatch(conn->server->loop, &conn->io, EPOLLIN);
+    if (connection->is_watching_writable) {
+        connection->is_watching_writable = false;
+        loop_modify_io(connection->server->loop, &connection->io, EPOLLIN);
     }
-    g_string_truncate(conn->out, 0);
-    conn->out_at = 0;
-    conn_await_request(conn);
-    if (conn->in->len)
-        conn_read(conn);
+    g_string_truncate(connection->output, 0);
+    connection->output_sent_bytes = 0;
+    connection_await_request(connection);
+    if (connection->input->len)
+        connection_process_input(connection);
 }
 
-static void conn_answer(struct conn *conn, int status, const char *fields, const char *body,
-                        size_t len)
+static void connection_respond(struct server_connection *connection, int status, const char *fields,
+                               const char *body, size_t body_bytes)
 {
-    g_string_printf(conn->out,
+    g_string_printf(connection->output,
                     "HTTP/1.1 %d %s\r\nContent-Type: application/json\r\nContent-Length: %zu\r\n",
-                    status, http_status_text(status), len);
+                    status, http_status_text(status), body_bytes);
     if (fields)
-        g_string_append(conn->out, fields);
-    if (conn->close_after)
-        g_string_append(conn->out, "Connection: close\r\n");
-    g_string_append(conn->out, "\r\n");
-    g_string_append_len(conn->out, body, len);
-    conn->state = CONN_WRITING;
-    timer_start(conn->server->loop, &conn->timer, conn->server->limits.request_ms);
-    conn_write(conn);
+        g_string_append(connection->output, fields);
+    if (connection->closes_after_response)
+        g_string_append(connection->output, "Connection: close\r\n");
+    g_string_append(connection->output, "\r\n");
+    g_string_append_len(connection->output, body, body_bytes);
+    connection->state = CONNECTION_WRITING;
+    timer_start(connection->server->loop, &connection->timer,
+                connection->server->limits.request_timeout_ms);
+    connection_write(connection);
 }
 
-static void conn_refuse(struct conn *conn, int status)
+static void connection_respond_error(struct server_connection *connection, int status)
 {
-    conn->close_after = true;
-    conn_answer(conn, status, NULL, "{}", 2);
+    connection->closes_after_response = true;
+    connection_respond(connection, status, NULL, "{}", 2);
 }
 
 /* Hands over the request at the front of the buffer, once it is whole. */
-static void conn_parse(struct conn *conn)
+static void connection_parse_request(struct server_connection *connection)
 {
-    struct http_server *server = conn->server;
+    struct http_server *server = connection->server;
     struct http_head head;
-    const char *data = (const char *)conn->in->data;
-    switch (http_parse_head(data, conn->in->len, false, &head)) {
-    case HTTP_MORE:
+    const char *data = (const char *)connection->input->data;
+    switch (http_parse_head(data, connection->input->len, false, &head)) {
+    case HTTP_PARSE_INCOMPLETE:
         return;
-    case HTTP_BAD:
-        conn_refuse(conn, 400);
+    case HTTP_PARSE_MALFORMED:
+        connection_respond_error(connection, 400);
         return;
-    case HTTP_TOO_LARGE:
-        conn_refuse(conn, 431);
+    case HTTP_PARSE_TOO_LARGE:
+        connection_respond_error(connection, 431);
         return;
-    case HTTP_DONE:
+    case HTTP_PARSE_DONE:
         break;
     }
-    GString *unchunked = NULL;
-    const char *body = data + head.size;
-    size_t body_len = 0, used = 0;
-    if (head.chunked) {
-        unchunked = g_string_new(NULL);
-        enum http_parsed r = http_parse_chunks(body, conn->in->len - head.size, server->limits.body,
-                                               unchunked, &used);
-        if (r != HTTP_DONE) {
-            g_string_free(unchunked, TRUE);
-            if (r == HTTP_TOO_LARGE || conn->in->len > head.size + server->limits.body * 2)
-                conn_refuse(conn, 413);
-            else if (r == HTTP_BAD)
-                conn_refuse(conn, 400);
+    GString *decoded_body = NULL;
+    const char *body = data + head.head_bytes;
+    size_t body_bytes = 0, consumed_bytes = 0;
+    if (head.is_chunked) {
+        decoded_body = g_string_new(NULL);
+        enum http_parse_result result =
+            http_parse_chunks(body, connection->input->len - head.head_bytes,
+                              server->limits.max_body_bytes, decoded_body, &consumed_bytes);
+        if (result != HTTP_PARSE_DONE) {
+            g_string_free(decoded_body, TRUE);
+            if (result == HTTP_PARSE_TOO_LARGE ||
+                connection->input->len > head.head_bytes + server->limits.max_body_bytes * 2)
+                connection_respond_error(connection, 413);
+            else if (result == HTTP_PARSE_MALFORMED)
+                connection_respond_error(connection, 400);
             return;
         }
-        body = unchunked->str;
-        body_len = unchunked->len;
+        body = decoded_body->str;
+        body_bytes = decoded_body->len;
     } else if (head.content_length > 0) {
-        if ((uint64_t)head.content_length > server->limits.body) {
-            conn_refuse(conn, 413);
+        if ((uint64_t)head.content_length > server->limits.max_body_bytes) {
+            connection_respond_error(connection, 413);
             return;
         }
-        if (conn->in->len - head.size < (size_t)head.content_length)
+        if (connection->input->len - head.head_bytes < (size_t)head.content_length)
             return;
-        body_len = used = head.content_length;
+        body_bytes = consumed_bytes = head.content_length;
     }
-    char *text = g_strndup(body, body_len);
-    g_byte_array_remove_range(conn->in, 0, head.size + used);
-    if (unchunked)
-        g_string_free(unchunked, TRUE);
-    conn->close_after = head.close;
-    conn->state = CONN_WAITING;
-    idle_set(&conn->server->idle, &conn->idle, false);
-    timer_stop(server->loop, &conn->timer);
+    char *text = g_strndup(body, body_bytes);
+    g_byte_array_remove_range(connection->input, 0, head.head_bytes + consumed_bytes);
+    if (decoded_body)
+        g_string_free(decoded_body, TRUE);
+    connection->closes_after_response = head.closes_connection;
+    connection->state = CONNECTION_HANDLING;
+    idle_list_update(&connection->server->idle_connections, &connection->idle_entry, false);
+    timer_stop(server->loop, &connection->timer);
     char *query = strchr(head.target, '?');
     if (query)
         *query++ = 0;
     struct http_request request = {head.method, head.target, query ? query : "",
-                                   text,        body_len,    NULL};
-    server->handler(server->ctx, &server->replier, conn->ref, &request);
+                                   text,        body_bytes,  NULL};
+    server->handler(server->ctx, &server->responder, connection->ref, &request);
     g_free(text);
 }
 
-static void conn_read(struct conn *conn)
+static void connection_process_input(struct server_connection *connection)
 {
-    size_t before = conn->in->len;
-    if (conn->state != CONN_READING)
+    size_t before = connection->input->len;
+    if (connection->state != CONNECTION_READING)
         return;
     if (before) {
-        idle_set(&conn->server->idle, &conn->idle, false);
-        conn_parse(conn);
+        idle_list_update(&connection->server->idle_connections, &connection->idle_entry, false);
+        connection_parse_request(connection);
     }
 }
 
-static void conn_ready(struct loop_io *io, uint32_t events)
+static void connection_on_io(struct loop_io *io, uint32_t events)
 {
-    struct conn *conn = (struct conn *)io;
+    struct server_connection *connection = (struct server_connection *)io;
     if (events & EPOLLOUT) {
-        conn_write(conn);
+        connection_write(connection);
         return;
     }
-    char buf[16384];
-    ssize_t n = recv(io->fd, buf, sizeof buf, 0);
-    loop_refresh(conn->server->loop);
-    if (n < 0 && (errno == EAGAIN || errno == EINTR))
+    char buffer[16384];
+    ssize_t received_bytes = recv(io->fd, buffer, sizeof buffer, 0);
+    loop_refresh(connection->server->loop);
+    if (received_bytes < 0 && (errno == EAGAIN || errno == EINTR))
         return;
-    if (n <= 0) {
-        conn_close(conn);
+    if (received_bytes <= 0) {
+        connection_close(connection);
         return;
     }
     /* There is no pipelining: whoever sends on while an answer is due gets no more room. */
-    if (conn->state != CONN_READING && conn->in->len + n > 16384) {
-        conn_close(conn);
+    if (connection->state != CONNECTION_READING &&
+        connection->input->len + received_bytes > 16384) {
+        connection_close(connection);
         return;
     }
-    bool first = conn->in->len == 0;
-    g_byte_array_append(conn->in, (guint8 *)buf, n);
-    if (conn->state != CONN_READING)
+    bool is_first_input = connection->input->len == 0;
+    g_byte_array_append(connection->input, (guint8 *)buffer, received_bytes);
+    if (connection->state != CONNECTION_READING)
         return;
-    if (first)
-        timer_start(conn->server->loop, &conn->timer, conn->server->limits.request_ms);
-    conn_read(conn);
+    if (is_first_input)
+        timer_start(connection->server->loop, &connection->timer,
+                    connection->server->limits.request_timeout_ms);
+    connection_process_input(connection);
 }
 
-static void conn_timeout(void *arg)
+static void connection_on_timeout(void *arg)
 {
-    struct conn *conn = arg;
-    if (conn->state == CONN_READING && conn->in->len) {
-        conn_refuse(conn, 408);
+    struct server_connection *connection = arg;
+    if (connection->state == CONNECTION_READING && connection->input->len) {
+        connection_respond_error(connection, 408);
         return;
     }
-    conn_close(conn);
+    connection_close(connection);
 }
 
-static void server_reply(struct http_replier *replier, conn_ref to, int status, const char *fields,
-                         const char *body, size_t len)
+static void server_respond(struct http_responder *responder, connection_ref to, int status,
+                           const char *fields, const char *body, size_t body_bytes)
 {
-    struct http_server *server = (struct http_server *)replier;
-    struct conn *conn = g_hash_table_lookup(server->conns, &to.v);
-    if (conn && conn->state == CONN_WAITING)
-        conn_answer(conn, status, fields, body, len);
+    struct http_server *server = (struct http_server *)responder;
+    struct server_connection *connection = g_hash_table_lookup(server->connections, &to.value);
+    if (connection && connection->state == CONNECTION_HANDLING)
+        connection_respond(connection, status, fields, body, body_bytes);
 }
 
-static void server_accept(struct loop_io *io, uint32_t events)
+static void server_on_accept(struct loop_io *io, uint32_t events)
 {
     (void)events;
     struct http_server *server =
@@ -248,74 +256,76 @@
         int fd = accept4(io->fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
         if (fd < 0) {
             /* No socket left: make room by dropping the connection that has idled longest. */
-            if ((errno == EMFILE || errno == ENFILE) && server->idle.head)
-                conn_close(server->idle.head->data);
+            if ((errno == EMFILE || errno == ENFILE) && server->idle_connections.head)
+                connection_close(server->idle_connections.head->data);
             return;
         }
-        if ((int)g_hash_table_size(server->conns) >= server->limits.connections) {
-            if (!server->idle.head) {
+        if ((int)g_hash_table_size(server->connections) >= server->limits.max_connections) {
+            if (!server->idle_connections.head) {
                 close(fd);
                 continue;
             }
-            conn_close(server->idle.head->data);
+            connection_close(server->idle_connections.head->data);
         }
-        int one = 1;
-        setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
-        struct conn *conn = g_new0(struct conn, 1);
-        conn->io.fd = fd;
-        conn->io.ready = conn_ready;
-        conn->server = server;
-        conn->ref.v = ++server->next_ref;
-        conn->in = g_byte_array_new();
-        conn->out = g_string_new(NULL);
-        conn->idle.place.data = conn;
-        timer_init(&conn->timer, conn_timeout, conn);
-        g_hash_table_insert(server->conns, &conn->ref.v, conn);
-        loop_watch(server->loop, &conn->io, EPOLLIN);
-        conn_await_request(conn);
+        int enabled = 1;
+        setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof enabled);
+        struct server_connection *connection = g_new0(struct server_connection, 1);
+        connection->io.fd = fd;
+        connection->io.ready = connection_on_io;
+        connection->server = server;
+        connection->ref.value = ++server->next_ref;
+        connection->input = g_byte_array_new();
+        connection->output = g_string_new(NULL);
+        connection->idle_entry.link.data = connection;
+        timer_init(&connection->timer, connection_on_timeout, connection);
+        g_hash_table_insert(server->connections, &connection->ref.value, connection);
+        loop_add_io(server->loop, &connection->io, EPOLLIN);
+        connection_await_request(connection);
     }
 }
 
-struct http_server *http_server_new(struct loop *loop, const char *addr, struct http_limits limits,
-                                    http_handler handler, void *ctx, char **error)
+struct http_server *http_server_new(struct loop *loop, const char *address,
+                                    struct http_server_limits limits, http_handler handler,
+                                    void *ctx, char **error)
 {
-    struct sockaddr_in sa = {.sin_family = AF_INET};
+    struct sockaddr_in socket_address = {.sin_family = AF_INET};
     uint16_t port;
-    if (!address_split(addr, &sa.sin_addr.s_addr, &port)) {
-        *error = g_strdup_printf("%s: not an address", addr);
+    if (!address_parse(address, &socket_address.sin_addr.s_addr, &port)) {
+        *error = g_strdup_printf("%s: not an address", address);
         return NULL;
     }
-    sa.sin_port = htons(port);
-    int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0), one = 1;
-    setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
-    if (fd < 0 || bind(fd, (struct sockaddr *)&sa, sizeof sa) < 0 || listen(fd, SOMAXCONN) < 0) {
-        *error = g_strdup_printf("%s: %s", addr, g_strerror(errno));
+    socket_address.sin_port = htons(port);
+    int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0), enabled = 1;
+    setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof enabled);
+    if (fd < 0 || bind(fd, (struct sockaddr *)&socket_address, sizeof socket_address) < 0 ||
+        listen(fd, SOMAXCONN) < 0) {
+        *error = g_strdup_printf("%s: %s", address, g_strerror(errno));
         if (fd >= 0)
             close(fd);
         return NULL;
     }
     struct http_server *server = g_new0(struct http_server, 1);
-    server->replier.reply = server_reply;
+    server->responder.respond = server_respond;
     server->loop = loop;
     server->limits = limits;
     server->handler = handler;
     server->ctx = ctx;
-    server->conns = g_hash_table_new(g_int64_hash, g_int64_equal);
-    g_queue_init(&server->idle);
+    server->connections = g_hash_table_new(g_int64_hash, g_int64_equal);
+    g_queue_init(&server->idle_connections);
     server->io.fd = fd;
-    server->io.ready = server_accept;
-    loop_watch(loop, &server->io, EPOLLIN);
+    server->io.ready = server_on_accept;
+    loop_add_io(loop, &server->io, EPOLLIN);
     return server;
 }
 
 void http_server_free(struct http_server *server)
 {
-    GList *all = g_hash_table_get_values(server->conns);
-    for (GList *l = all; l; l = l->next)
-        conn_close(l->data);
-    g_list_free(all);
-    loop_unwatch(server->loop, &server->io);
+    GList *connections = g_hash_table_get_values(server->connections);
+    for (GList *item = connections; item; item = item->next)
+        connection_close(item->data);
+    g_list_free(connections);
+    loop_remove_io(server->loop, &server->io);
     close(server->io.fd);
-    g_hash_table_unref(server->conns);
+    g_hash_table_unref(server->connections);
     g_free(server);
 }
--- a/src/net/idle_list.h
+++ b/src/net/idle_list.h
@@ -6,20 +6,20 @@
 #include <stdbool.h>
 
 /* A connection's place in a list; place.data is the connection. */
-struct idle_place {
-    GList place;
-    bool in;
+struct idle_entry {
+    GList link;
+    bool is_listed;
 };
 
-static inline void idle_set(GQueue *list, struct idle_place *place, bool idle)
+static inline void idle_list_update(GQueue *list, struct idle_entry *entry, bool idle)
 {
-    if (place->in == idle)
+    if (entry->is_listed == idle)
         return;
-    place->in = idle;
+    entry->is_listed = idle;
     if (idle)
-        g_queue_push_tail_link(list, &place->place);
+        g_queue_push_tail_link(list, &entry->link);
     else
-        g_queue_unlink(list, &place->place);
+        g_queue_unlink(list, &entry->link);
 }
 
 #endif
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -1,67 +1,70 @@
 #include "node.h"
 
-struct node *node_new(struct loop *loop, struct net *net, const struct settings *settings,
-                      const struct policy *policy, const struct feature_set *features)
+struct node *node_new(struct loop *loop, struct http_client *http_client,
+                      const struct settings *settings, const struct policy *policy,
+                      const struct feature_set *features)
 {
     struct node *node = g_new0(struct node, 1);
-    const struct state_limits *now = &settings->state, *next = &settings->state_next;
-    struct store_limits limits = {.rps = MIN(now->rps, next->rps),
-                                  .write_rps = now->write_rps,
-                                  .next_write_rps = MIN(now->write_rps, next->write_rps),
-                                  .txn_ops = MIN(now->txn_ops, next->txn_ops),
-                                  .value_bytes =
-                                      (size_t)(MIN(now->value_kb, next->value_kb) * 1024),
-                                  .answer_bytes = settings_answer_bytes(settings),
-                                  .nodes = settings->size};
+    const struct kv_service_limits *now = &settings->kv_limits, *next = &settings->kv_limits_next;
+    struct kv_limits limits = {
+        .rate_limit_rps = MIN(now->requests_per_s, next->requests_per_s),
+        .rate_limit_write_rps = now->writes_per_s,
+        .rate_limit_next_write_rps = MIN(now->writes_per_s, next->writes_per_s),
+        .max_txn_operations = MIN(now->max_txn_operations, next->max_txn_operations),
+        .max_value_bytes = (size_t)(MIN(now->max_value_kb, next->max_value_kb) * 1024),
+        .max_response_bytes = settings_max_response_bytes(settings),
+        .node_count = settings->node_count};
     node->settings = settings;
     node->loop = loop;
-    node->net = net;
-    node->store = store_new(loop, net, settings->state_addr, limits);
-    node->view = view_new(loop, node->store);
+    node->net = http_client;
+    node->kv = kv_client_new(loop, http_client, settings->kv_address, limits);
+    node->replica = replica_new(loop, node->kv);
     node->features = features;
-    node->members =
-        membership_new(loop, node->store, node->view, settings, features->duties.enabled);
-    node->duty_keeper = duty_keeper_new(loop, node->store, node->view, node->members, settings);
-    node->duties = duty_keeper_duties(node->duty_keeper);
-    node->cleanup = cleanup_new(loop, node->store, node->view, node->members, node->duties);
-    node->bus = bus_new(loop, net, settings);
-    node->peers = peers_new(loop, node->bus, node->store, node->view, settings);
+    node->membership = membership_new(loop, node->kv, node->replica, settings,
+                                      features->singleton_roles.is_enabled);
+    node->role_assigner =
+        role_assigner_new(loop, node->kv, node->replica, node->membership, settings);
+    node->role_manager = role_assigner_get_manager(node->role_assigner);
+    node->garbage_collector =
+        garbage_collector_new(loop, node->kv, node->replica, node->membership, node->role_manager);
+    node->rpc = node_rpc_new(loop, http_client, settings);
+    node->peers = peers_new(loop, node->rpc, node->kv, node->replica, settings);
     node->shard = shard_new(&(struct shard_setup){.loop = loop,
-                                                  .net = net,
-                                                  .store = node->store,
-                                                  .view = node->view,
-                                                  .members = node->members,
-                                                  .bus = node->bus,
+                                                  .net = http_client,
+                                                  .store = node->kv,
+                                                  .view = node->replica,
+                                                  .members = node->membership,
+                                                  .bus = node->rpc,
                                                   .peers = node->peers,
                                                   .settings = settings});
     node->leader = leader_new(&(struct leader_setup){.loop = loop,
-                                                     .net = net,
-                                                     .store = node->store,
-                                                     .view = node->view,
-                                                     .members = node->members,
-                                                     .duties = node->duties,
-                                                     .bus = node->bus,
+                                                     .net = http_client,
+                                                     .store = node->kv,
+                                                     .view = node->replica,
+                                                     .members = node->membership,
+                                                     .duties = node->role_manager,
+                                                     .bus = node->rpc,
                                                      .shard = node->shard,
                                                      .settings = settings,
                                                      .features = features,
                                                      .policy = policy});
-    node->frontend = frontend_new(&(struct frontend_setup){.loop = loop,
-                                                           .store = node->store,
-                                                           .view = node->view,
-                                                           .members = node->members,
-                                                           .bus = node->bus,
-                                                           .peers = node->peers,
-                                                           .shard = node->shard,
-                                                           .settings = settings});
+    node->api = api_new(&(struct frontend_setup){.loop = loop,
+                                                 .store = node->kv,
+                                                 .view = node->replica,
+                                                 .members = node->membership,
+                                                 .bus = node->rpc,
+                                                 .peers = node->peers,
+                                                 .shard = node->shard,
+                                                 .settings = settings});
     return node;
 }
 
 void node_start(struct node *node)
 {
-    view_start(node->view);
-    membership_start(node->members);
-    duty_keeper_start(node->duty_keeper);
-    cleanup_start(node->cleanup);
+    replica_start(node->replica);
+    membership_start(node->membership);
+    role_assigner_start(node->role_assigner);
+    garbage_collector_start(node->garbage_collector);
     peers_start(node->peers);
     shard_start(node->shard);
     leader_start(node->leader);
@@ -69,15 +72,15 @@
 
 void node_free(struct node *node)
 {
-    frontend_free(node->frontend);
+    api_free(node->api);
     leader_free(node->leader);
     shard_free(node->shard);
     peers_free(node->peers);
-    bus_free(node->bus);
-    cleanup_free(node->cleanup);
-    duty_keeper_free(node->duty_keeper);
-    membership_free(node->members);
-    view_free(node->view);
-    store_free(node->store);
+    node_rpc_free(node->rpc);
+    garbage_collector_free(node->garbage_collector);
+    role_assigner_free(node->role_assigner);
+    membership_free(node->membership);
+    replica_free(node->replica);
+    kv_client_free(node->kv);
     g_free(node);
 }
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -11,23 +11,24 @@
 struct node {
     const struct settings *settings;
     struct loop *loop;
-    struct net *net;
-    struct store *store;
-    struct view *view;
-    struct membership *members;
+    struct http_client *net;
+    struct kv_client *kv;
+    struct replica *replica;
+    struct membership *membership;
     const struct feature_set *features;
-    struct duty_keeper *duty_keeper;
-    struct duties *duties; /* of the keeper */
-    struct cleanup *cleanup;
-    struct bus *bus;
+    struct role_assigner *role_assigner;
+    struct role_manager *role_manager; /* of the keeper */
+    struct garbage_collector *garbage_collector;
+    struct node_rpc *rpc;
     struct peers *peers;
     struct shard *shard;
     struct leader *leader;
-    struct frontend *frontend;
+    struct api *api;
 };
 
-struct node *node_new(struct loop *loop, struct net *net, const struct settings *settings,
-                      const struct policy *policy, const struct feature_set *features);
+struct node *node_new(struct loop *loop, struct http_client *http_client,
+                      const struct settings *settings, const struct policy *policy,
+                      const struct feature_set *features);
 void node_start(struct node *node);
 void node_free(struct node *node);
 
--- a/src/node/role_assigner.c
+++ b/src/node/role_assigner.c
@@ -2,149 +2,150 @@
 
 enum { TICK_MS = 200 };
 
-struct duty_keeper {
+struct role_assigner {
     struct actor actor;
     struct loop *loop;
-    struct view *view;
-    struct membership *members;
+    struct replica *replica;
+    struct membership *membership;
     const struct settings *settings;
-    struct duties *duties;
-    struct timer tick;
+    struct role_manager *role_manager;
+    struct timer tick_timer;
 };
 
-static lease_id own_lease(void *ctx)
+static lease_id get_own_lease(void *ctx)
 {
-    return membership_incarnation(((struct duty_keeper *)ctx)->members);
+    return membership_get_incarnation(((struct role_assigner *)ctx)->membership);
 }
 
-static bool lease_holds(void *ctx)
+static bool lease_is_valid(void *ctx)
 {
-    return membership_valid(((struct duty_keeper *)ctx)->members);
+    return membership_has_valid_lease(((struct role_assigner *)ctx)->membership);
 }
 
-static void await_view(void *ctx, revision at, duty_seen done, void *arg)
+static void await_replica_revision(void *ctx, revision at, role_await_callback done, void *arg)
 {
-    struct duty_keeper *keeper = ctx;
-    if (at.v)
-        view_await(keeper->view, at, done, arg);
+    struct role_assigner *assigner = ctx;
+    if (at.value)
+        replica_await_revision(assigner->replica, at, done, arg);
     else
-        view_barrier(keeper->view, done, arg);
+        replica_read_barrier(assigner->replica, done, arg);
 }
 
 /* A claim counts only while duties are on; that of the fleet only while its node leads. */
-static void claim_conditions(void *ctx, enum duty duty, struct txn *txn)
+static void add_claim_compares(void *ctx, enum singleton_role role, struct txn *txn)
 {
-    struct duty_keeper *keeper = ctx;
-    txn_when(txn, KEY_FEATURES, keeper->view->features_stamp);
-    if (duty == DUTY_FLEET)
-        txn_when(txn, KEY_LEADER, keeper->view->leader_stamp);
+    struct role_assigner *assigner = ctx;
+    txn_compare(txn, KEY_FEATURES, assigner->replica->features_mod_revision);
+    if (role == ROLE_AUTOSCALER)
+        txn_compare(txn, KEY_LEADER, assigner->replica->leader_mod_revision);
 }
 
 /* The node that has the clean-up: the first on the map that lives and does not lead, or else the
  * leader; NULL: there is neither. */
-static const char *cleanup_node(const struct duty_keeper *keeper)
+static const char *choose_garbage_collector(const struct role_assigner *assigner)
 {
-    const struct view *view = keeper->view;
-    for (guint i = 0; i < view->map->len; i++) {
-        const char *label = g_array_index(view->map, struct map_entry, i).label;
-        bool leads = view->leader && strcmp(label, view->leader) == 0;
-        if (!leads && g_hash_table_contains(view->nodes, label))
+    const struct replica *replica = assigner->replica;
+    for (guint i = 0; i < replica->shard_map->len; i++) {
+        const char *label = g_array_index(replica->shard_map, struct shard_map_entry, i).label;
+        bool leads = replica->leader_label && strcmp(label, replica->leader_label) == 0;
+        if (!leads && g_hash_table_contains(replica->nodes, label))
             return label;
     }
-    return view->leader;
+    return replica->leader_label;
 }
 
-static void keep_fleet(struct duty_keeper *keeper)
+static void assign_autoscaler(struct role_assigner *assigner)
 {
-    if (membership_holds_lead(keeper->members))
-        duties_claim(keeper->duties, DUTY_FLEET);
+    if (membership_is_recorded_leader(assigner->membership))
+        role_manager_claim(assigner->role_manager, ROLE_AUTOSCALER);
     else
-        duties_release(keeper->duties, DUTY_FLEET);
+        role_manager_release(assigner->role_manager, ROLE_AUTOSCALER);
 }
 
-static void hand_cleanup_to(struct duty_keeper *keeper, const char *label)
+static void hand_over_garbage_collector(struct role_assigner *assigner, const char *label)
 {
-    const struct node_record *node = g_hash_table_lookup(keeper->view->nodes, label);
-    struct duty_holder successor = {.incarnation = node->incarnation};
+    const struct node_record *node = g_hash_table_lookup(assigner->replica->nodes, label);
+    struct role_holder successor = {.incarnation = node->incarnation};
     g_strlcpy(successor.label, label, sizeof successor.label);
-    duties_hand_over(keeper->duties, DUTY_CLEANUP, &successor);
+    role_manager_hand_over(assigner->role_manager, ROLE_GARBAGE_COLLECTOR, &successor);
 }
 
-static void keep_cleanup(struct duty_keeper *keeper)
+static void assign_garbage_collector(struct role_assigner *assigner)
 {
-    const char *chosen = cleanup_node(keeper);
-    if (chosen && strcmp(chosen, keeper->settings->label) == 0)
-        duties_claim(keeper->duties, DUTY_CLEANUP);
-    else if (chosen && g_hash_table_contains(keeper->view->nodes, chosen) &&
-             duties_holds(keeper->duties, DUTY_CLEANUP))
-        hand_cleanup_to(keeper, chosen);
+    const char *chosen = choose_garbage_collector(assigner);
+    if (chosen && strcmp(chosen, assigner->settings->label) == 0)
+        role_manager_claim(assigner->role_manager, ROLE_GARBAGE_COLLECTOR);
+    else if (chosen && g_hash_table_contains(assigner->replica->nodes, chosen) &&
+             role_manager_holds(assigner->role_manager, ROLE_GARBAGE_COLLECTOR))
+        hand_over_garbage_collector(assigner, chosen);
     else
-        duties_release(keeper->duties, DUTY_CLEANUP);
+        role_manager_release(assigner->role_manager, ROLE_GARBAGE_COLLECTOR);
 }
 
-static void consider(struct duty_keeper *keeper)
+static void reconcile(struct role_assigner *assigner)
 {
-    if (keeper->view->ready)
-        duties_consider(keeper->duties);
-    if (!keeper->view->duties_on) {
-        for (int i = 0; i < DUTIES; i++)
-            duties_release(keeper->duties, (enum duty)i);
-    } else if (membership_seen(keeper->members)) {
-        keep_fleet(keeper);
-        keep_cleanup(keeper);
+    if (assigner->replica->is_ready)
+        role_manager_reconcile(assigner->role_manager);
+    if (!assigner->replica->singleton_roles_enabled) {
+        for (int i = 0; i < ROLE_COUNT; i++)
+            role_manager_release(assigner->role_manager, (enum singleton_role)i);
+    } else if (membership_is_visible(assigner->membership)) {
+        assign_autoscaler(assigner);
+        assign_garbage_collector(assigner);
     }
 }
 
-static void receive(struct actor *self, const struct message *message)
+static void on_message(struct actor *self, const struct message *message)
 {
-    if (message->kind == MSG_VIEW)
-        consider((struct duty_keeper *)self);
+    if (message->kind == MSG_REPLICA)
+        reconcile((struct role_assigner *)self);
 }
 
-static void tick(void *arg)
+static void on_tick(void *arg)
 {
-    struct duty_keeper *keeper = arg;
-    timer_start(keeper->loop, &keeper->tick, TICK_MS);
-    consider(keeper);
+    struct role_assigner *assigner = arg;
+    timer_start(assigner->loop, &assigner->tick_timer, TICK_MS);
+    reconcile(assigner);
 }
 
-struct duty_keeper *duty_keeper_new(struct loop *loop, struct store *store, struct view *view,
-                                    struct membership *members, const struct settings *settings)
+struct role_assigner *role_assigner_new(struct loop *loop, struct kv_client *kv,
+                                        struct replica *replica, struct membership *membership,
+                                        const struct settings *settings)
 {
-    struct duty_keeper *keeper = g_new0(struct duty_keeper, 1);
-    keeper->actor = (struct actor){"duty_keeper", receive};
-    keeper->loop = loop;
-    keeper->view = view;
-    keeper->members = members;
-    keeper->settings = settings;
-    const struct duties_setup setup = {.loop = loop,
-                                       .store = store,
-                                       .table = view->duties,
-                                       .label = settings->label,
-                                       .ctx = keeper,
-                                       .lease = own_lease,
-                                       .lease_holds = lease_holds,
-                                       .await = await_view,
-                                       .claim_conditions = claim_conditions};
-    keeper->duties = duties_new(&setup);
-    timer_init(&keeper->tick, tick, keeper);
-    view_listen(view, &keeper->actor);
-    return keeper;
+    struct role_assigner *assigner = g_new0(struct role_assigner, 1);
+    assigner->actor = (struct actor){"duty_keeper", on_message};
+    assigner->loop = loop;
+    assigner->replica = replica;
+    assigner->membership = membership;
+    assigner->settings = settings;
+    const struct role_manager_config setup = {.loop = loop,
+                                              .kv = kv,
+                                              .records = replica->singleton_roles,
+                                              .label = settings->label,
+                                              .ctx = assigner,
+                                              .get_lease = get_own_lease,
+                                              .lease_is_valid = lease_is_valid,
+                                              .await_revision = await_replica_revision,
+                                              .add_claim_compares = add_claim_compares};
+    assigner->role_manager = role_manager_new(&setup);
+    timer_init(&assigner->tick_timer, on_tick, assigner);
+    replica_add_listener(replica, &assigner->actor);
+    return assigner;
 }
 
-void duty_keeper_free(struct duty_keeper *keeper)
+void role_assigner_free(struct role_assigner *assigner)
 {
-    timer_stop(keeper->loop, &keeper->tick);
-    duties_free(keeper->duties);
-    g_free(keeper);
+    timer_stop(assigner->loop, &assigner->tick_timer);
+    role_manager_free(assigner->role_manager);
+    g_free(assigner);
 }
 
-void duty_keeper_start(struct duty_keeper *keeper)
+void role_assigner_start(struct role_assigner *assigner)
 {
-    tick(keeper);
+    on_tick(assigner);
 }
 
-struct duties *duty_keeper_duties(struct duty_keeper *keeper)
+struct role_manager *role_assigner_get_manager(struct role_assigner *assigner)
 {
-    return keeper->duties;
+    return assigner->role_manager;
 }
--- a/src/node/role_assigner.h
+++ b/src/node/role_assigner.h
@@ -9,12 +9,13 @@
 #include "membership.h"
 #include "role_manager.h"
 
-struct duty_keeper;
+struct role_assigner;
 
-struct duty_keeper *duty_keeper_new(struct loop *loop, struct store *store, struct view *view,
-                                    struct membership *members, const struct settings *settings);
-void duty_keeper_free(struct duty_keeper *keeper);
-void duty_keeper_start(struct duty_keeper *keeper);
-struct duties *duty_keeper_duties(struct duty_keeper *keeper);
+struct role_assigner *role_assigner_new(struct loop *loop, struct kv_client *kv,
+                                        struct replica *replica, struct membership *membership,
+                                        const struct settings *settings);
+void role_assigner_free(struct role_assigner *assigner);
+void role_assigner_start(struct role_assigner *assigner);
+struct role_manager *role_assigner_get_manager(struct role_assigner *assigner);
 
 #endif
--- a/src/replica/cluster_records.c
+++ b/src/replica/cluster_records.c
@@ -1,150 +1,158 @@
 #include "log.h"
 #include "replica_internal.h"
 
-void view_node_free(gpointer p)
+void replica_node_free(gpointer p)
 {
-    struct node_record *node_record = p;
-    g_free(node_record->label);
-    g_free(node_record);
+    struct node_record *node = p;
+    g_free(node->label);
+    g_free(node);
 }
 
-void view_map_entry_clear(gpointer p)
+void shard_map_entry_clear(gpointer p)
 {
-    g_free(((struct map_entry *)p)->label);
+    g_free(((struct shard_map_entry *)p)->label);
 }
 
-void view_apply_node(struct view *view, const char *label, json_object *value, revision stamp)
+void replica_apply_node(struct replica *replica, const char *label, json_object *value,
+                        revision mod_revision)
 {
-    view->node_changes++;
+    replica->node_change_count++;
     if (!value) {
-        g_hash_table_remove(view->nodes, label);
+        g_hash_table_remove(replica->nodes, label);
     } else {
-        struct node_record *node_record = g_new0(struct node_record, 1);
-        node_record->label = g_strdup(label);
-        node_record->stamp = stamp;
-        json_u64(value, "i", &node_record->incarnation.v);
-        view_copy_text(value, "b", node_record->back, sizeof node_record->back);
-        json_u64(value, "v", &node_record->version);
-        json_flag(value, "duties", &node_record->wants_duties);
-        g_hash_table_replace(view->nodes, node_record->label, node_record);
+        struct node_record *node = g_new0(struct node_record, 1);
+        node->label = g_strdup(label);
+        node->mod_revision = mod_revision;
+        json_get_u64(value, "i", &node->incarnation.value);
+        replica_copy_text(value, "b", node->rpc_address, sizeof node->rpc_address);
+        json_get_u64(value, "v", &node->understood_version);
+        json_get_bool(value, "duties", &node->wants_singleton_roles);
+        g_hash_table_replace(replica->nodes, node->label, node);
     }
-    view_note_change(view, (struct change){.kind = CHANGE_NODES});
+    replica_add_event(replica, (struct replica_event){.kind = REPLICA_EVENT_NODES});
 }
 
-void view_apply_version(struct view *view, const char *label, json_object *value)
+void replica_apply_version(struct replica *replica, const char *label, json_object *value)
 {
     uint64_t version = 0;
-    view->node_changes++;
-    if (json_u64(value, "v", &version))
-        g_hash_table_replace(view->spoken, g_strdup(label), GUINT_TO_POINTER((guint)version));
+    replica->node_change_count++;
+    if (json_get_u64(value, "v", &version))
+        g_hash_table_replace(replica->announced_versions, g_strdup(label),
+                             GUINT_TO_POINTER((guint)version));
     else
-        g_hash_table_remove(view->spoken, label);
-    view_note_change(view, (struct change){.kind = CHANGE_NODES});
+        g_hash_table_remove(replica->announced_versions, label);
+    replica_add_event(replica, (struct replica_event){.kind = REPLICA_EVENT_NODES});
 }
 
-void view_apply_leader(struct view *view, json_object *value, revision stamp)
+void replica_apply_leader(struct replica *replica, json_object *value, revision mod_revision)
 {
     const char *label = NULL;
-    g_free(view->leader);
-    view->leader = NULL;
-    view->leader_incarnation.v = 0;
-    view->leader_stamp = value ? stamp : (revision){0};
-    if (value && json_text(value, "n", &label)) {
-        view->leader = g_strdup(label);
-        json_u64(value, "i", &view->leader_incarnation.v);
+    g_free(replica->leader_label);
+    replica->leader_label = NULL;
+    replica->leader_incarnation.value = 0;
+    replica->leader_mod_revision = value ? mod_revision : (revision){0};
+    if (value && json_get_text(value, "n", &label)) {
+        replica->leader_label = g_strdup(label);
+        json_get_u64(value, "i", &replica->leader_incarnation.value);
     }
-    view_note_change(view, (struct change){.kind = CHANGE_LEADER});
+    replica_add_event(replica, (struct replica_event){.kind = REPLICA_EVENT_LEADER});
 }
 
-void view_apply_map(struct view *view, json_object *value, revision stamp)
+void replica_apply_shard_map(struct replica *replica, json_object *value, revision mod_revision)
 {
-    json_object *list = json_list(value, "n");
+    json_object *list = json_get_array(value, "n");
     uint64_t epoch = 0;
-    if (!list || !json_u64(value, "e", &epoch)) {
-        LOG_ERROR("map_unreadable", "stamp=%" G_GUINT64_FORMAT, stamp.v);
+    if (!list || !json_get_u64(value, "e", &epoch)) {
+        LOG_ERROR("map_unreadable", "stamp=%" G_GUINT64_FORMAT, mod_revision.value);
         return;
     }
-    view->epoch.v = epoch;
-    view->map_stamp = stamp;
-    g_array_set_size(view->map, 0);
+    replica->shard_map_epoch.value = epoch;
+    replica->shard_map_mod_revision = mod_revision;
+    g_array_set_size(replica->shard_map, 0);
     for (size_t i = 0; i < json_object_array_length(list); i++) {
         json_object *object = json_object_array_get_idx(list, i);
         const char *label;
-        struct map_entry entry = {0};
-        if (!json_text(object, "n", &label) || !json_u64(object, "i", &entry.incarnation.v))
+        struct shard_map_entry entry = {0};
+        if (!json_get_text(object, "n", &label) ||
+            !json_get_u64(object, "i", &entry.incarnation.value))
             continue;
         entry.label = g_strdup(label);
-        g_array_append_val(view->map, entry);
+        g_array_append_val(replica->shard_map, entry);
     }
     log_set_epoch(epoch);
-    view_note_change(view, (struct change){.kind = CHANGE_MAP});
+    replica_add_event(replica, (struct replica_event){.kind = REPLICA_EVENT_SHARD_MAP});
 }
 
-void view_apply_features(struct view *view, json_object *value, revision stamp)
+void replica_apply_features(struct replica *replica, json_object *value, revision mod_revision)
 {
-    view->duties_on = false;
-    json_flag(value, "duties", &view->duties_on);
-    view->features_stamp = value ? stamp : (revision){0};
-    view_note_change(view, (struct change){.kind = CHANGE_DUTIES});
+    replica->singleton_roles_enabled = false;
+    json_get_bool(value, "duties", &replica->singleton_roles_enabled);
+    replica->features_mod_revision = value ? mod_revision : (revision){0};
+    replica_add_event(replica, (struct replica_event){.kind = REPLICA_EVENT_SINGLETON_ROLES});
 }
 
-void view_apply_duty(struct view *view, const char *key, json_object *value, revision stamp)
+void replica_apply_singleton_role(struct replica *replica, const char *key, json_object *value,
+                                  revision mod_revision)
 {
     GPtrArray *machines = g_ptr_array_new_with_free_func(g_free);
-    if (duty_table_apply(view->duties, key, value, stamp, machines))
-        view_note_change(view, (struct change){.kind = CHANGE_DUTIES});
+    if (role_records_apply(replica->singleton_roles, key, value, mod_revision, machines))
+        replica_add_event(replica, (struct replica_event){.kind = REPLICA_EVENT_SINGLETON_ROLES});
     for (guint i = 0; i < machines->len; i++) {
-        struct change change = {.kind = CHANGE_RETURNING};
-        if (host_id_from(&change.host, machines->pdata[i]))
-            view_note_change(view, change);
+        struct replica_event event = {.kind = REPLICA_EVENT_MACHINE_RETURN};
+        if (machine_id_parse(&event.machine, machines->pdata[i]))
+            replica_add_event(replica, event);
     }
     g_ptr_array_unref(machines);
 }
 
-struct type_part {
+struct machine_type_part {
     json_object *value;
-    revision stamp;
+    revision mod_revision;
 };
 
-void view_type_part_free(gpointer q)
+void machine_type_part_free(gpointer q)
 {
-    struct type_part *part = q;
+    struct machine_type_part *part = q;
     json_object_put(part->value);
     g_free(part);
 }
 
 /* The parts of a list that is too long for one value are written together: those that were not
  * belong to an earlier one. */
-void view_apply_types(struct view *view, const char *key, json_object *value, revision stamp)
+void replica_apply_machine_types(struct replica *replica, const char *key, json_object *value,
+                                 revision mod_revision)
 {
     if (!value) {
-        g_hash_table_remove(view->type_parts, key);
+        g_hash_table_remove(replica->machine_type_parts, key);
         return;
     }
-    struct type_part *part = g_new(struct type_part, 1);
-    *part = (struct type_part){json_object_get(value), stamp};
-    g_hash_table_replace(view->type_parts, g_strdup(key), part);
-    struct type_part *first = g_hash_table_lookup(view->type_parts, KEY_TYPES);
-    uint64_t more = 0;
-    json_u64(first ? first->value : NULL, "more", &more);
-    json_object *whole = json_object_new_object(), *list = json_object_new_array();
-    bool all = first != NULL;
-    for (uint64_t i = 0; all && i <= more; i++) {
+    struct machine_type_part *part = g_new(struct machine_type_part, 1);
+    *part = (struct machine_type_part){json_object_get(value), mod_revision};
+    g_hash_table_replace(replica->machine_type_parts, g_strdup(key), part);
+    struct machine_type_part *first = g_hash_table_lookup(replica->machine_type_parts, KEY_TYPES);
+    uint64_t continuation_count = 0;
+    json_get_u64(first ? first->value : NULL, "more", &continuation_count);
+    json_object *joined = json_object_new_object(), *joined_types = json_object_new_array();
+    bool is_complete = first != NULL;
+    for (uint64_t i = 0; is_complete && i <= continuation_count; i++) {
         char *name = i ? g_strdup_printf(KEY_TYPES "/%" G_GUINT64_FORMAT, i) : g_strdup(KEY_TYPES);
-        struct type_part *x = g_hash_table_lookup(view->type_parts, name);
-        json_object *some = x ? json_list(x->value, "Builds") : NULL;
-        all = some && x->stamp.v == first->stamp.v;
-        for (size_t k = 0; all && k < json_object_array_length(some); k++)
-            json_object_array_add(list, json_object_get(json_object_array_get_idx(some, k)));
+        struct machine_type_part *continuation =
+            g_hash_table_lookup(replica->machine_type_parts, name);
+        json_object *part_types =
+            continuation ? json_get_array(continuation->value, "Builds") : NULL;
+        is_complete = part_types && continuation->mod_revision.value == first->mod_revision.value;
+        for (size_t k = 0; is_complete && k < json_object_array_length(part_types); k++)
+            json_object_array_add(joined_types,
+                                  json_object_get(json_object_array_get_idx(part_types, k)));
         g_free(name);
     }
-    json_object_object_add(whole, "Builds", list);
-    GArray *types = all ? codec_types_read(whole) : NULL;
-    json_object_put(whole);
+    json_object_object_add(joined, "Builds", joined_types);
+    GArray *types = is_complete ? machine_types_decode(joined) : NULL;
+    json_object_put(joined);
     if (!types)
         return;
-    if (view->types)
-        g_array_unref(view->types);
-    view->types = types;
-    view_note_change(view, (struct change){.kind = CHANGE_TYPES});
+    if (replica->machine_types)
+        g_array_unref(replica->machine_types);
+    replica->machine_types = types;
+    replica_add_event(replica, (struct replica_event){.kind = REPLICA_EVENT_MACHINE_TYPES});
 }
--- a/src/replica/job_dag.c
+++ b/src/replica/job_dag.c
@@ -1,19 +1,19 @@
 #include "job_dag.h"
 
-enum { LEAST_URGENT = 1000 };
+enum { LOWEST_PRIORITY = 1000 };
 
 struct node {
     job_id id;
     bool known;
-    struct pipe_own own;
-    struct pipe_facts facts;
+    struct job_dag_attributes own;
+    struct job_dag_state facts;
     GPtrArray *needs, *after; /* struct node: what it needs, what needs it */
 };
 
-struct pipeline {
+struct job_dag {
     GHashTable *nodes; /* id -> struct node */
-    pipeline_observer observer;
-    void *ctx;
+    job_dag_observer observer;
+    void *context;
 };
 
 static void node_free(gpointer q)
@@ -24,180 +24,183 @@
     g_free(node);
 }
 
-struct pipeline *pipeline_new(pipeline_observer observer, void *ctx)
+struct job_dag *job_dag_new(job_dag_observer observer, void *context)
 {
-    struct pipeline *pipeline = g_new0(struct pipeline, 1);
-    pipeline->nodes = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, node_free);
-    pipeline->observer = observer;
-    pipeline->ctx = ctx;
-    return pipeline;
+    struct job_dag *dag = g_new0(struct job_dag, 1);
+    dag->nodes = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, node_free);
+    dag->observer = observer;
+    dag->context = context;
+    return dag;
 }
 
-void pipeline_free(struct pipeline *pipeline)
+void job_dag_free(struct job_dag *dag)
 {
-    g_hash_table_unref(pipeline->nodes);
-    g_free(pipeline);
+    g_hash_table_unref(dag->nodes);
+    g_free(dag);
 }
 
-guint pipeline_size(const struct pipeline *pipeline)
+guint job_dag_size(const struct job_dag *dag)
 {
-    return g_hash_table_size(pipeline->nodes);
+    return g_hash_table_size(dag->nodes);
 }
 
-static struct node *node_get(struct pipeline *pipeline, job_id id)
+static struct node *find_node(struct job_dag *dag, job_id id)
 {
-    return g_hash_table_lookup(pipeline->nodes, id.s);
+    return g_hash_table_lookup(dag->nodes, id.text);
 }
 
-static struct node *node_make(struct pipeline *pipeline, job_id id)
+static struct node *get_or_create_node(struct job_dag *dag, job_id id)
 {
-    struct node *node = node_get(pipeline, id);
+    struct node *node = find_node(dag, id);
     if (node)
         return node;
     node = g_new0(struct node, 1);
     node->id = id;
-    node->own = (struct pipe_own){LEAST_URGENT, NEVER, 0};
-    node->facts.urgency = LEAST_URGENT;
-    node->facts.due = NEVER;
+    node->own = (struct job_dag_attributes){LOWEST_PRIORITY, NO_DEADLINE, 0};
+    node->facts.inherited_priority = LOWEST_PRIORITY;
+    node->facts.inherited_deadline = NO_DEADLINE;
     node->needs = g_ptr_array_new();
     node->after = g_ptr_array_new();
-    g_hash_table_insert(pipeline->nodes, node->id.s, node);
+    g_hash_table_insert(dag->nodes, node->id.text, node);
     return node;
 }
 
-static void tell(struct pipeline *pipeline, struct node *node)
+static void notify_observer(struct job_dag *dag, struct node *node)
 {
     if (node->known)
-        pipeline->observer(pipeline->ctx, node->id.s, &node->facts);
+        dag->observer(dag->context, node->id.text, &node->facts);
 }
 
 /* Works out what is lent to a job and, where that has changed, to those that it needs. A chain may
  * be long, so this is no recursion. */
-static void lend(struct pipeline *pipeline, struct node *first)
+static void propagate_inherited(struct job_dag *dag, struct node *first)
 {
-    GQueue todo = G_QUEUE_INIT;
-    g_queue_push_tail(&todo, first);
-    struct node *n;
-    while ((n = g_queue_pop_head(&todo))) {
-        int urgency = n->own.urgency;
-        wall_time due = n->own.due;
-        for (guint i = 0; i < n->after->len; i++) {
-            const struct node *s = n->after->pdata[i];
-            urgency = MIN(urgency, s->facts.urgency);
-            if (s->facts.due.ms != NEVER.ms)
-                due.ms = MIN(due.ms, s->facts.due.ms - s->own.run_ms);
+    GQueue pending = G_QUEUE_INIT;
+    g_queue_push_tail(&pending, first);
+    struct node *node;
+    while ((node = g_queue_pop_head(&pending))) {
+        int priority = node->own.priority;
+        wall_time deadline = node->own.deadline;
+        for (guint i = 0; i < node->after->len; i++) {
+            const struct node *dependent = node->after->pdata[i];
+            priority = MIN(priority, dependent->facts.inherited_priority);
+            if (dependent->facts.inherited_deadline.ms != NO_DEADLINE.ms)
+                deadline.ms = MIN(deadline.ms, dependent->facts.inherited_deadline.ms -
+                                                   dependent->own.expected_run_ms);
         }
-        if (urgency == n->facts.urgency && due.ms == n->facts.due.ms)
+        if (priority == node->facts.inherited_priority &&
+            deadline.ms == node->facts.inherited_deadline.ms)
             continue;
-        n->facts.urgency = urgency;
-        n->facts.due = due;
-        tell(pipeline, n);
-        for (guint i = 0; i < n->needs->len; i++)
-            g_queue_push_tail(&todo, n->needs->pdata[i]);
+        node->facts.inherited_priority = priority;
+        node->facts.inherited_deadline = deadline;
+        notify_observer(dag, node);
+        for (guint i = 0; i < node->needs->len; i++)
+            g_queue_push_tail(&pending, node->needs->pdata[i]);
     }
 }
 
 /* A job without links is nothing to be kept here. */
-static void let_go(struct pipeline *pipeline, struct node *node)
+static void remove_unlinked_node(struct job_dag *dag, struct node *node)
 {
     if (!node->needs->len && !node->after->len)
-        g_hash_table_remove(pipeline->nodes, node->id.s);
+        g_hash_table_remove(dag->nodes, node->id.text);
 }
 
 /* Cuts what a job needs off it: that lends nothing to them any more. */
-static void cut_needs(struct pipeline *pipeline, struct node *n)
+static void unlink_dependencies(struct job_dag *dag, struct node *node)
 {
-    GPtrArray *needs = n->needs;
-    n->needs = g_ptr_array_new();
-    for (guint i = 0; i < needs->len; i++) {
-        struct node *q = needs->pdata[i];
-        g_ptr_array_remove_fast(q->after, n);
-        lend(pipeline, q);
-        let_go(pipeline, q);
+    GPtrArray *dependencies = node->needs;
+    node->needs = g_ptr_array_new();
+    for (guint i = 0; i < dependencies->len; i++) {
+        struct node *dependency = dependencies->pdata[i];
+        g_ptr_array_remove_fast(dependency->after, node);
+        propagate_inherited(dag, dependency);
+        remove_unlinked_node(dag, dependency);
     }
-    g_ptr_array_unref(needs);
+    g_ptr_array_unref(dependencies);
 }
 
-void pipeline_add(struct pipeline *pipeline, job_id id, const struct pipe_own *own,
-                  const job_id *needs, guint n)
+void job_dag_add_job(struct job_dag *dag, job_id id, const struct job_dag_attributes *attributes,
+                     const job_id *dependencies, guint dependency_count)
 {
-    struct node *x = node_get(pipeline, id);
-    if ((!x && !n) || (x && x->known))
+    struct node *node = find_node(dag, id);
+    if ((!node && !dependency_count) || (node && node->known))
         return;
-    x = node_make(pipeline, id);
-    x->known = true;
-    x->own = *own;
-    for (guint i = 0; i < n; i++) {
-        struct node *q = node_make(pipeline, needs[i]);
-        g_ptr_array_add(x->needs, q);
-        g_ptr_array_add(q->after, x);
+    node = get_or_create_node(dag, id);
+    node->known = true;
+    node->own = *attributes;
+    for (guint i = 0; i < dependency_count; i++) {
+        struct node *dependency = get_or_create_node(dag, dependencies[i]);
+        g_ptr_array_add(node->needs, dependency);
+        g_ptr_array_add(dependency->after, node);
     }
-    x->facts.open = n;
-    x->facts.urgency = LEAST_URGENT; /* so that it is worked out and told */
-    x->facts.due = NEVER;
-    lend(pipeline, x);
-    tell(pipeline, x);
+    node->facts.pending_dependencies = dependency_count;
+    node->facts.inherited_priority = LOWEST_PRIORITY; /* so that it is worked out and told */
+    node->facts.inherited_deadline = NO_DEADLINE;
+    propagate_inherited(dag, node);
+    notify_observer(dag, node);
 }
 
-void pipeline_done(struct pipeline *pipeline, job_id id, wall_time end)
+void job_dag_mark_done(struct job_dag *dag, job_id id, wall_time ended_at)
 {
-    struct node *n = node_get(pipeline, id);
-    if (!n)
+    struct node *node = find_node(dag, id);
+    if (!node)
         return;
-    cut_needs(pipeline, n);
-    GPtrArray *after = n->after;
-    n->after = g_ptr_array_new();
-    for (guint i = 0; i < after->len; i++) {
-        struct node *s = after->pdata[i];
-        g_ptr_array_remove_fast(s->needs, n);
-        s->facts.open = s->needs->len;
-        s->facts.ready.ms = MAX(s->facts.ready.ms, end.ms);
-        tell(pipeline, s);
-        let_go(pipeline, s);
+    unlink_dependencies(dag, node);
+    GPtrArray *dependents = node->after;
+    node->after = g_ptr_array_new();
+    for (guint i = 0; i < dependents->len; i++) {
+        struct node *dependent = dependents->pdata[i];
+        g_ptr_array_remove_fast(dependent->needs, node);
+        dependent->facts.pending_dependencies = dependent->needs->len;
+        dependent->facts.dependencies_done_at.ms =
+            MAX(dependent->facts.dependencies_done_at.ms, ended_at.ms);
+        notify_observer(dag, dependent);
+        remove_unlinked_node(dag, dependent);
     }
-    g_ptr_array_unref(after);
-    let_go(pipeline, n);
+    g_ptr_array_unref(dependents);
+    remove_unlinked_node(dag, node);
 }
 
-void pipeline_cancelled(struct pipeline *pipeline, job_id id, revision at)
+void job_dag_mark_cancelled(struct job_dag *dag, job_id id, revision cancelled_at)
 {
-    struct node *n = node_get(pipeline, id);
-    if (!n)
+    struct node *node = find_node(dag, id);
+    if (!node)
         return;
     /* Their ids, as one that is still to come may be let go meanwhile, with its last link. */
-    GQueue todo = G_QUEUE_INIT;
-    g_queue_push_tail(&todo, g_memdup2(&id, sizeof id));
-    job_id *next;
-    while ((next = g_queue_pop_head(&todo))) {
-        n = node_get(pipeline, *next);
-        g_free(next);
-        if (!n)
+    GQueue pending_ids = G_QUEUE_INIT;
+    g_queue_push_tail(&pending_ids, g_memdup2(&id, sizeof id));
+    job_id *next_id;
+    while ((next_id = g_queue_pop_head(&pending_ids))) {
+        node = find_node(dag, *next_id);
+        g_free(next_id);
+        if (!node)
             continue;
-        for (guint i = 0; i < n->after->len; i++) {
-            struct node *s = n->after->pdata[i];
-            if (s->facts.upstream_cancelled)
+        for (guint i = 0; i < node->after->len; i++) {
+            struct node *dependent = node->after->pdata[i];
+            if (dependent->facts.upstream_cancelled)
                 continue;
-            s->facts.upstream_cancelled = true;
-            s->facts.upstream_cancelled_at = at;
-            tell(pipeline, s);
-            g_queue_push_tail(&todo, g_memdup2(&s->id, sizeof s->id));
+            dependent->facts.upstream_cancelled = true;
+            dependent->facts.upstream_cancelled_at = cancelled_at;
+            notify_observer(dag, dependent);
+            g_queue_push_tail(&pending_ids, g_memdup2(&dependent->id, sizeof dependent->id));
         }
-        while (n->after->len) {
-            struct node *s = n->after->pdata[n->after->len - 1];
-            g_ptr_array_remove_fast(s->needs, n);
-            g_ptr_array_set_size(n->after, (gint)n->after->len - 1);
+        while (node->after->len) {
+            struct node *dependent = node->after->pdata[node->after->len - 1];
+            g_ptr_array_remove_fast(dependent->needs, node);
+            g_ptr_array_set_size(node->after, (gint)node->after->len - 1);
         }
-        cut_needs(pipeline, n);
-        let_go(pipeline, n);
+        unlink_dependencies(dag, node);
+        remove_unlinked_node(dag, node);
     }
 }
 
-void pipeline_each_unknown(struct pipeline *pipeline, pipeline_unknown take, void *ctx)
+void job_dag_foreach_unknown(struct job_dag *dag, job_dag_unknown_callback callback, void *context)
 {
     GHashTableIter it;
     struct node *node;
-    g_hash_table_iter_init(&it, pipeline->nodes);
+    g_hash_table_iter_init(&it, dag->nodes);
     while (g_hash_table_iter_next(&it, NULL, (gpointer *)&node))
         if (!node->known)
-            take(ctx, node->id);
+            callback(context, node->id);
 }
--- a/src/replica/job_dag.h
+++ b/src/replica/job_dag.h
@@ -9,43 +9,44 @@
 #include "types.h"
 
 /* What a job is by itself. */
-struct pipe_own {
-    int urgency;    /* the lower the more urgent */
-    wall_time due;  /* NEVER: no deadline */
-    int64_t run_ms; /* that one of its tasks takes, by its owner's estimate */
+struct job_dag_attributes {
+    int priority;            /* the lower the more urgent */
+    wall_time deadline;      /* NEVER: no deadline */
+    int64_t expected_run_ms; /* that one of its tasks takes, by its owner's estimate */
 };
 
-#define NEVER ((wall_time){INT64_MAX})
+#define NO_DEADLINE ((wall_time){INT64_MAX})
 
-struct pipe_facts {
-    guint open;              /* jobs that it needs and that are not known to be done */
-    wall_time ready;         /* when the last of the others was done; 0: there was none */
-    bool upstream_cancelled; /* one that it needs, directly or not, is cancelled */
+struct job_dag_state {
+    guint pending_dependencies;     /* jobs that it needs and that are not known to be done */
+    wall_time dependencies_done_at; /* when the last of the others was done; 0: there was none */
+    bool upstream_cancelled;        /* one that it needs, directly or not, is cancelled */
     revision upstream_cancelled_at;
-    int urgency;   /* the highest of its own and of those of all that need it */
-    wall_time due; /* when it has to be done so that all that need it can be in time */
+    int inherited_priority; /* the highest of its own and of those of all that need it */
+    wall_time
+        inherited_deadline; /* when it has to be done so that all that need it can be in time */
 };
 
-struct pipeline;
+struct job_dag;
 
 /* id's facts are others now. */
-typedef void (*pipeline_observer)(void *ctx, const char *id, const struct pipe_facts *facts);
+typedef void (*job_dag_observer)(void *ctx, const char *id, const struct job_dag_state *dag_state);
 
-struct pipeline *pipeline_new(pipeline_observer observer, void *ctx);
-void pipeline_free(struct pipeline *pipeline);
+struct job_dag *job_dag_new(job_dag_observer observer, void *context);
+void job_dag_free(struct job_dag *dag);
 
 /* A job that is not over, and what it needs; jobs that are not known yet count as not done. The
  * caller then says what is known of these. Of a job that nobody needs and that needs nothing
  * nothing is kept. */
-void pipeline_add(struct pipeline *pipeline, job_id id, const struct pipe_own *own,
-                  const job_id *needs, guint n);
-void pipeline_done(struct pipeline *pipeline, job_id id, wall_time end);
+void job_dag_add_job(struct job_dag *dag, job_id id, const struct job_dag_attributes *attributes,
+                     const job_id *dependencies, guint dependency_count);
+void job_dag_mark_done(struct job_dag *dag, job_id id, wall_time ended_at);
 /* Said of each job that a user has cancelled, or that is doomed itself. */
-void pipeline_cancelled(struct pipeline *pipeline, job_id id, revision at);
+void job_dag_mark_cancelled(struct job_dag *dag, job_id id, revision cancelled_at);
 
 /* Calls back for each job that is needed and of which nothing was said yet. */
-typedef void (*pipeline_unknown)(void *ctx, job_id id);
-void pipeline_each_unknown(struct pipeline *pipeline, pipeline_unknown take, void *ctx);
-guint pipeline_size(const struct pipeline *pipeline);
+typedef void (*job_dag_unknown_callback)(void *ctx, job_id id);
+void job_dag_foreach_unknown(struct job_dag *dag, job_dag_unknown_callback callback, void *context);
+guint job_dag_size(const struct job_dag *dag);
 
 #endif
--- a/src/replica/jobs.c
+++ b/src/replica/jobs.c
@@ -1,200 +1,207 @@
 #include "log.h"
 #include "replica_internal.h"
 
-void view_job_free(gpointer p)
+void replica_job_free(gpointer p)
 {
     struct job *job = p;
     if (job->spec) {
-        spec_clear(job->spec);
+        job_spec_clear(job->spec);
         g_free(job->spec);
     }
-    if (job->done)
-        g_byte_array_unref(job->done);
-    if (job->placed)
-        g_hash_table_unref(job->placed);
+    if (job->completion_bits)
+        g_byte_array_unref(job->completion_bits);
+    if (job->run_records)
+        g_hash_table_unref(job->run_records);
     g_free(job);
 }
 
-struct placed *job_placed(const struct job *job, uint32_t index)
+struct run_record *job_get_run_record(const struct job *job, uint32_t task_index)
 {
-    return job->placed ? g_hash_table_lookup(job->placed, GUINT_TO_POINTER(index + 1)) : NULL;
+    return job->run_records
+               ? g_hash_table_lookup(job->run_records, GUINT_TO_POINTER(task_index + 1))
+               : NULL;
 }
 
-bool job_task_done(const struct job *job, uint32_t index)
+bool job_is_task_completed(const struct job *job, uint32_t task_index)
 {
-    return job->done && index / 8 < job->done->len &&
-           (job->done->data[index / 8] >> (index % 8) & 1);
+    return job->completion_bits && task_index / 8 < job->completion_bits->len &&
+           (job->completion_bits->data[task_index / 8] >> (task_index % 8) & 1);
 }
 
-struct job *view_job_make(struct view *view, const char *id)
+struct job *replica_get_or_create_job(struct replica *replica, const char *id)
 {
-    struct job *job = view_job(view, id);
+    struct job *job = replica_get_job(replica, id);
     if (job)
         return job;
-    job_id jid;
-    if (!job_id_from(&jid, id))
+    job_id parsed_id;
+    if (!job_id_parse(&parsed_id, id))
         return NULL;
     job = g_new0(struct job, 1);
-    job->id = jid;
-    g_hash_table_insert(view->jobs, job->id.s, job);
+    job->id = parsed_id;
+    g_hash_table_insert(replica->jobs, job->id.text, job);
     return job;
 }
 
-static void job_drop_spec(struct job *job)
+static void job_discard_details(struct job *job)
 {
     if (job->spec) {
-        spec_clear(job->spec);
+        job_spec_clear(job->spec);
         g_free(job->spec);
     }
     job->spec = NULL;
-    if (job->done)
-        g_byte_array_unref(job->done);
-    job->done = NULL;
+    if (job->completion_bits)
+        g_byte_array_unref(job->completion_bits);
+    job->completion_bits = NULL;
 }
 
-bool job_read_final(struct job *job, json_object *value)
+bool job_decode_final(struct job *job, json_object *value)
 {
-    const char *final;
-    uint64_t n = 0;
-    if (!json_text(value, "f", &final))
+    const char *state_word;
+    uint64_t task_count = 0;
+    if (!json_get_text(value, "f", &state_word))
         return false;
-    json_u64(value, "n", &n);
-    job->state = strcmp(final, "done") == 0 ? JOB_DONE : JOB_CANCELLED;
-    job->tasks = (uint32_t)n;
-    job->n_done = job->state == JOB_DONE ? job->tasks : 0;
-    uint64_t ended = 0;
-    json_u64(value, "e", &ended);
-    job->ended.ms = (int64_t)ended;
+    json_get_u64(value, "n", &task_count);
+    job->state = strcmp(state_word, "done") == 0 ? JOB_DONE : JOB_CANCELLED;
+    job->task_count = (uint32_t)task_count;
+    job->completed_count = job->state == JOB_DONE ? job->task_count : 0;
+    uint64_t ended_ms = 0;
+    json_get_u64(value, "e", &ended_ms);
+    job->ended_at.ms = (int64_t)ended_ms;
     return true;
 }
 
-json_object *job_final_value(enum job_state final, uint32_t tasks, wall_time ended)
+json_object *job_encode_final(enum job_state final_state, uint32_t task_count, wall_time ended_at)
 {
     json_object *object = json_object_new_object();
-    json_put_text(object, "f", final == JOB_DONE ? "done" : "cancelled");
-    json_put_u64(object, "n", tasks);
-    json_put_u64(object, "e", (uint64_t)ended.ms);
+    json_put_text(object, "f", final_state == JOB_DONE ? "done" : "cancelled");
+    json_put_u64(object, "n", task_count);
+    json_put_u64(object, "e", (uint64_t)ended_at.ms);
     return object;
 }
 
-void view_pipeline_changed(void *ctx, const char *id, const struct pipe_facts *facts)
+void replica_on_job_dag_change(void *context, const char *id, const struct job_dag_state *dag_state)
 {
-    struct view *view = ctx;
-    struct job *job = view_job(view, id);
+    struct replica *replica = context;
+    struct job *job = replica_get_job(replica, id);
     if (!job || !job->spec)
         return;
-    job->waits = facts->open > 0;
-    job->since.ms = MAX(job->submitted.ms, facts->ready.ms);
-    job->urgency = facts->urgency;
-    job->due = facts->due;
-    if (facts->upstream_cancelled && job->state == JOB_LIVE) {
+    job->has_pending_dependencies = dag_state->pending_dependencies > 0;
+    job->eligible_at.ms = MAX(job->submitted_at.ms, dag_state->dependencies_done_at.ms);
+    job->inherited_priority = dag_state->inherited_priority;
+    job->inherited_deadline = dag_state->inherited_deadline;
+    if (dag_state->upstream_cancelled && job->state == JOB_ACTIVE) {
         /* That is a fact from the moment when the other one was cancelled, without any write. */
-        job->upstream_cancelled = true;
+        job->is_upstream_cancelled = true;
         job->state = JOB_CANCELLED;
-        job->cancelled_at = facts->upstream_cancelled_at;
+        job->cancelled_at = dag_state->upstream_cancelled_at;
     }
-    view_note_change(view, (struct change){.kind = CHANGE_JOB, .job = job->id});
+    replica_add_event(replica, (struct replica_event){.kind = REPLICA_EVENT_JOB, .job = job->id});
 }
 
-static struct pipe_own own_of(const struct job *job)
+static struct job_dag_attributes job_dag_attributes_of(const struct job *job)
 {
-    const struct spec *spec = job->spec;
-    return (struct pipe_own){
-        .urgency = (int)spec->urgency,
-        .due = spec->due_s >= 0 ? (wall_time){job->submitted.ms + (int64_t)(spec->due_s * 1000)}
-                                : NEVER,
-        .run_ms = (int64_t)(spec->expected_s * 1000)};
+    const struct job_spec *spec = job->spec;
+    return (struct job_dag_attributes){
+        .priority = (int)spec->priority,
+        .deadline = spec->deadline_s >= 0
+                        ? (wall_time){job->submitted_at.ms + (int64_t)(spec->deadline_s * 1000)}
+                        : NO_DEADLINE,
+        .expected_run_ms = (int64_t)(spec->expected_run_s * 1000)};
 }
 
-static void pipeline_tell(struct view *view, const struct job *job)
+static void report_state_to_job_dag(struct replica *replica, const struct job *job)
 {
     if (job->state == JOB_DONE) {
-        pipeline_done(view->pipeline, job->id, job->ended);
+        job_dag_mark_done(replica->job_dag, job->id, job->ended_at);
     } else if (job->state == JOB_CANCELLED) {
-        pipeline_cancelled(view->pipeline, job->id, job->cancelled_at);
+        job_dag_mark_cancelled(replica->job_dag, job->id, job->cancelled_at);
     } else if (job->spec) {
-        struct pipe_own own = own_of(job);
-        pipeline_add(view->pipeline, job->id, &own, NULL, 0);
+        struct job_dag_attributes attributes = job_dag_attributes_of(job);
+        job_dag_add_job(replica->job_dag, job->id, &attributes, NULL, 0);
     }
 }
 
 /* A job is read for the first time. */
-static void pipeline_take(struct view *view, struct job *job)
+static void add_to_job_dag(struct replica *replica, struct job *job)
 {
-    const struct spec *spec = job->spec;
-    struct pipe_own own = own_of(job);
-    job->since = job->submitted;
-    job->due = own.due;
-    job->urgency = own.urgency;
-    pipeline_add(view->pipeline, job->id, &own, spec->awaits, spec->n_awaits);
-    for (guint i = 0; i < spec->n_awaits; i++) {
-        struct job *other = view_job(view, spec->awaits[i].s);
-        if (other && other->known)
-            pipeline_tell(view, other);
+    const struct job_spec *spec = job->spec;
+    struct job_dag_attributes attributes = job_dag_attributes_of(job);
+    job->eligible_at = job->submitted_at;
+    job->inherited_deadline = attributes.deadline;
+    job->inherited_priority = attributes.priority;
+    job_dag_add_job(replica->job_dag, job->id, &attributes, spec->dependencies,
+                    spec->dependency_count);
+    for (guint i = 0; i < spec->dependency_count; i++) {
+        struct job *other = replica_get_job(replica, spec->dependencies[i].text);
+        if (other && other->is_known)
+            report_state_to_job_dag(replica, other);
     }
 }
 
-void view_apply_job(struct view *view, const char *id, json_object *value, revision stamp)
+void replica_apply_job(struct replica *replica, const char *id, json_object *value,
+                       revision mod_revision)
 {
-    struct job *job = view_job_make(view, id);
+    struct job *job = replica_get_or_create_job(replica, id);
     if (!job)
         return;
-    uint64_t submitted = 0;
-    bool cancelled = false;
-    if (job_read_final(job, value)) {
-        job_drop_spec(job);
-        if (!job->over)
-            g_queue_push_tail(&view->over, g_strdup(id));
-        job->over = true;
-        job->cancelled_at = job->cancelled_at.v ? job->cancelled_at : stamp;
-        pipeline_tell(view, job);
+    uint64_t submitted_ms = 0;
+    bool is_cancelled = false;
+    if (job_decode_final(job, value)) {
+        job_discard_details(job);
+        if (!job->is_finished)
+            g_queue_push_tail(&replica->finished_job_ids, g_strdup(id));
+        job->is_finished = true;
+        job->cancelled_at = job->cancelled_at.value ? job->cancelled_at : mod_revision;
+        report_state_to_job_dag(replica, job);
     } else if (value) {
-        json_flag(value, "c", &cancelled);
-        json_u64(value, "t", &submitted);
-        bool first = !job->spec;
-        if (cancelled && job->state != JOB_CANCELLED)
-            job->cancelled_at = stamp;
-        job->state = cancelled || job->upstream_cancelled ? JOB_CANCELLED : JOB_LIVE;
-        job->submitted.ms = (int64_t)submitted;
+        json_get_bool(value, "c", &is_cancelled);
+        json_get_u64(value, "t", &submitted_ms);
+        bool is_first = !job->spec;
+        if (is_cancelled && job->state != JOB_CANCELLED)
+            job->cancelled_at = mod_revision;
+        job->state = is_cancelled || job->is_upstream_cancelled ? JOB_CANCELLED : JOB_ACTIVE;
+        job->submitted_at.ms = (int64_t)submitted_ms;
         if (!job->spec) {
-            struct spec spec;
-            json_object *w = NULL;
-            json_object_object_get_ex(value, "w", &w);
-            if (!codec_spec_read(w, &spec) || !codec_awaits_read(w, &spec)) {
+            struct job_spec spec;
+            json_object *spec_value = NULL;
+            json_object_object_get_ex(value, "w", &spec_value);
+            if (!job_spec_decode(spec_value, &spec) ||
+                !job_spec_decode_dependencies(spec_value, &spec)) {
                 LOG_ERROR("job_unreadable", "job=%s", id);
                 return;
             }
             job->spec = g_memdup2(&spec, sizeof spec);
-            job->tasks = spec.tasks;
+            job->task_count = spec.task_count;
         }
-        job->known = true;
-        if (first)
-            pipeline_take(view, job);
+        job->is_known = true;
+        if (is_first)
+            add_to_job_dag(replica, job);
         if (job->state == JOB_CANCELLED)
-            pipeline_tell(view, job);
+            report_state_to_job_dag(replica, job);
     }
-    job->known = value != NULL;
-    job->stamp = stamp;
-    view_note_change(view, (struct change){.kind = CHANGE_JOB, .job = job->id});
+    job->is_known = value != NULL;
+    job->mod_revision = mod_revision;
+    replica_add_event(replica, (struct replica_event){.kind = REPLICA_EVENT_JOB, .job = job->id});
 }
 
-void view_merge_done(void *ctx, job_id id, uint32_t unit, const GByteArray *bits)
+void replica_merge_completions(void *context, job_id id, uint32_t unit, const GByteArray *bits)
 {
-    struct view *view = ctx;
-    struct job *job = view_job_make(view, id.s);
-    if (!job || (job->known && !job->spec))
+    struct replica *replica = context;
+    struct job *job = replica_get_or_create_job(replica, id.text);
+    if (!job || (job->is_known && !job->spec))
         return;
-    if (!job->done)
-        job->done = g_byte_array_new();
-    guint base = unit * MARK_BYTES;
-    bits_grow(job->done, base + bits->len);
-    bool changed = false;
+    if (!job->completion_bits)
+        job->completion_bits = g_byte_array_new();
+    guint first_byte = unit * COMPLETION_UNIT_BYTES;
+    bitmap_grow(job->completion_bits, first_byte + bits->len);
+    bool has_changed = false;
     for (guint i = 0; i < bits->len; i++) {
-        uint8_t more = bits->data[i] & ~job->done->data[base + i];
-        job->done->data[base + i] |= more;
-        job->n_done += (uint32_t)__builtin_popcount(more);
-        changed = changed || more;
+        uint8_t new_bits = bits->data[i] & ~job->completion_bits->data[first_byte + i];
+        job->completion_bits->data[first_byte + i] |= new_bits;
+        job->completed_count += (uint32_t)__builtin_popcount(new_bits);
+        has_changed = has_changed || new_bits;
     }
-    if (changed)
-        view_note_change(view, (struct change){.kind = CHANGE_JOB, .job = job->id});
+    if (has_changed)
+        replica_add_event(replica,
+                          (struct replica_event){.kind = REPLICA_EVENT_JOB, .job = job->id});
 }
--- a/src/replica/kv_keys.c
+++ b/src/replica/kv_keys.c
@@ -4,12 +4,12 @@
 
 char *key_job(job_id id)
 {
-    return g_strconcat("ll/j/", id.s, NULL);
+    return g_strconcat("ll/j/", id.text, NULL);
 }
 
-char *key_host(host_id id)
+char *key_machine(machine_id id)
 {
-    return g_strconcat("ll/h/", id.s, NULL);
+    return g_strconcat("ll/h/", id.text, NULL);
 }
 
 char *key_node(const char *label)
@@ -22,7 +22,7 @@
     return g_strconcat("ll/v/", label, NULL);
 }
 
-char *key_page(const char *label, int number)
+char *key_record_page(const char *label, int number)
 {
     return g_strdup_printf("ll/p/%s/%d", label, number);
 }
@@ -32,7 +32,7 @@
     return g_strdup_printf("ll/a/%s/%d", label, number);
 }
 
-bool key_page_parts(const char *key, char **label, int *number)
+bool key_parse_page(const char *key, char **label, int *number)
 {
     const char *name = key + strlen("ll/p/"), *slash = strrchr(key, '/');
     if (slash <= name)
--- a/src/replica/read_barrier.c
+++ b/src/replica/read_barrier.c
@@ -1,80 +1,84 @@
 #include "replica_internal.h"
 
 enum {
-    AWAIT_MS = 1800, /* until a waiter is told that its revision did not come */
+    AWAIT_TIMEOUT_MS = 1800, /* until a waiter is told that its revision did not come */
 };
 
-struct view_waiter {
-    revision at;
-    mono_time give_up;
-    view_done done;
-    void *arg;
+struct revision_waiter {
+    revision revision_needed;
+    mono_time deadline;
+    replica_callback callback;
+    void *callback_arg;
 };
 
-GArray *view_waiters_new(void)
+GArray *replica_waiters_new(void)
 {
-    return g_array_new(FALSE, FALSE, sizeof(struct view_waiter));
+    return g_array_new(FALSE, FALSE, sizeof(struct revision_waiter));
 }
 
-void view_tell_waiters(struct view *view)
+void replica_notify_waiters(struct replica *replica)
 {
-    for (guint i = 0; i < view->waiters->len;) {
-        struct view_waiter waiter = g_array_index(view->waiters, struct view_waiter, i);
-        if (view->ready && waiter.at.v <= view->at.v) {
-            g_array_remove_index(view->waiters, i);
-            waiter.done(waiter.arg, true);
+    for (guint i = 0; i < replica->waiters->len;) {
+        struct revision_waiter waiter = g_array_index(replica->waiters, struct revision_waiter, i);
+        if (replica->is_ready && waiter.revision_needed.value <= replica->applied_revision.value) {
+            g_array_remove_index(replica->waiters, i);
+            waiter.callback(waiter.callback_arg, true);
         } else {
             i++;
         }
     }
 }
 
-void view_expire(void *arg)
+void replica_expire_waiters(void *arg)
 {
-    struct view *view = arg;
-    mono_time now = loop_now(view->loop);
-    for (guint i = 0; i < view->waiters->len;) {
-        struct view_waiter waiter = g_array_index(view->waiters, struct view_waiter, i);
-        if (time_before(waiter.give_up, now)) {
-            g_array_remove_index(view->waiters, i);
-            waiter.done(waiter.arg, false);
+    struct replica *replica = arg;
+    mono_time now = loop_now(replica->loop);
+    for (guint i = 0; i < replica->waiters->len;) {
+        struct revision_waiter waiter = g_array_index(replica->waiters, struct revision_waiter, i);
+        if (time_before(waiter.deadline, now)) {
+            g_array_remove_index(replica->waiters, i);
+            waiter.callback(waiter.callback_arg, false);
         } else {
             i++;
         }
     }
-    view_seek_unknown(view);
-    timer_start(view->loop, &view->expire_timer, VIEW_EXPIRE_EVERY_MS);
+    replica_lookup_unknown_jobs(replica);
+    timer_start(replica->loop, &replica->expire_timer, EXPIRY_CHECK_INTERVAL_MS);
 }
 
-void view_await(struct view *view, revision at, view_done done, void *arg)
+void replica_await_revision(struct replica *replica, revision revision_needed,
+                            replica_callback callback, void *callback_arg)
 {
-    if (view->ready && at.v <= view->at.v) {
-        done(arg, true);
+    if (replica->is_ready && revision_needed.value <= replica->applied_revision.value) {
+        callback(callback_arg, true);
         return;
     }
-    struct view_waiter waiter = {at, time_add_ms(loop_now(view->loop), AWAIT_MS), done, arg};
-    g_array_append_val(view->waiters, waiter);
+    struct revision_waiter waiter = {revision_needed,
+                                     time_add_ms(loop_now(replica->loop), AWAIT_TIMEOUT_MS),
+                                     callback, callback_arg};
+    g_array_append_val(replica->waiters, waiter);
 }
 
-struct barrier_wait {
-    struct view *view;
-    view_done done;
-    void *arg;
+struct pending_barrier {
+    struct replica *replica;
+    replica_callback callback;
+    void *callback_arg;
 };
 
-static void barrier_told(void *arg, bool ok, revision at)
+static void barrier_on_revision(void *arg, bool ok, revision at_revision)
 {
-    struct barrier_wait *wait = arg;
+    struct pending_barrier *pending = arg;
     if (ok)
-        view_await(wait->view, at, wait->done, wait->arg);
+        replica_await_revision(pending->replica, at_revision, pending->callback,
+                               pending->callback_arg);
     else
-        wait->done(wait->arg, false);
-    g_free(wait);
+        pending->callback(pending->callback_arg, false);
+    g_free(pending);
 }
 
-void view_barrier(struct view *view, view_done done, void *arg)
+void replica_read_barrier(struct replica *replica, replica_callback callback, void *callback_arg)
 {
-    struct barrier_wait *wait = g_new(struct barrier_wait, 1);
-    *wait = (struct barrier_wait){view, done, arg};
-    store_barrier(view->store, barrier_told, wait);
+    struct pending_barrier *pending = g_new(struct pending_barrier, 1);
+    *pending = (struct pending_barrier){replica, callback, callback_arg};
+    kv_client_read_barrier(replica->kv, barrier_on_revision, pending);
 }
--- a/src/replica/record_page_codec.c
+++ b/src/replica/record_page_codec.c
@@ -4,260 +4,274 @@
 
 enum {
     CHUNK_BYTES = 1024, /* of bits: 8,192 tasks */
-    CHUNK_UNITS = CHUNK_BYTES / MARK_BYTES,
-    MOST_CHUNKS = 100000 / (8 * CHUNK_BYTES) + 1,
-    NUMBER_BYTES = 22, /* of a number and the characters beside it */
-    NAME_SIZE = 64,    /* more than any name has */
-    OWN_CHARS = 3,     /* of a name, at its end, that are not taken for its beginning */
+    CHUNK_UNITS = CHUNK_BYTES / COMPLETION_UNIT_BYTES,
+    MAX_CHUNKS = 100000 / (8 * CHUNK_BYTES) + 1,
+    MAX_NUMBER_BYTES = 22,     /* of a number and the characters beside it */
+    NAME_BUFFER_BYTES = 64,    /* more than any name has */
+    UNSHARED_SUFFIX_CHARS = 3, /* of a name, at its end, that are not taken for its beginning */
 };
 
-char *machine_about(const char *addr, const char *type_name, const char *zone, bool spot)
+char *machine_description_encode(const char *address, const char *machine_type_name,
+                                 const char *zone, bool is_spot)
 {
-    static const char foreign[] = " ,\"\\/"; /* these end a word, or take more room as JSON */
-    if (!*addr || strpbrk(addr, foreign) || strpbrk(type_name, foreign) || strpbrk(zone, foreign))
+    static const char forbidden_characters[] =
+        " ,\"\\/"; /* these end a word, or take more room as JSON */
+    if (!*address || strpbrk(address, forbidden_characters) ||
+        strpbrk(machine_type_name, forbidden_characters) || strpbrk(zone, forbidden_characters))
         return NULL;
-    return g_strdup_printf("%s,%s,%s,%d", addr, type_name, zone, spot);
+    return g_strdup_printf("%s,%s,%s,%d", address, machine_type_name, zone, is_spot);
 }
 
 /* ---- run records ---- */
 
-static int by_attempt(const struct page_rec *x, const struct page_rec *y)
+static int compare_attempts(const struct record_page_entry *left,
+                            const struct record_page_entry *right)
 {
-    int job = strcmp(x->job.s, y->job.s);
-    if (job != 0)
-        return job;
-    return x->attempt.v == y->attempt.v ? 0 : x->attempt.v < y->attempt.v ? -1 : 1;
+    int job_order = strcmp(left->job.text, right->job.text);
+    if (job_order != 0)
+        return job_order;
+    return left->attempt.value == right->attempt.value  ? 0
+           : left->attempt.value < right->attempt.value ? -1
+                                                        : 1;
 }
 
-static int by_index(const struct page_rec *x, const struct page_rec *y)
+static int compare_task_indexes(const struct record_page_entry *left,
+                                const struct record_page_entry *right)
 {
-    return x->index < y->index ? -1 : x->index > y->index;
+    return left->task_index < right->task_index ? -1 : left->task_index > right->task_index;
 }
 
-static gint by_job_first(gconstpointer a, gconstpointer b)
+static gint compare_by_job(gconstpointer a, gconstpointer b)
 {
-    const struct page_rec *record = a, *y = b;
-    int c = by_attempt(record, y);
-    if (c == 0)
-        c = strcmp(record->host.s, y->host.s);
-    return c ? c : by_index(record, y);
+    const struct record_page_entry *left = a, *right = b;
+    int order = compare_attempts(left, right);
+    if (order == 0)
+        order = strcmp(left->machine.text, right->machine.text);
+    return order ? order : compare_task_indexes(left, right);
 }
 
-static gint by_host_first(gconstpointer a, gconstpointer b)
+static gint compare_by_machine(gconstpointer a, gconstpointer b)
 {
-    const struct page_rec *record = a, *y = b;
-    int c = strcmp(record->host.s, y->host.s);
-    if (c == 0)
-        c = by_attempt(record, y);
-    return c ? c : by_index(record, y);
+    const struct record_page_entry *left = a, *right = b;
+    int order = strcmp(left->machine.text, right->machine.text);
+    if (order == 0)
+        order = compare_attempts(left, right);
+    return order ? order : compare_task_indexes(left, right);
 }
 
 /* What names begin with: all but the end of the first one in their order. While any that begins so
  * is left it stays the same, and after that all others had to be said whole. */
-static char *beginning_of(GArray *records)
+static char *shared_name_prefix(GArray *entries)
 {
     const char *first = NULL;
-    for (guint i = 0; i < records->len; i++) {
-        const char *name = g_array_index(records, struct page_rec, i).host.s;
+    for (guint i = 0; i < entries->len; i++) {
+        const char *name = g_array_index(entries, struct record_page_entry, i).machine.text;
         if (!first || strcmp(name, first) < 0)
             first = name;
     }
-    size_t n = first ? strlen(first) : 0;
-    return g_strndup(first ? first : "", n > OWN_CHARS ? n - OWN_CHARS : 0);
+    size_t length = first ? strlen(first) : 0;
+    return g_strndup(first ? first : "",
+                     length > UNSHARED_SUFFIX_CHARS ? length - UNSHARED_SUFFIX_CHARS : 0);
 }
 
 /* Each word once until another of its kind is needed. With the job first a machine is named anew
  * for each attempt, so that what a record adds does not hang on those beside it. */
-static GString *write_in_order(GArray *records, bool job_first, bool plain)
+static GString *encode_in_order(GArray *entries, bool job_first, bool is_legacy)
 {
-    GString *s = g_string_new(NULL);
-    char *beginning = plain ? g_strdup("") : beginning_of(records);
-    if (*beginning)
-        g_string_append_printf(s, "^%s ", beginning);
-    GHashTable *said = g_hash_table_new(g_str_hash, g_str_equal);
-    const struct page_rec *last = NULL;
-    for (guint i = 0; i < records->len; i++) {
-        const struct page_rec *record = &g_array_index(records, struct page_rec, i);
-        bool same_attempt = last && by_attempt(last, record) == 0;
-        bool same_job = last && job_eq(last->job, record->job);
-        bool same_host = last && host_eq(last->host, record->host) && (same_attempt || !job_first);
-        same_attempt = same_attempt && (same_host || job_first);
-        same_job = same_job && (same_host || job_first);
-        GString *host = g_string_new(NULL);
-        if (!same_host) {
-            bool whole = !g_str_has_prefix(record->host.s, beginning);
-            g_string_append_printf(host, "%c%s ", whole ? '&' : '@',
-                                   record->host.s + (whole ? 0 : strlen(beginning)));
-            if (record->about && g_hash_table_add(said, (gpointer)record->host.s))
-                g_string_append_printf(host, "=%s ", record->about);
+    GString *text = g_string_new(NULL);
+    char *prefix = is_legacy ? g_strdup("") : shared_name_prefix(entries);
+    if (*prefix)
+        g_string_append_printf(text, "^%s ", prefix);
+    GHashTable *described_machines = g_hash_table_new(g_str_hash, g_str_equal);
+    const struct record_page_entry *previous = NULL;
+    for (guint i = 0; i < entries->len; i++) {
+        const struct record_page_entry *entry =
+            &g_array_index(entries, struct record_page_entry, i);
+        bool same_attempt = previous && compare_attempts(previous, entry) == 0;
+        bool same_job = previous && job_id_equal(previous->job, entry->job);
+        bool same_machine = previous && machine_id_equal(previous->machine, entry->machine) &&
+                            (same_attempt || !job_first);
+        same_attempt = same_attempt && (same_machine || job_first);
+        same_job = same_job && (same_machine || job_first);
+        GString *machine_text = g_string_new(NULL);
+        if (!same_machine) {
+            bool is_unprefixed = !g_str_has_prefix(entry->machine.text, prefix);
+            g_string_append_printf(machine_text, "%c%s ", is_unprefixed ? '&' : '@',
+                                   entry->machine.text + (is_unprefixed ? 0 : strlen(prefix)));
+            if (entry->description &&
+                g_hash_table_add(described_machines, (gpointer)entry->machine.text))
+                g_string_append_printf(machine_text, "=%s ", entry->description);
         }
         if (!job_first)
-            g_string_append(s, host->str);
+            g_string_append(text, machine_text->str);
         if (!same_job)
-            g_string_append_printf(s, "#%s ", record->job.s);
+            g_string_append_printf(text, "#%s ", entry->job.text);
         if (!same_attempt)
-            g_string_append_printf(s, "*%" G_GUINT64_FORMAT " ", record->attempt.v);
+            g_string_append_printf(text, "*%" G_GUINT64_FORMAT " ", entry->attempt.value);
         if (job_first)
-            g_string_append(s, host->str);
-        g_string_append_printf(s, "%u ", record->index);
-        g_string_free(host, TRUE);
-        last = record;
+            g_string_append(text, machine_text->str);
+        g_string_append_printf(text, "%u ", entry->task_index);
+        g_string_free(machine_text, TRUE);
+        previous = entry;
     }
-    g_hash_table_unref(said);
-    g_free(beginning);
-    return s;
+    g_hash_table_unref(described_machines);
+    g_free(prefix);
+    return text;
 }
 
 /* Tasks that were started together are mostly of one job and on many machines, but a machine with
  * many jobs is said in less the other way round. */
-GString *page_write(GArray *records, bool plain)
+GString *record_page_encode(GArray *entries, bool is_legacy)
 {
-    g_array_sort(records, by_host_first);
-    GString *by_host = write_in_order(records, false, plain);
-    g_array_sort(records, by_job_first);
-    GString *by_job = write_in_order(records, true, plain);
-    GString *longer = by_job->len <= by_host->len ? by_host : by_job;
+    g_array_sort(entries, compare_by_machine);
+    GString *by_machine = encode_in_order(entries, false, is_legacy);
+    g_array_sort(entries, compare_by_job);
+    GString *by_job = encode_in_order(entries, true, is_legacy);
+    GString *longer = by_job->len <= by_machine->len ? by_machine : by_job;
     g_string_free(longer, TRUE);
-    return longer == by_host ? by_job : by_host;
+    return longer == by_machine ? by_job : by_machine;
 }
 
-gsize page_length(GArray *records, bool plain, gsize *least)
+gsize record_page_encoded_bytes(GArray *entries, bool is_legacy, gsize *shortest_bytes)
 {
-    g_array_sort(records, by_host_first);
-    GString *by_host = write_in_order(records, false, plain);
-    g_array_sort(records, by_job_first);
-    GString *by_job = write_in_order(records, true, plain);
+    g_array_sort(entries, compare_by_machine);
+    GString *by_machine = encode_in_order(entries, false, is_legacy);
+    g_array_sort(entries, compare_by_job);
+    GString *by_job = encode_in_order(entries, true, is_legacy);
     gsize length = by_job->len;
-    *least = MIN(length, by_host->len);
-    g_string_free(by_host, TRUE);
+    *shortest_bytes = MIN(length, by_machine->len);
+    g_string_free(by_machine, TRUE);
     g_string_free(by_job, TRUE);
     return length;
 }
 
-static gsize digits(uint64_t v)
+static gsize count_digits(uint64_t value)
 {
     gsize n = 1;
-    while (v >= 10) {
-        v /= 10;
+    while (value >= 10) {
+        value /= 10;
         n++;
     }
     return n;
 }
 
-gsize page_cost(const struct page_rec *record, bool with_job, bool with_attempt)
+gsize record_page_entry_max_bytes(const struct record_page_entry *entry, bool has_job,
+                                  bool has_attempt)
 {
-    return strlen(record->host.s) + 2 + (record->about ? strlen(record->about) + 2 : 0) +
-           digits(record->index) + 1 + (with_job ? 0 : strlen(record->job.s) + 2) +
-           (with_job && with_attempt ? 0 : digits(record->attempt.v) + 2);
+    return strlen(entry->machine.text) + 2 +
+           (entry->description ? strlen(entry->description) + 2 : 0) +
+           count_digits(entry->task_index) + 1 + (has_job ? 0 : strlen(entry->job.text) + 2) +
+           (has_job && has_attempt ? 0 : count_digits(entry->attempt.value) + 2);
 }
 
 /* The next word of a page's text, which ends at a blank; NULL when there is none. */
-static const char *next_word(const char **at, size_t *len)
+static const char *next_word(const char **position, size_t *length)
 {
-    const char *word = *at + strspn(*at, " ");
-    *len = strcspn(word, " ");
-    *at = word + *len;
-    return *len ? word : NULL;
+    const char *word = *position + strspn(*position, " ");
+    *length = strcspn(word, " ");
+    *position = word + *length;
+    return *length ? word : NULL;
 }
 
 /* The name that a word holds behind its mark. */
-static const char *word_name(const char *beginning, const char *word, size_t len, char *name)
+static const char *copy_word_name(const char *prefix, const char *word, size_t length, char *name)
 {
-    g_strlcpy(name, beginning, NAME_SIZE);
-    strncat(name, word + 1, MIN(len - 1, NAME_SIZE - 1 - strlen(name)));
+    g_strlcpy(name, prefix, NAME_BUFFER_BYTES);
+    strncat(name, word + 1, MIN(length - 1, NAME_BUFFER_BYTES - 1 - strlen(name)));
     return name;
 }
 
-void page_read(const char *text, page_take take, void *ctx)
+void record_page_decode(const char *text, record_page_entry_callback callback, void *context)
 {
-    struct page_rec record = {0};
-    bool host = false, job = false;
-    size_t n;
-    char name[NAME_SIZE], beginning[NAME_SIZE] = "", *about = NULL;
-    for (const char *at = text, *word; (word = next_word(&at, &n));) {
+    struct record_page_entry entry = {0};
+    bool has_machine = false, has_job = false;
+    size_t length;
+    char name[NAME_BUFFER_BYTES], prefix[NAME_BUFFER_BYTES] = "", *description = NULL;
+    for (const char *position = text, *word; (word = next_word(&position, &length));) {
         if (*word == '^') {
-            word_name("", word, n, beginning);
+            copy_word_name("", word, length, prefix);
         } else if (*word == '@' || *word == '&') {
-            host =
-                host_id_from(&record.host, word_name(*word == '@' ? beginning : "", word, n, name));
-            g_clear_pointer(&about, g_free);
+            has_machine = machine_id_parse(
+                &entry.machine, copy_word_name(*word == '@' ? prefix : "", word, length, name));
+            g_clear_pointer(&description, g_free);
         } else if (*word == '=') {
-            g_free(about);
-            about = g_strndup(word + 1, n - 1);
+            g_free(description);
+            description = g_strndup(word + 1, length - 1);
         } else if (*word == '#') {
-            job = job_id_from(&record.job, word_name("", word, n, name));
+            has_job = job_id_parse(&entry.job, copy_word_name("", word, length, name));
         } else if (*word == '*') {
-            record.attempt.v = g_ascii_strtoull(word + 1, NULL, 10);
-        } else if (host && job) {
-            record.index = (uint32_t)strtoul(word, NULL, 10);
-            record.about = about;
-            take(ctx, &record);
+            entry.attempt.value = g_ascii_strtoull(word + 1, NULL, 10);
+        } else if (has_machine && has_job) {
+            entry.task_index = (uint32_t)strtoul(word, NULL, 10);
+            entry.description = description;
+            callback(context, &entry);
         }
     }
-    g_free(about);
+    g_free(description);
 }
 
 /* ---- what machines are ---- */
 
-void page_write_about(GString *text, host_id host, const char *about)
+void inventory_encode_machine(GString *text, machine_id machine, const char *description)
 {
-    g_string_append_printf(text, "@%s =%s ", host.s, about);
+    g_string_append_printf(text, "@%s =%s ", machine.text, description);
 }
 
-void page_read_about(const char *text, page_about take, void *ctx)
+void inventory_decode(const char *text, inventory_machine_callback callback, void *context)
 {
-    host_id host;
-    bool named = false;
-    size_t n;
-    char name[NAME_SIZE];
-    for (const char *at = text, *word; (word = next_word(&at, &n));) {
+    machine_id machine;
+    bool has_machine = false;
+    size_t length;
+    char name[NAME_BUFFER_BYTES];
+    for (const char *position = text, *word; (word = next_word(&position, &length));) {
         if (*word == '@') {
-            named = host_id_from(&host, word_name("", word, n, name));
-        } else if (*word == '=' && named) {
-            char *about = g_strndup(word + 1, n - 1);
-            take(ctx, host, about);
-            g_free(about);
+            has_machine = machine_id_parse(&machine, copy_word_name("", word, length, name));
+        } else if (*word == '=' && has_machine) {
+            char *description = g_strndup(word + 1, length - 1);
+            callback(context, machine, description);
+            g_free(description);
         }
     }
 }
 
 /* ---- what is done ---- */
 
-void bits_grow(GByteArray *bits, guint len)
+void bitmap_grow(GByteArray *bitmap, guint length_bytes)
 {
-    guint old = bits->len;
-    if (old >= len)
+    guint old_length = bitmap->len;
+    if (old_length >= length_bytes)
         return;
-    g_byte_array_set_size(bits, len);
-    memset(bits->data + old, 0, len - old);
+    g_byte_array_set_size(bitmap, length_bytes);
+    memset(bitmap->data + old_length, 0, length_bytes - old_length);
 }
 
-void bits_merge(GByteArray *to, const GByteArray *from)
+void bitmap_merge(GByteArray *to, const GByteArray *from)
 {
-    bits_grow(to, from->len);
+    bitmap_grow(to, from->len);
     for (guint i = 0; i < from->len; i++)
         to->data[i] |= from->data[i];
 }
 
-gsize page_done_cost(job_id job, uint32_t unit, guint bytes, bool plain)
+gsize completions_max_bytes(job_id job, uint32_t unit, guint bitmap_bytes, bool is_legacy)
 {
-    guint before = plain ? unit % CHUNK_UNITS * MARK_BYTES : 0;
-    return strlen(job.s) + NUMBER_BYTES + 2 * (gsize)(before + bytes);
+    guint leading_bytes = is_legacy ? unit % CHUNK_UNITS * COMPLETION_UNIT_BYTES : 0;
+    return strlen(job.text) + MAX_NUMBER_BYTES + 2 * (gsize)(leading_bytes + bitmap_bytes);
 }
 
-void page_write_done(GString *text, job_id job, uint32_t unit, const GByteArray *bits, bool plain)
+void completions_encode(GString *text, job_id job, uint32_t unit, const GByteArray *bits,
+                        bool is_legacy)
 {
     static const char digits[] = "0123456789abcdef";
-    guint n = bits->len, offset = unit % CHUNK_UNITS * MARK_BYTES;
-    while (n && !bits->data[n - 1])
-        n--;
-    g_string_append_printf(text, "#%s %u", job.s, unit / CHUNK_UNITS);
-    if (offset && !plain)
+    guint used_bytes = bits->len, offset = unit % CHUNK_UNITS * COMPLETION_UNIT_BYTES;
+    while (used_bytes && !bits->data[used_bytes - 1])
+        used_bytes--;
+    g_string_append_printf(text, "#%s %u", job.text, unit / CHUNK_UNITS);
+    if (offset && !is_legacy)
         g_string_append_printf(text, "+%u", offset);
     g_string_append_c(text, ':');
-    for (guint i = 0; plain && i < offset; i++)
+    for (guint i = 0; is_legacy && i < offset; i++)
         g_string_append(text, "00");
-    for (guint i = 0; i < n; i++) {
+    for (guint i = 0; i < used_bytes; i++) {
         g_string_append_c(text, digits[bits->data[i] >> 4]);
         g_string_append_c(text, digits[bits->data[i] & 15]);
     }
@@ -265,46 +279,47 @@
 }
 
 /* A word may hold the bits of several units. */
-static void read_bits(job_id job, uint32_t unit, const char *hex, size_t len, page_unit take,
-                      void *ctx)
+static void decode_bits(job_id job, uint32_t unit, const char *hex_digits, size_t length,
+                        completions_callback callback, void *context)
 {
-    for (size_t at = 0; at < len; unit++) {
+    for (size_t position = 0; position < length; unit++) {
         GByteArray *bytes = g_byte_array_new();
-        bool any = false;
-        for (guint i = 0; i < MARK_BYTES && at + 1 < len; i++, at += 2) {
-            int high = g_ascii_xdigit_value(hex[at]), low = g_ascii_xdigit_value(hex[at + 1]);
-            guint8 b = high < 0 || low < 0 ? 0 : (guint8)(high << 4 | low);
-            any = any || b;
-            g_byte_array_append(bytes, &b, 1);
+        bool has_bits = false;
+        for (guint i = 0; i < COMPLETION_UNIT_BYTES && position + 1 < length; i++, position += 2) {
+            int high = g_ascii_xdigit_value(hex_digits[position]),
+                low = g_ascii_xdigit_value(hex_digits[position + 1]);
+            guint8 byte = high < 0 || low < 0 ? 0 : (guint8)(high << 4 | low);
+            has_bits = has_bits || byte;
+            g_byte_array_append(bytes, &byte, 1);
         }
-        if (any)
-            take(ctx, job, unit, bytes);
+        if (has_bits)
+            callback(context, job, unit, bytes);
         g_byte_array_unref(bytes);
-        if (at + 1 >= len)
+        if (position + 1 >= length)
             return;
     }
 }
 
-void page_read_done(const char *text, page_unit take, void *ctx)
+void completions_decode(const char *text, completions_callback callback, void *context)
 {
     job_id job;
-    bool named = false;
-    size_t n;
-    char name[NAME_SIZE];
-    for (const char *at = text, *word; (word = next_word(&at, &n));) {
+    bool has_job = false;
+    size_t length;
+    char name[NAME_BUFFER_BYTES];
+    for (const char *position = text, *word; (word = next_word(&position, &length));) {
         if (*word == '#') {
-            named = job_id_from(&job, word_name("", word, n, name));
-        } else if (named && g_ascii_isdigit(*word)) {
+            has_job = job_id_parse(&job, copy_word_name("", word, length, name));
+        } else if (has_job && g_ascii_isdigit(*word)) {
             char *rest;
             unsigned long chunk = strtoul(word, &rest, 10), offset = 0;
             if (*rest == '+')
                 offset = strtoul(rest + 1, &rest, 10);
-            if (*rest != ':' || chunk >= MOST_CHUNKS || offset >= CHUNK_BYTES ||
-                offset % MARK_BYTES)
+            if (*rest != ':' || chunk >= MAX_CHUNKS || offset >= CHUNK_BYTES ||
+                offset % COMPLETION_UNIT_BYTES)
                 continue;
             rest++;
-            read_bits(job, (uint32_t)(chunk * CHUNK_UNITS + offset / MARK_BYTES), rest,
-                      (size_t)(at - rest), take, ctx);
+            decode_bits(job, (uint32_t)(chunk * CHUNK_UNITS + offset / COMPLETION_UNIT_BYTES), rest,
+                        (size_t)(position - rest), callback, context);
         }
     }
 }
--- a/src/replica/record_page_codec.h
+++ b/src/replica/record_page_codec.h
@@ -16,51 +16,55 @@
 #include "types.h"
 
 enum {
-    MARK_BYTES = 128,            /* of bits, at most, that are written and move as one */
-    MARK_TASKS = 8 * MARK_BYTES, /* and the tasks that they stand for */
+    COMPLETION_UNIT_BYTES = 128, /* of bits, at most, that are written and move as one */
+    COMPLETION_UNIT_TASKS = 8 * COMPLETION_UNIT_BYTES, /* and the tasks that they stand for */
 };
 
-struct page_rec {
-    host_id host;
+struct record_page_entry {
+    machine_id machine;
     job_id job;
     attempt_no attempt;
-    uint32_t index;
-    const char *about; /* what the page says of the machine; NULL: nothing */
+    uint32_t task_index;
+    const char *description; /* what the page says of the machine; NULL: nothing */
 };
 
 /* The same records always give the same text, and fewer never a longer one (but for two bytes), in
  * whatever order they come: so what was on a page fits on it again, whoever writes it. Sorts them.
  */
-GString *page_write(GArray *records, bool plain);
-/* How long that would be with the job first, the order in which page_cost reckons; least: how long
- * it is. */
-gsize page_length(GArray *records, bool plain, gsize *least);
+GString *record_page_encode(GArray *entries, bool is_legacy);
+/* How long that would be with the job first, the order in which record_page_entry_max_bytes
+ * reckons; least: how long it is. */
+gsize record_page_encoded_bytes(GArray *entries, bool is_legacy, gsize *shortest_bytes);
 /* What one more record adds to the text at most. with_job, with_attempt: the page has records of
  * that job, and of that attempt, already. */
-gsize page_cost(const struct page_rec *record, bool with_job, bool with_attempt);
+gsize record_page_entry_max_bytes(const struct record_page_entry *entry, bool has_job,
+                                  bool has_attempt);
 /* Calls back for every record, in the order of the text; about, where it is said: valid for the
  * call. */
-typedef void (*page_take)(void *ctx, const struct page_rec *record);
-void page_read(const char *text, page_take take, void *ctx);
+typedef void (*record_page_entry_callback)(void *ctx, const struct record_page_entry *record);
+void record_page_decode(const char *text, record_page_entry_callback callback, void *context);
 
 /* Makes an array of bits at least so long, with zeros. */
-void bits_grow(GByteArray *bits, guint len);
+void bitmap_grow(GByteArray *bitmap, guint length_bytes);
 /* Sets all that are set in the other. */
-void bits_merge(GByteArray *to, const GByteArray *from);
-/* unit: counts by MARK_TASKS. The bits of a task lie at its number less the unit's first. */
-void page_write_done(GString *text, job_id job, uint32_t unit, const GByteArray *bits, bool plain);
+void bitmap_merge(GByteArray *to, const GByteArray *from);
+/* unit: counts by COMPLETION_UNIT_TASKS. The bits of a task lie at its number less the unit's
+ * first. */
+void completions_encode(GString *text, job_id job, uint32_t unit, const GByteArray *bits,
+                        bool is_legacy);
 /* What that takes at most for bits of so many bytes. */
-gsize page_done_cost(job_id job, uint32_t unit, guint bytes, bool plain);
+gsize completions_max_bytes(job_id job, uint32_t unit, guint bitmap_bytes, bool is_legacy);
 /* Calls back for every unit of a text of done tasks. */
-typedef void (*page_unit)(void *ctx, job_id job, uint32_t unit, const GByteArray *bits);
-void page_read_done(const char *text, page_unit take, void *ctx);
+typedef void (*completions_callback)(void *ctx, job_id job, uint32_t unit, const GByteArray *bits);
+void completions_decode(const char *text, completions_callback callback, void *context);
 
 /* A text that only says what machines are. */
-void page_write_about(GString *text, host_id host, const char *about);
-typedef void (*page_about)(void *ctx, host_id host, const char *about);
-void page_read_about(const char *text, page_about take, void *ctx);
+void inventory_encode_machine(GString *text, machine_id machine, const char *description);
+typedef void (*inventory_machine_callback)(void *ctx, machine_id host, const char *about);
+void inventory_decode(const char *text, inventory_machine_callback callback, void *context);
 
 /* What a page may say of a machine; NULL when it cannot be said in one word. */
-char *machine_about(const char *addr, const char *type_name, const char *zone, bool spot);
+char *machine_description_encode(const char *address, const char *machine_type_name,
+                                 const char *zone, bool is_spot);
 
 #endif
--- a/src/replica/replica.h
+++ b/src/replica/replica.h
@@ -1,4 +1,4 @@
-/* Every node's replica of our keys (view_keys.h), at a revision, kept up by one watch.
+/* Every node's replica of our keys (kv_keys.h), at a revision, kept up by one watch.
  *
  * A node's changes go to one page or a few, however many machines they are on: writes are what the
  * state service has least of. The view owns all records below;
@@ -17,203 +17,206 @@
     NODE_VERSION_FIRST = 0, /* nothing is said */
     /* Jobs may need others, a machine's records may be on several pages, and marks may begin within
      * a chunk. */
-    NODE_VERSION_PIPELINES = 1,
+    NODE_VERSION_JOB_DAG = 1,
     /* Nothing is placed on machines that are on record to be returned. */
-    NODE_VERSION_DUTIES = 2,
-    NODE_VERSION = NODE_VERSION_DUTIES, /* of this program */
+    NODE_VERSION_SINGLETON_ROLES = 2,
+    NODE_VERSION_CURRENT = NODE_VERSION_SINGLETON_ROLES, /* of this program */
 };
 
 /* What became of a job. */
-enum job_state { JOB_LIVE, JOB_CANCELLED, JOB_DONE };
+enum job_state { JOB_ACTIVE, JOB_CANCELLED, JOB_DONE };
 
 /* A job, as far as keys name it. */
 struct job {
     job_id id;
-    bool known; /* its key was seen, not only what hangs on it */
-    bool over;  /* its key will not change any more */
+    bool is_known;    /* its key was seen, not only what hangs on it */
+    bool is_finished; /* its key will not change any more */
     enum job_state state;
-    revision stamp;
-    struct spec *spec; /* NULL once it is over for good */
-    wall_time submitted;
-    wall_time since; /* when it could first have begun: the last job that it needs was done */
-    wall_time ended; /* 0: not over, or not known */
-    wall_time due;   /* by which it has to be done, also for those that need it */
-    int urgency;     /* the highest of its own and of those that need it */
-    bool waits;      /* for jobs that it needs: no task of it may start */
-    bool upstream_cancelled; /* a job that it needs is cancelled, and so it is */
+    revision mod_revision;
+    struct job_spec *spec; /* NULL once it is over for good */
+    wall_time submitted_at;
+    wall_time eligible_at; /* when it could first have begun: the last job that it needs was done */
+    wall_time ended_at;    /* 0: not over, or not known */
+    wall_time inherited_deadline;  /* by which it has to be done, also for those that need it */
+    int inherited_priority;        /* the highest of its own and of those that need it */
+    bool has_pending_dependencies; /* for jobs that it needs: no task of it may start */
+    bool is_upstream_cancelled;    /* a job that it needs is cancelled, and so it is */
     revision cancelled_at;
-    GByteArray *done; /* a bit a task; NULL when none is */
-    uint32_t tasks, n_done;
-    GHashTable *placed; /* index + 1 -> struct placed; NULL when none is */
+    GByteArray *completion_bits; /* a bit a task; NULL when none is */
+    uint32_t task_count, completed_count;
+    GHashTable *run_records; /* index + 1 -> struct record_state; NULL when none is */
 };
 
 /* A recorded task: it is on its machine, or may be, until a proof frees it. */
-struct placed {
+struct run_record {
     struct job *job;
-    uint32_t index;
+    uint32_t task_index;
     attempt_no attempt;
-    struct host_record *host;
-    struct page *page;
-    uint64_t read; /* counts readings of its page */
+    struct machine_record *machine;
+    struct record_page *page;
+    uint64_t page_generation; /* counts readings of its page */
 };
 
 /* A machine that some key names. */
-struct host_record {
-    host_id id;
-    char addr[24], type_name[48], zone[48];
-    bool spot;
-    revision stamp;              /* 0: only pages name it */
-    GPtrArray *tasks;            /* struct placed */
-    GPtrArray *images;           /* interned names of what was fetched before, the newest last */
-    char *about;                 /* see view_about */
-    struct inventory *inventory; /* that says what it is; NULL: none does */
+struct machine_record {
+    machine_id id;
+    char address[24], machine_type_name[48], zone[48];
+    bool is_spot;
+    revision mod_revision;    /* 0: only pages name it */
+    GPtrArray *run_records;   /* struct record_state */
+    GPtrArray *cached_images; /* interned names of what was fetched before, the newest last */
+    char *description;        /* see replica_get_machine_description */
+    struct machine_inventory *inventory; /* that says what it is; NULL: none does */
 };
 
 /* A list of machines and what they are, of one node: as long as it stands, pages need not say it.
  */
-struct inventory {
+struct machine_inventory {
     char *key, *label;
     int number;
-    revision stamp;
-    GPtrArray *hosts; /* struct host_record */
+    revision mod_revision;
+    GPtrArray *machines; /* struct machine_record */
 };
 
 /* Part of the run records: of the machines of one node, as that node wrote it. After a change of
  * owners it may hold records of machines that others own, until these have taken them over. */
-struct page {
+struct record_page {
     char *key, *label;
     int number;
-    revision stamp;
-    GPtrArray *tasks; /* struct placed */
-    char *done;       /* tasks that are done, as they are written */
-    gsize bytes;      /* of its texts */
-    uint64_t read;
+    revision mod_revision;
+    GPtrArray *run_records; /* struct record_state */
+    char *completions_text; /* tasks that are done, as they are written */
+    gsize size_bytes;       /* of its texts */
+    uint64_t generation;
 };
 
 /* A live node, as its key says. */
 struct node_record {
     char *label;
-    char back[24];
+    char rpc_address[24];
     lease_id incarnation;
-    revision stamp;
-    uint64_t version;  /* of what it understands: see enum node_version */
-    bool wants_duties; /* its operators have switched them on */
+    revision mod_revision;
+    uint64_t understood_version; /* of what it understands: see enum node_version */
+    bool wants_singleton_roles;  /* its operators have switched them on */
 };
 
 /* A node in the map, as the process that it was then. */
-struct map_entry {
+struct shard_map_entry {
     char *label;
     lease_id incarnation;
 };
 
-/* What a struct change is about. */
-enum change_kind {
-    CHANGE_JOB,
-    CHANGE_PLACED,
-    CHANGE_FREED,
-    CHANGE_HOST,
-    CHANGE_PAGE,
-    CHANGE_INVENTORY,
-    CHANGE_NODES,
-    CHANGE_LEADER,
-    CHANGE_MAP,
-    CHANGE_TYPES,
-    CHANGE_DUTIES,    /* who holds them, or whether they are on */
-    CHANGE_RETURNING, /* it came on record, or left it, that the machine is to be returned */
-    CHANGE_RELOADED,  /* changes in between were lost */
+/* What a struct replica_event is about. */
+enum replica_event_kind {
+    REPLICA_EVENT_JOB,
+    REPLICA_EVENT_RUN_RECORDED,
+    REPLICA_EVENT_RUN_REMOVED,
+    REPLICA_EVENT_MACHINE,
+    REPLICA_EVENT_PAGE,
+    REPLICA_EVENT_INVENTORY,
+    REPLICA_EVENT_NODES,
+    REPLICA_EVENT_LEADER,
+    REPLICA_EVENT_SHARD_MAP,
+    REPLICA_EVENT_MACHINE_TYPES,
+    REPLICA_EVENT_SINGLETON_ROLES, /* who holds them, or whether they are on */
+    REPLICA_EVENT_MACHINE_RETURN,  /* it came on record, or left it, that the machine is to be
+                                      returned */
+    REPLICA_EVENT_RELOADED,        /* changes in between were lost */
 };
 
 /* A change that listeners are told; fields that its kind has no use for are zero. */
-struct change {
-    enum change_kind kind;
+struct replica_event {
+    enum replica_event_kind kind;
     job_id job;
-    uint32_t index;
+    uint32_t task_index;
     attempt_no attempt;
-    host_id host;
-    char page[72]; /* key */
+    machine_id machine;
+    char page_key[72]; /* key */
 };
 
-/* The replica. Others read it and set most_over only. */
-struct view {
+/* The replica. Others read it and set max_finished_jobs only. */
+struct replica {
     struct loop *loop;
-    struct store *store;
-    bool ready;
-    bool older; /* there are records of an earlier version */
-    revision at;
-    mono_time fresh;         /* the view was the newest then */
-    mono_time before;        /* and the one before then: what is new here came after that */
-    GHashTable *jobs;        /* id -> struct job */
-    GHashTable *hosts;       /* id -> struct host_record */
-    GHashTable *pages;       /* key -> struct page */
-    GHashTable *inventories; /* key -> struct inventory */
-    GHashTable *nodes;       /* label -> struct node_record */
-    GHashTable *spoken;      /* label -> version that a process of it has said it understands */
-    uint64_t node_changes;   /* counts changes of these two */
-    struct pipeline *pipeline;
-    char *leader; /* label, or NULL */
+    struct kv_client *kv;
+    bool is_ready;
+    bool has_legacy_records; /* there are records of an earlier version */
+    revision applied_revision;
+    mono_time fresh_at;          /* the view was the newest then */
+    mono_time previous_fresh_at; /* and the one before then: what is new here came after that */
+    GHashTable *jobs;            /* id -> struct job */
+    GHashTable *machines;        /* id -> struct machine_record */
+    GHashTable *pages;           /* key -> struct record_page */
+    GHashTable *inventories;     /* key -> struct machine_inventory */
+    GHashTable *nodes;           /* label -> struct node_record */
+    GHashTable
+        *announced_versions;    /* label -> version that a process of it has said it understands */
+    uint64_t node_change_count; /* counts changes of these two */
+    struct job_dag *job_dag;
+    char *leader_label; /* label, or NULL */
     lease_id leader_incarnation;
-    revision leader_stamp;
-    epoch_no epoch;
-    revision map_stamp;
-    GArray *map; /* struct map_entry */
-    GArray *types;
-    GHashTable *type_parts; /* key -> struct type_part */
-    struct duty_table *duties;
-    bool duties_on;          /* for all nodes, as ll/features says */
-    revision features_stamp; /* of that key */
+    revision leader_mod_revision;
+    epoch_no shard_map_epoch;
+    revision shard_map_mod_revision;
+    GArray *shard_map; /* struct shard_map_entry */
+    GArray *machine_types;
+    GHashTable *machine_type_parts; /* key -> struct machine_type_part */
+    struct role_records *singleton_roles;
+    bool singleton_roles_enabled;   /* for all nodes, as ll/features says */
+    revision features_mod_revision; /* of that key */
     /* Jobs that are over stay in the state service; beyond so many the oldest are not kept here,
      * and whoever asks about one that is not known has to read its key. */
-    guint most_over;
-    bool forgot; /* some were */
+    guint max_finished_jobs;
+    bool has_evicted_jobs; /* some were */
     /* private */
-    GQueue over;        /* ids, oldest first */
-    GHashTable *stamps; /* key -> revision, of every key */
+    GQueue finished_job_ids;   /* ids, oldest first */
+    GHashTable *mod_revisions; /* key -> revision, of every key */
     GPtrArray *listeners;
-    GArray *changes;
+    GArray *pending_events;
     GArray *waiters;
     struct timer watch_timer, expire_timer;
-    double watch_level;
-    mono_time watch_at, asked;
-    mono_time sought_at; /* jobs that others need were last asked for */
-    guint sought;        /* and are not answered yet */
-    GHashTable *reload_seen;
-    char *reload_from;
-    revision reload_base;
+    double watch_tokens;
+    mono_time watch_refilled_at, requested_at;
+    mono_time lookup_started_at; /* jobs that others need were last asked for */
+    guint lookups_in_flight;     /* and are not answered yet */
+    GHashTable *reload_seen_keys;
+    char *reload_last_key;
+    revision reload_base_revision;
 };
 
-/* The message that listeners get: its body is a GArray of struct change, in their order. */
-enum { MSG_VIEW = 100 };
+/* The message that listeners get: its body is a GArray of struct replica_event, in their order. */
+enum { MSG_REPLICA = 100 };
 
 /* Makes one that knows nothing yet. */
-struct view *view_new(struct loop *loop, struct store *store);
+struct replica *replica_new(struct loop *loop, struct kv_client *kv);
 /* Frees it with all records. */
-void view_free(struct view *view);
-/* Sends MSG_VIEW to the listener from now on. */
-void view_listen(struct view *view, struct actor *listener);
+void replica_free(struct replica *replica);
+/* Sends MSG_REPLICA to the listener from now on. */
+void replica_add_listener(struct replica *replica, struct actor *listener);
 /* Begins to read all keys, and then watches. */
-void view_start(struct view *view);
+void replica_start(struct replica *replica);
 
 /* The job of that id, or NULL; it may be one that only pages name: see known. */
-struct job *view_job(struct view *view, const char *id);
+struct job *replica_get_job(struct replica *replica, const char *id);
 /* The machine of that id, or NULL. */
-struct host_record *view_host(struct view *view, const char *id);
+struct machine_record *replica_get_machine(struct replica *replica, const char *id);
 /* The run record of a task, or NULL. */
-struct placed *job_placed(const struct job *job, uint32_t index);
+struct run_record *job_get_run_record(const struct job *job, uint32_t task_index);
 /* Whether a task is marked as done. */
-bool job_task_done(const struct job *job, uint32_t index);
+bool job_is_task_completed(const struct job *job, uint32_t task_index);
 /* What is kept of a job that is over; false when the value is of one that is not. */
-bool job_read_final(struct job *job, json_object *value);
+bool job_decode_final(struct job *job, json_object *value);
 /* The value of a job that is over. */
-json_object *job_final_value(enum job_state final, uint32_t tasks, wall_time ended);
+json_object *job_encode_final(enum job_state final_state, uint32_t task_count, wall_time ended_at);
 
 /* Calls back once the view is at or past a revision that was the newest after this call; ok is
  * false when that takes too long. */
-typedef void (*view_done)(void *arg, bool ok);
-void view_barrier(struct view *view, view_done done, void *arg);
+typedef void (*replica_callback)(void *arg, bool ok);
+void replica_read_barrier(struct replica *replica, replica_callback callback, void *callback_arg);
 /* The same for a revision that is known. */
-void view_await(struct view *view, revision at, view_done done, void *arg);
+void replica_await_revision(struct replica *replica, revision revision_needed,
+                            replica_callback callback, void *callback_arg);
 
 /* What a page has to say of a machine, as far as the view knows it; NULL: nothing. */
-const char *view_about(struct view *view, const char *host);
+const char *replica_get_machine_description(struct replica *replica, const char *machine_name);
 
 #endif
--- a/src/replica/replica_internal.h
+++ b/src/replica/replica_internal.h
@@ -1,10 +1,11 @@
 /* What the modules of the view share; nobody else includes this.
  *
- * view.c owns the struct, its listeners and the dispatch of a key to the module that reads its
- * value: view_job.c jobs and the pipeline's facts, view_host.c machines and lists of them,
- * view_page.c pages and the run records on them, view_cluster.c nodes, leader, map and machine
- * types. view_sync.c owns the watch and the reading of everything, view_seek.c reads of jobs that
- * are needed and not in memory, view_wait.c the read barrier and those who wait for a revision. */
+ * replica.c owns the struct, its listeners and the dispatch of a key to the module that reads its
+ * value: jobs.c jobs and the pipeline's facts, machines.c machines and lists of them,
+ * run_records.c pages and the run records on them, cluster_records.c nodes, leader, map and machine
+ * types. watch.c owns the watch and the reading of everything, job_lookup.c reads of jobs that
+ * are needed and not in memory, read_barrier.c the read barrier and those who wait for a revision.
+ */
 #ifndef LL_VIEW_STATE_H
 #define LL_VIEW_STATE_H
 
@@ -12,100 +13,109 @@
 #include "replica.h"
 
 /* How often those are looked for who have waited too long, and jobs that are needed. */
-enum { VIEW_EXPIRE_EVERY_MS = 200 };
+enum { EXPIRY_CHECK_INTERVAL_MS = 200 };
 
-/* ---- view.c ---- */
+/* ---- replica.c ---- */
 
 /* Copies a text field if it is there; a longer one is cut. */
-void view_copy_text(json_object *value, const char *field, char *out, size_t size);
+void replica_copy_text(json_object *value, const char *field, char *out, size_t size);
 /* Adds to what listeners are told next. */
-void view_note_change(struct view *view, struct change change);
-/* Forgets the oldest jobs that are over, beyond view->most_over. */
-void view_forget_finished(struct view *view);
+void replica_add_event(struct replica *replica, struct replica_event event);
+/* Forgets the oldest jobs that are over, beyond view->max_finished_jobs. */
+void replica_evict_finished_jobs(struct replica *replica);
 /* Tells the listeners what changed, and those who wait for a revision that it is here. */
-void view_publish(struct view *view);
+void replica_publish_events(struct replica *replica);
 /* Takes a key's value at a revision, unless a newer one is known; value NULL: it was removed. */
-void view_apply(struct view *view, const char *key, json_object *value, revision stamp);
+void replica_apply(struct replica *replica, const char *key, json_object *value,
+                   revision mod_revision);
 
-/* ---- view_job.c ---- */
+/* ---- jobs.c ---- */
 
 /* Finds a job or makes one that only other keys name; NULL: that is no id. */
-struct job *view_job_make(struct view *view, const char *id);
+struct job *replica_get_or_create_job(struct replica *replica, const char *id);
 /* GDestroyNotify of struct job. */
-void view_job_free(gpointer p);
+void replica_job_free(gpointer p);
 /* Takes the value of ll/j/ID. */
-void view_apply_job(struct view *view, const char *id, json_object *value, revision stamp);
-/* page_unit: adds the tasks that a page says are done; ctx is the view. */
-void view_merge_done(void *ctx, job_id id, uint32_t unit, const GByteArray *bits);
-/* pipeline_new's callback: what a job gets from those that it needs and that need it. */
-void view_pipeline_changed(void *ctx, const char *id, const struct pipe_facts *facts);
+void replica_apply_job(struct replica *replica, const char *id, json_object *value,
+                       revision mod_revision);
+/* completions_callback: adds the tasks that a page says are done; ctx is the view. */
+void replica_merge_completions(void *context, job_id id, uint32_t unit, const GByteArray *bits);
+/* job_dag_new's callback: what a job gets from those that it needs and that need it. */
+void replica_on_job_dag_change(void *context, const char *id,
+                               const struct job_dag_state *dag_state);
 
-/* ---- view_host.c ---- */
+/* ---- machines.c ---- */
 
 /* Finds a machine or makes one that is named for the first time; NULL: that is no id. */
-struct host_record *view_host_make(struct view *view, const char *id);
+struct machine_record *replica_get_or_create_machine(struct replica *replica, const char *id);
 /* Forgets a machine that nothing names any more. */
-void view_host_leave(struct view *view, struct host_record *record);
+void replica_remove_unused_machine(struct replica *replica, struct machine_record *machine);
 /* Takes what a page or a list says of a machine, unless its own key says it. */
-void view_host_read_about(struct host_record *record, const char *about);
-/* GDestroyNotify of struct host_record. */
-void view_host_free(gpointer p);
-/* GDestroyNotify of struct inventory. */
-void view_inventory_free(gpointer p);
+void machine_apply_description(struct machine_record *machine, const char *description);
+/* GDestroyNotify of struct machine_record. */
+void replica_machine_free(gpointer p);
+/* GDestroyNotify of struct machine_inventory. */
+void replica_inventory_free(gpointer p);
 /* Takes the value of ll/h/ID. */
-void view_apply_host(struct view *view, const char *id, json_object *value, revision stamp);
+void replica_apply_machine(struct replica *replica, const char *id, json_object *value,
+                           revision mod_revision);
 /* Takes the value of ll/a/LABEL/N. */
-void view_apply_inventory(struct view *view, const char *key, json_object *value, revision stamp);
+void replica_apply_inventory(struct replica *replica, const char *key, json_object *value,
+                             revision mod_revision);
 
-/* ---- view_page.c ---- */
+/* ---- run_records.c ---- */
 
-/* GDestroyNotify of struct page. */
-void view_page_free(gpointer p);
+/* GDestroyNotify of struct record_page. */
+void replica_page_free(gpointer p);
 /* Takes the value of ll/p/LABEL/N. */
-void view_apply_page(struct view *view, const char *key, json_object *value, revision stamp);
+void replica_apply_page(struct replica *replica, const char *key, json_object *value,
+                        revision mod_revision);
 
-/* ---- view_cluster.c ---- */
+/* ---- cluster_records.c ---- */
 
 /* GDestroyNotify of struct node_record. */
-void view_node_free(gpointer p);
-/* Frees what a struct map_entry holds. */
-void view_map_entry_clear(gpointer p);
-/* GDestroyNotify of the values of view->type_parts. */
-void view_type_part_free(gpointer p);
+void replica_node_free(gpointer p);
+/* Frees what a struct shard_map_entry holds. */
+void shard_map_entry_clear(gpointer p);
+/* GDestroyNotify of the values of view->machine_type_parts. */
+void machine_type_part_free(gpointer p);
 /* Takes the value of ll/n/LABEL. */
-void view_apply_node(struct view *view, const char *label, json_object *value, revision stamp);
+void replica_apply_node(struct replica *replica, const char *label, json_object *value,
+                        revision mod_revision);
 /* Takes the value of ll/v/LABEL. */
-void view_apply_version(struct view *view, const char *label, json_object *value);
+void replica_apply_version(struct replica *replica, const char *label, json_object *value);
 /* Takes the value of ll/leader. */
-void view_apply_leader(struct view *view, json_object *value, revision stamp);
+void replica_apply_leader(struct replica *replica, json_object *value, revision mod_revision);
 /* Takes the value of ll/map. */
-void view_apply_map(struct view *view, json_object *value, revision stamp);
+void replica_apply_shard_map(struct replica *replica, json_object *value, revision mod_revision);
 /* Takes the value of ll/features. */
-void view_apply_features(struct view *view, json_object *value, revision stamp);
+void replica_apply_features(struct replica *replica, json_object *value, revision mod_revision);
 /* Takes the value of a key of the duties, if it is one. */
-void view_apply_duty(struct view *view, const char *key, json_object *value, revision stamp);
+void replica_apply_singleton_role(struct replica *replica, const char *key, json_object *value,
+                                  revision mod_revision);
 /* Takes the value of ll/types or one of its continuations. */
-void view_apply_types(struct view *view, const char *key, json_object *value, revision stamp);
+void replica_apply_machine_types(struct replica *replica, const char *key, json_object *value,
+                                 revision mod_revision);
 
-/* ---- view_sync.c ---- */
+/* ---- watch.c ---- */
 
 /* Reads all keys, then watches. */
-void view_reload(struct view *view);
+void replica_reload(struct replica *replica);
 /* Timer's callback: sends the next watch once there is budget for it. */
-void view_watch(void *arg);
+void replica_watch(void *arg);
 
-/* ---- view_seek.c ---- */
+/* ---- job_lookup.c ---- */
 
 /* Reads jobs that another one needs and that have been over for so long that they were not kept. */
-void view_seek_unknown(struct view *view);
+void replica_lookup_unknown_jobs(struct replica *replica);
 
-/* ---- view_wait.c ---- */
+/* ---- read_barrier.c ---- */
 
 /* Makes the list of those who wait for a revision. */
-GArray *view_waiters_new(void);
+GArray *replica_waiters_new(void);
 /* Calls those back whose revision is here. */
-void view_tell_waiters(struct view *view);
+void replica_notify_waiters(struct replica *replica);
 /* Timer's callback: calls those back who have waited too long. */
-void view_expire(void *arg);
+void replica_expire_waiters(void *arg);
 
 #endif
--- a/src/replica/run_records.c
+++ b/src/replica/run_records.c
@@ -1,144 +1,150 @@
 #include "replica_internal.h"
 
-void view_page_free(gpointer p)
+void replica_page_free(gpointer p)
 {
-    struct page *page = p;
-    g_ptr_array_unref(page->tasks);
+    struct record_page *page = p;
+    g_ptr_array_unref(page->run_records);
     g_free(page->key);
     g_free(page->label);
-    g_free(page->done);
+    g_free(page->completions_text);
     g_free(page);
 }
 
-static void placed_add(struct view *view, struct page *page, struct host_record *record,
-                       struct job *job, uint32_t index, attempt_no attempt)
+static void run_record_add(struct replica *replica, struct record_page *page,
+                           struct machine_record *machine, struct job *job, uint32_t task_index,
+                           attempt_no attempt)
 {
-    struct placed *placed = g_new(struct placed, 1);
-    *placed = (struct placed){job, index, attempt, record, page, page->read};
-    g_ptr_array_add(record->tasks, placed);
-    g_ptr_array_add(page->tasks, placed);
-    if (!job->placed)
-        job->placed = g_hash_table_new(NULL, NULL);
-    g_hash_table_insert(job->placed, GUINT_TO_POINTER(index + 1), placed);
-    view_note_change(view, (struct change){.kind = CHANGE_PLACED,
-                                           .job = job->id,
-                                           .index = index,
-                                           .attempt = attempt,
-                                           .host = record->id});
+    struct run_record *run_record = g_new(struct run_record, 1);
+    *run_record = (struct run_record){job, task_index, attempt, machine, page, page->generation};
+    g_ptr_array_add(machine->run_records, run_record);
+    g_ptr_array_add(page->run_records, run_record);
+    if (!job->run_records)
+        job->run_records = g_hash_table_new(NULL, NULL);
+    g_hash_table_insert(job->run_records, GUINT_TO_POINTER(task_index + 1), run_record);
+    replica_add_event(replica, (struct replica_event){.kind = REPLICA_EVENT_RUN_RECORDED,
+                                                      .job = job->id,
+                                                      .task_index = task_index,
+                                                      .attempt = attempt,
+                                                      .machine = machine->id});
 }
 
-static void placed_remove(struct view *view, struct placed *placed)
+static void run_record_remove(struct replica *replica, struct run_record *run_record)
 {
-    struct job *job = placed->job;
-    struct host_record *record = placed->host;
-    if (job_placed(job, placed->index) == placed)
-        g_hash_table_remove(job->placed, GUINT_TO_POINTER(placed->index + 1));
-    if (job->placed && g_hash_table_size(job->placed) == 0) {
-        g_hash_table_unref(job->placed);
-        job->placed = NULL;
+    struct job *job = run_record->job;
+    struct machine_record *machine = run_record->machine;
+    if (job_get_run_record(job, run_record->task_index) == run_record)
+        g_hash_table_remove(job->run_records, GUINT_TO_POINTER(run_record->task_index + 1));
+    if (job->run_records && g_hash_table_size(job->run_records) == 0) {
+        g_hash_table_unref(job->run_records);
+        job->run_records = NULL;
     }
-    view_note_change(view, (struct change){.kind = CHANGE_FREED,
-                                           .job = job->id,
-                                           .index = placed->index,
-                                           .attempt = placed->attempt,
-                                           .host = record->id});
-    g_ptr_array_remove_fast(record->tasks, placed); /* frees p */
+    replica_add_event(replica, (struct replica_event){.kind = REPLICA_EVENT_RUN_REMOVED,
+                                                      .job = job->id,
+                                                      .task_index = run_record->task_index,
+                                                      .attempt = run_record->attempt,
+                                                      .machine = machine->id});
+    g_ptr_array_remove_fast(machine->run_records, run_record); /* frees p */
 }
 
 /* A task that was read and is not on record yet. */
-struct fresh {
-    struct host_record *host;
+struct new_run_record {
+    struct machine_record *machine;
     struct job *job;
     attempt_no attempt;
-    uint32_t index;
+    uint32_t task_index;
 };
 
-struct page_reading {
-    struct view *view;
-    struct page *page;
-    GArray *fresh; /* struct fresh */
+struct page_reader {
+    struct replica *replica;
+    struct record_page *page;
+    GArray *new_records; /* struct new_run_record */
 };
 
 /* What is known is marked as read, the rest is put by. */
-static void read_task(void *ctx, const struct page_rec *record)
+static void apply_page_entry(void *context, const struct record_page_entry *entry)
 {
-    struct page_reading *reading = ctx;
-    struct page *page = reading->page;
-    struct host_record *h = view_host_make(reading->view, record->host.s);
-    struct job *job = view_job_make(reading->view, record->job.s);
-    if (!h || !job)
+    struct page_reader *reader = context;
+    struct record_page *page = reader->page;
+    struct machine_record *machine =
+        replica_get_or_create_machine(reader->replica, entry->machine.text);
+    struct job *job = replica_get_or_create_job(reader->replica, entry->job.text);
+    if (!machine || !job)
         return;
-    if (record->about)
-        view_host_read_about(h, record->about);
-    struct placed *placed = job_placed(job, record->index);
-    if (!placed || placed->host != h || placed->attempt.v != record->attempt.v) {
-        struct fresh fresh = {h, job, record->attempt, record->index};
-        g_array_append_val(reading->fresh, fresh);
+    if (entry->description)
+        machine_apply_description(machine, entry->description);
+    struct run_record *run_record = job_get_run_record(job, entry->task_index);
+    if (!run_record || run_record->machine != machine ||
+        run_record->attempt.value != entry->attempt.value) {
+        struct new_run_record new_record = {machine, job, entry->attempt, entry->task_index};
+        g_array_append_val(reader->new_records, new_record);
         return;
     }
-    if (placed->page != page) { /* it came from another page */
-        g_ptr_array_remove_fast(placed->page->tasks, placed);
-        g_ptr_array_add(page->tasks, placed);
+    if (run_record->page != page) { /* it came from another page */
+        g_ptr_array_remove_fast(run_record->page->run_records, run_record);
+        g_ptr_array_add(page->run_records, run_record);
     }
-    placed->page = page;
-    placed->read = page->read;
+    run_record->page = page;
+    run_record->page_generation = page->generation;
 }
 
-void view_apply_page(struct view *view, const char *key, json_object *value, revision stamp)
+void replica_apply_page(struct replica *replica, const char *key, json_object *value,
+                        revision mod_revision)
 {
-    struct page *page = g_hash_table_lookup(view->pages, key);
-    const char *text = "", *done = "";
+    struct record_page *page = g_hash_table_lookup(replica->pages, key);
+    const char *text = "", *completions = "";
     if (!page) {
         char *label;
         int number;
-        if (!value || !key_page_parts(key, &label, &number))
+        if (!value || !key_parse_page(key, &label, &number))
             return;
-        page = g_new0(struct page, 1);
+        page = g_new0(struct record_page, 1);
         page->key = g_strdup(key);
         page->label = label;
         page->number = number;
-        page->tasks = g_ptr_array_new();
-        g_hash_table_insert(view->pages, page->key, page);
+        page->run_records = g_ptr_array_new();
+        g_hash_table_insert(replica->pages, page->key, page);
     }
-    page->stamp = stamp;
-    page->read++;
-    json_text(value, "t", &text);
-    json_text(value, "d", &done);
-    page->bytes = strlen(text) + strlen(done);
-    GArray *fresh = g_array_new(FALSE, FALSE, sizeof(struct fresh));
-    GHashTable *left = g_hash_table_new(NULL, NULL); /* struct host_record that lost a task */
-    struct page_reading reading = {view, page, fresh};
-    page_read(text, read_task, &reading);
-    for (guint i = 0; i < page->tasks->len;) {
-        struct placed *placed = page->tasks->pdata[i];
-        if (placed->read == page->read) {
+    page->mod_revision = mod_revision;
+    page->generation++;
+    json_get_text(value, "t", &text);
+    json_get_text(value, "d", &completions);
+    page->size_bytes = strlen(text) + strlen(completions);
+    GArray *new_records = g_array_new(FALSE, FALSE, sizeof(struct new_run_record));
+    GHashTable *affected_machines =
+        g_hash_table_new(NULL, NULL); /* struct machine_record that lost a task */
+    struct page_reader reader = {replica, page, new_records};
+    record_page_decode(text, apply_page_entry, &reader);
+    for (guint i = 0; i < page->run_records->len;) {
+        struct run_record *run_record = page->run_records->pdata[i];
+        if (run_record->page_generation == page->generation) {
             i++;
             continue;
         }
-        g_ptr_array_remove_index_fast(page->tasks, i);
-        g_hash_table_add(left, placed->host);
-        placed_remove(view, placed);
+        g_ptr_array_remove_index_fast(page->run_records, i);
+        g_hash_table_add(affected_machines, run_record->machine);
+        run_record_remove(replica, run_record);
     }
-    for (guint i = 0; i < fresh->len; i++) {
-        struct fresh *f = &g_array_index(fresh, struct fresh, i);
-        placed_add(view, page, f->host, f->job, f->index, f->attempt);
+    for (guint i = 0; i < new_records->len; i++) {
+        struct new_run_record *new_record = &g_array_index(new_records, struct new_run_record, i);
+        run_record_add(replica, page, new_record->machine, new_record->job, new_record->task_index,
+                       new_record->attempt);
     }
-    g_array_unref(fresh);
+    g_array_unref(new_records);
     /* Machines whose own record is gone are forgotten with their last task. */
     GHashTableIter it;
-    struct host_record *record;
-    g_hash_table_iter_init(&it, left);
-    while (g_hash_table_iter_next(&it, (gpointer *)&record, NULL))
-        view_host_leave(view, record);
-    g_hash_table_unref(left);
-    if (g_strcmp0(done, page->done) != 0) {
-        page_read_done(done, view_merge_done, view);
-        g_free(page->done);
-        page->done = g_strdup(done);
+    struct machine_record *machine;
+    g_hash_table_iter_init(&it, affected_machines);
+    while (g_hash_table_iter_next(&it, (gpointer *)&machine, NULL))
+        replica_remove_unused_machine(replica, machine);
+    g_hash_table_unref(affected_machines);
+    if (g_strcmp0(completions, page->completions_text) != 0) {
+        completions_decode(completions, replica_merge_completions, replica);
+        g_free(page->completions_text);
+        page->completions_text = g_strdup(completions);
     }
-    struct change change = {.kind = CHANGE_PAGE};
-    g_strlcpy(change.page, key, sizeof change.page);
-    view_note_change(view, change);
+    struct replica_event event = {.kind = REPLICA_EVENT_PAGE};
+    g_strlcpy(event.page_key, key, sizeof event.page_key);
+    replica_add_event(replica, event);
     if (!value)
-        g_hash_table_remove(view->pages, key);
+        g_hash_table_remove(replica->pages, key);
 }
