--- a/src/scheduler/autoscaler_scale_in.c
+++ b/src/scheduler/autoscaler_scale_in.c
@@ -5,105 +5,114 @@
 #include "quota_ledger.h"
 #include "shard.h"
 
-bool leader_host_idle(const struct leader_host *host)
+bool autoscaler_is_machine_idle(const struct ledger_machine *machine)
 {
-    return !host->booked.cpus.milli && !host->booked.memory.milli && !host->dealt.cpus.milli &&
-           !host->dealt.memory.milli && !host->held.cpus.milli && !host->held.memory.milli &&
-           !host->wanted;
+    return !machine->allocated.cpus.milli && !machine->allocated.memory.milli &&
+           !machine->dispatched.cpus.milli && !machine->dispatched.memory.milli &&
+           !machine->reserved.cpus.milli && !machine->reserved.memory.milli &&
+           !machine->is_wanted_by_gang;
 }
 
 /* Whether the next services would miss the machine. */
-static bool kept_for_services(struct leader *leader, struct leader_host *host)
+static bool is_kept_for_services(struct leader *leader, struct ledger_machine *machine)
 {
-    if (host->spot || !leader->services || host->zone_index < 0)
+    if (machine->is_spot || !leader->has_services || machine->zone_index < 0)
         return false;
-    int64_t holds = room_times(room_left(host->total, host->pinned), leader->service_usual);
-    if (leader->service_lack[host->zone_index] + holds > 0)
+    int64_t service_tasks =
+        resources_fit_count(resources_remaining(machine->capacity, machine->service_resources),
+                            leader->mean_service_request);
+    if (leader->service_shortfall_tasks[machine->zone_index] + service_tasks > 0)
         return true;
-    leader->service_lack[host->zone_index] += holds;
+    leader->service_shortfall_tasks[machine->zone_index] += service_tasks;
     return false;
 }
 
 static void return_idle(struct leader *leader)
 {
     mono_time now = loop_now(leader->loop);
-    double spare =
-        (double)leader_free_everywhere(leader).cpus.milli / 1000 - leader_spare_cpus(leader);
+    double spare_cpus = (double)autoscaler_total_free(leader).cpus.milli / 1000 -
+                        scheduling_policy_spare_cpus(leader);
     GHashTableIter it;
-    struct leader_host *host;
-    g_hash_table_iter_init(&it, leader->hosts);
-    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&host)) {
-        double cpus = (double)host->total.cpus.milli / 1000;
-        if (!leader_host_takes(leader, host) || !leader_host_idle(host) ||
-            (double)time_ms_since(now, host->idle_since) < leader_idle_ms(leader, host) ||
-            cpus > spare || kept_for_services(leader, host))
+    struct ledger_machine *machine;
+    g_hash_table_iter_init(&it, leader->machines);
+    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&machine)) {
+        double cpus = (double)machine->capacity.cpus.milli / 1000;
+        if (!placement_is_schedulable(leader, machine) || !autoscaler_is_machine_idle(machine) ||
+            (double)time_ms_since(now, machine->idle_since) <
+                scheduling_policy_idle_timeout_ms(leader, machine) ||
+            cpus > spare_cpus || is_kept_for_services(leader, machine))
             continue;
-        spare -= cpus;
-        fleet_return(leader->fleet, host->id, "idle");
+        spare_cpus -= cpus;
+        cloud_provider_scale_in(leader->cloud, machine->id, "idle");
     }
 }
 
 /* Machines that are no use: silent, taken back, never up, failed, sick. */
-static void return_useless(struct leader *leader)
+static void return_unusable(struct leader *leader)
 {
     mono_time now = loop_now(leader->loop);
     GHashTableIter it;
-    struct leader_host *host;
-    g_hash_table_iter_init(&it, leader->hosts);
-    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&host)) {
-        if (!host->told)
+    struct ledger_machine *machine;
+    g_hash_table_iter_init(&it, leader->machines);
+    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&machine)) {
+        if (!machine->is_reported)
             continue;
         /* Spot machines that fall silent are mostly gone, and a return proves it at once. Others
          * are mostly only cut off: their tasks go on, until the lease is the proof. */
-        if ((host->flags & HOST_LOST) && (host->spot || (host->flags & HOST_LAPSED)))
-            fleet_return(leader->fleet, host->id, "lost");
+        if ((machine->flags & MACHINE_UNREACHABLE) &&
+            (machine->is_spot || (machine->flags & MACHINE_LEASE_EXPIRED)))
+            cloud_provider_scale_in(leader->cloud, machine->id, "lost");
         /* What fails is what starts there; services that run on it already are well. */
-        else if (time_before(now, host->sick_until) && leader_host_idle(host))
-            fleet_return(leader->fleet, host->id, "sick");
-        else if ((host->flags & HOST_RECLAIMED) && leader_host_idle(host))
-            fleet_return(leader->fleet, host->id, "reclaimed");
-        else if (leader_host_slow(leader, host) && leader_host_idle(host))
-            fleet_return(leader->fleet, host->id, "slow");
+        else if (time_before(now, machine->quarantined_until) &&
+                 autoscaler_is_machine_idle(machine))
+            cloud_provider_scale_in(leader->cloud, machine->id, "sick");
+        else if ((machine->flags & MACHINE_RECLAIMED) && autoscaler_is_machine_idle(machine))
+            cloud_provider_scale_in(leader->cloud, machine->id, "reclaimed");
+        else if (machine_health_is_slow(leader, machine) && autoscaler_is_machine_idle(machine))
+            cloud_provider_scale_in(leader->cloud, machine->id, "slow");
     }
-    struct fleet_machine *machine;
-    g_hash_table_iter_init(&it, fleet_machines(leader->fleet));
-    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&machine)) {
-        const struct machine_type *type = type_named(leader_types_now(leader), machine->type_name);
-        int64_t age = time_ms_since(now, machine->rented);
-        int64_t boot = type ? (int64_t)(type->boot_s * 1000) : 60000;
-        host = leader_host_get(leader, machine->id.s);
-        bool up = host && host->told && (host->flags & HOST_KNOWN);
-        if (machine->stage == RENTAL_FAILED)
-            fleet_return(leader->fleet, machine->id, "failed");
-        else if (!up && !view_host(leader->view, machine->id.s) && age > boot * 3 + 10000 &&
-                 time_ms_since(now, leader->epoch_at) >
-                     (int64_t)(leader->settings->report_s * 3000))
-            fleet_return(leader->fleet, machine->id, "never up");
+    struct cloud_machine *rental;
+    g_hash_table_iter_init(&it, cloud_provider_get_machines(leader->cloud));
+    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&rental)) {
+        const struct machine_type *type =
+            machine_type_find(scheduling_policy_machine_types(leader), rental->type_name);
+        int64_t age_ms = time_ms_since(now, rental->requested_at);
+        int64_t boot_ms = type ? (int64_t)(type->boot_time_s * 1000) : 60000;
+        machine = quota_ledger_find_machine(leader, rental->id.text);
+        bool is_up = machine && machine->is_reported && (machine->flags & MACHINE_KNOWN);
+        if (rental->stage == CLOUD_MACHINE_FAILED)
+            cloud_provider_scale_in(leader->cloud, rental->id, "failed");
+        else if (!is_up && !replica_get_machine(leader->replica, rental->id.text) &&
+                 age_ms > boot_ms * 3 + 10000 &&
+                 time_ms_since(now, leader->epoch_began_at) >
+                     (int64_t)(leader->settings->heartbeat_interval_s * 3000))
+            cloud_provider_scale_in(leader->cloud, rental->id, "never up");
     }
 }
 
-static void tell_gone(struct leader *leader)
+static void announce_departed(struct leader *leader)
 {
     GHashTableIter it;
-    struct leader_host *host;
-    g_hash_table_iter_init(&it, leader->hosts);
-    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&host)) {
-        if (!fleet_gone(leader->fleet, host->id.s))
+    struct ledger_machine *machine;
+    g_hash_table_iter_init(&it, leader->machines);
+    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&machine)) {
+        if (!cloud_provider_is_gone(leader->cloud, machine->id.text))
             continue;
-        const char *owner = map_owner(leader->view, host->id.s);
-        if (owner && (host->told || view_host(leader->view, host->id.s))) {
-            struct leader_shard *shard = leader_shard_get(leader, owner);
-            if (shard->gone && cJSON_GetArraySize(shard->gone) > 100)
+        const char *owner = shard_map_get_owner(leader->replica, machine->id.text);
+        if (owner &&
+            (machine->is_reported || replica_get_machine(leader->replica, machine->id.text))) {
+            struct shard_channel *channel = shard_dispatcher_channel(leader, owner);
+            if (channel->departed && cJSON_GetArraySize(channel->departed) > 100)
                 continue;
-            leader_shard_add(&shard->gone, cJSON_CreateString(host->id.s));
-            host->told = false;
+            shard_dispatcher_append(&channel->departed, cJSON_CreateString(machine->id.text));
+            machine->is_reported = false;
         }
     }
 }
 
-void leader_return_machines(struct leader *leader)
+void autoscaler_scale_in(struct leader *leader)
 {
-    return_useless(leader);
+    return_unusable(leader);
     return_idle(leader);
-    tell_gone(leader);
+    announce_departed(leader);
 }
--- a/src/scheduler/autoscaler_scale_in.h
+++ b/src/scheduler/autoscaler_scale_in.h
@@ -5,6 +5,6 @@
 #include "scheduler_internal.h"
 
 /* Returns machines that are no use or idle, and tells their owners of those that are gone. */
-void leader_return_machines(struct leader *leader);
+void autoscaler_scale_in(struct leader *leader);
 
 #endif
--- a/src/scheduler/autoscaler_scale_out.h
+++ b/src/scheduler/autoscaler_scale_out.h
@@ -5,18 +5,18 @@
 #include "scheduler_internal.h"
 
 /* Room that is there or on its way, and not needed yet. */
-struct planned {
+struct pending_capacity {
     const char *type_name, *zone;
-    bool spot;
-    struct room free;
+    bool is_spot;
+    struct resources available;
 };
 
-/* Adds (struct planned) the machines that were requested, or rented and have not reported yet, as
- * long as they may still come up. */
-void leader_rooms_coming(struct leader *leader, GArray *rooms);
+/* Adds (struct pending_capacity) the machines that were requested, or rented and have not reported
+ * yet, as long as they may still come up. */
+void autoscaler_list_pending_capacity(struct leader *leader, GArray *pending);
 /* What is free on all machines that take work. */
-struct room leader_free_everywhere(struct leader *leader);
+struct resources autoscaler_total_free(struct leader *leader);
 /* Rents what waiting work, the next services and what is to spare lack. */
-void leader_rent_for_demand(struct leader *leader);
+void autoscaler_scale_out(struct leader *leader);
 
 #endif
--- a/src/scheduler/dispatch_timeout.h
+++ b/src/scheduler/dispatch_timeout.h
@@ -5,6 +5,6 @@
 #include "scheduler_internal.h"
 
 /* Does so if it was not done within the last few seconds. */
-void leader_sweep(struct leader *leader);
+void dispatch_timeout_check(struct leader *leader);
 
 #endif
--- a/src/scheduler/feature_switch.c
+++ b/src/scheduler/feature_switch.c
@@ -2,46 +2,46 @@
 
 #include "log.h"
 
-static void switched(void *arg, const struct txn_outcome *outcome)
+static void on_switch_written(void *arg, const struct txn_outcome *outcome)
 {
     (void)outcome; /* the view tells */
-    ((struct leader *)arg)->switching = false;
+    ((struct leader *)arg)->is_switching_features = false;
 }
 
-static void send(struct leader *leader, struct txn *txn)
+static void submit_switch(struct leader *leader, struct txn *txn)
 {
-    leader->switching = true;
-    store_txn(leader->store, LANE_NORMAL, txn, switched, leader);
+    leader->is_switching_features = true;
+    kv_client_commit(leader->kv, KV_LANE_NORMAL, txn, on_switch_written, leader);
 }
 
-static struct txn *txn_of_leader(const struct leader *leader)
+static struct txn *new_leader_txn(const struct leader *leader)
 {
     struct txn *txn = txn_new();
-    txn_when(txn, KEY_LEADER, leader->view->leader_stamp);
-    txn_when(txn, KEY_FEATURES, leader->view->features_stamp);
+    txn_compare(txn, KEY_LEADER, leader->replica->leader_mod_revision);
+    txn_compare(txn, KEY_FEATURES, leader->replica->features_mod_revision);
     return txn;
 }
 
-static void switch_on(struct leader *leader)
+static void enable_singleton_roles(struct leader *leader)
 {
-    struct txn *txn = txn_of_leader(leader);
+    struct txn *txn = new_leader_txn(leader);
     json_object *value = json_object_new_object();
-    json_put_flag(value, "duties", true);
-    txn_set(txn, KEY_FEATURES, value, (lease_id){0});
-    LOG_INFO("duties_on", "nodes=%u", g_hash_table_size(leader->view->nodes));
-    send(leader, txn);
+    json_put_bool(value, "duties", true);
+    txn_put(txn, KEY_FEATURES, value, (lease_id){0});
+    LOG_INFO("duties_on", "nodes=%u", g_hash_table_size(leader->replica->nodes));
+    submit_switch(leader, txn);
 }
 
 /* The pages of intents are empty by now; what is left of them goes with the switch. */
-static void remove_pages(struct leader *leader, struct txn *txn)
+static void remove_intent_pages(struct leader *leader, struct txn *txn)
 {
-    GPtrArray *pages = duty_table_pages(leader->view->duties, DUTY_FLEET);
-    int most = store_limits(leader->store)->txn_ops;
-    for (guint i = 0; i < pages->len && (int)txn_writes(txn) < most; i++) {
+    GPtrArray *pages = role_records_list_pages(leader->replica->singleton_roles, ROLE_AUTOSCALER);
+    int most = kv_client_limits(leader->kv)->max_txn_operations;
+    for (guint i = 0; i < pages->len && (int)txn_write_count(txn) < most; i++) {
         const struct intent_page *page = pages->pdata[i];
-        char *key = key_intents(page->duty, page->number);
-        txn_when(txn, key, page->stamp);
-        txn_remove(txn, key);
+        char *key = key_intent_page(page->role, page->number);
+        txn_compare(txn, key, page->mod_revision);
+        txn_delete(txn, key);
         g_free(key);
     }
     g_ptr_array_unref(pages);
@@ -50,44 +50,46 @@
 /* Under the token of the fleet: nothing can be recorded by anybody once the switch is off. The
  * record of the duty goes, too, so that what its holder sent to the pages is refused from now on.
  */
-static void switch_off(struct leader *leader)
+static void disable_singleton_roles(struct leader *leader)
 {
-    struct txn *txn = txn_of_leader(leader);
-    duties_guard(leader->duties, DUTY_FLEET, txn);
-    txn_remove(txn, KEY_FEATURES);
-    char *key = key_duty(DUTY_FLEET);
-    txn_remove(txn, key);
+    struct txn *txn = new_leader_txn(leader);
+    role_manager_add_guard(leader->role_manager, ROLE_AUTOSCALER, txn);
+    txn_delete(txn, KEY_FEATURES);
+    char *key = key_role(ROLE_AUTOSCALER);
+    txn_delete(txn, key);
     g_free(key);
-    remove_pages(leader, txn);
-    LOG_INFO("duties_off", "nodes=%u", g_hash_table_size(leader->view->nodes));
-    send(leader, txn);
+    remove_intent_pages(leader, txn);
+    LOG_INFO("duties_off", "nodes=%u", g_hash_table_size(leader->replica->nodes));
+    submit_switch(leader, txn);
 }
 
-static bool anybody_wants(const struct leader *leader)
+static bool is_requested_by_any_node(const struct leader *leader)
 {
     GHashTableIter it;
     struct node_record *node;
-    g_hash_table_iter_init(&it, leader->view->nodes);
+    g_hash_table_iter_init(&it, leader->replica->nodes);
     while (g_hash_table_iter_next(&it, NULL, (gpointer *)&node))
-        if (node->wants_duties)
+        if (node->wants_singleton_roles)
             return true;
     return false;
 }
 
-void leader_switch(struct leader *leader)
+void feature_switch_update(struct leader *leader)
 {
-    bool on = leader->view->duties_on, wanted = anybody_wants(leader);
-    fleet_hold(leader->fleet, on && !wanted);
+    bool is_enabled = leader->replica->singleton_roles_enabled,
+         is_requested = is_requested_by_any_node(leader);
+    cloud_provider_pause_recording(leader->cloud, is_enabled && !is_requested);
     /* Machines that were closed to be returned are open again in a new epoch. */
-    if (leader->duties_seen_on && !on)
-        membership_raise(leader->members, "duties are off");
-    leader->duties_seen_on = on;
-    if (leader->switching || !membership_leads(leader->members))
+    if (leader->had_singleton_roles && !is_enabled)
+        membership_raise_epoch(leader->membership, "duties are off");
+    leader->had_singleton_roles = is_enabled;
+    if (leader->is_switching_features || !membership_is_leader(leader->membership))
         return;
-    if (!on && leader->features->duties.enabled &&
-        membership_all_understand(leader->members, NODE_VERSION_DUTIES))
-        switch_on(leader);
-    else if (on && !wanted && duties_may_act(leader->duties, DUTY_FLEET) &&
-             fleet_settled(leader->fleet))
-        switch_off(leader);
+    if (!is_enabled && leader->features->singleton_roles.is_enabled &&
+        membership_all_nodes_support(leader->membership, NODE_VERSION_SINGLETON_ROLES))
+        enable_singleton_roles(leader);
+    else if (is_enabled && !is_requested &&
+             role_manager_may_act(leader->role_manager, ROLE_AUTOSCALER) &&
+             cloud_provider_is_settled(leader->cloud))
+        disable_singleton_roles(leader);
 }
--- a/src/scheduler/feature_switch.h
+++ b/src/scheduler/feature_switch.h
@@ -6,6 +6,6 @@
 #include "scheduler_internal.h"
 
 /* Turns the switch if that is due. */
-void leader_switch(struct leader *leader);
+void feature_switch_update(struct leader *leader);
 
 #endif
--- a/src/scheduler/gang_scheduler.h
+++ b/src/scheduler/gang_scheduler.h
@@ -9,6 +9,6 @@
  * take it as soon as it is free and the gang would never find enough at once. Whoever comes first
  * holds first, so no two gangs hold what the other one needs. A gang that is on record in part is
  * completed or stopped. */
-bool leader_deal_gang(struct leader *leader, struct leader_job *job, struct job *job_view);
+bool gang_scheduler_dispatch(struct leader *leader, struct ledger_job *job, struct job *job_record);
 
 #endif
--- a/src/scheduler/garbage_collector.c
+++ b/src/scheduler/garbage_collector.c
@@ -4,133 +4,140 @@
 
 enum { EVERY_MS = 5000 };
 
-struct cleanup {
+struct garbage_collector {
     struct loop *loop;
-    struct store *store;
-    struct view *view;
-    struct membership *members;
-    struct duties *duties;
-    struct timer tick;
-    bool removing; /* a key is being removed */
+    struct kv_client *kv;
+    struct replica *replica;
+    struct membership *membership;
+    struct role_manager *role_manager;
+    struct timer tick_timer;
+    bool removal_in_flight; /* a key is being removed */
 };
 
-static void removed(void *arg, const struct txn_outcome *outcome)
+static void on_key_removed(void *arg, const struct txn_outcome *outcome)
 {
     (void)outcome;
-    ((struct cleanup *)arg)->removing = false;
+    ((struct garbage_collector *)arg)->removal_in_flight = false;
 }
 
 /* Looks for jobs that are not over yet. */
 struct live_search {
-    struct view *view;
+    struct replica *replica;
     bool found;
 };
 
-static void search_live(void *ctx, job_id job, uint32_t unit, const GByteArray *bits)
+static void visit_completion(void *ctx, job_id job, uint32_t unit, const GByteArray *bits)
 {
     struct live_search *search = ctx;
     (void)unit;
     (void)bits;
-    struct job *job_view = view_job(search->view, job.s);
-    search->found = search->found || (job_view && job_view->spec);
+    struct job *job_record = replica_get_job(search->replica, job.text);
+    search->found = search->found || (job_record && job_record->spec);
 }
 
 /* Removes a key of the state service, as long as it is this node's duty, the key has not changed,
  * and its node is not back on the map. */
-static void remove_key(struct cleanup *cleanup, const char *key, revision stamp)
+static void remove_key(struct garbage_collector *collector, const char *key, revision mod_revision)
 {
     struct txn *txn = txn_new();
-    if (cleanup->view->duties_on)
-        duties_guard(cleanup->duties, DUTY_CLEANUP, txn);
+    if (collector->replica->singleton_roles_enabled)
+        role_manager_add_guard(collector->role_manager, ROLE_GARBAGE_COLLECTOR, txn);
     else
-        txn_when(txn, KEY_LEADER, cleanup->view->leader_stamp);
-    txn_when(txn, KEY_MAP, cleanup->view->map_stamp);
-    txn_when(txn, key, stamp);
-    txn_remove(txn, key);
-    cleanup->removing = true;
-    store_txn(cleanup->store, LANE_NORMAL, txn, removed, cleanup);
+        txn_compare(txn, KEY_LEADER, collector->replica->leader_mod_revision);
+    txn_compare(txn, KEY_MAP, collector->replica->shard_map_mod_revision);
+    txn_compare(txn, key, mod_revision);
+    txn_delete(txn, key);
+    collector->removal_in_flight = true;
+    kv_client_commit(collector->kv, KV_LANE_NORMAL, txn, on_key_removed, collector);
 }
 
 /* Whether the node of that name is not on the map. */
-static bool node_away(const struct cleanup *cleanup, const char *label)
+static bool node_is_departed(const struct garbage_collector *collector, const char *label)
 {
-    for (guint i = 0; i < cleanup->view->map->len; i++)
-        if (strcmp(g_array_index(cleanup->view->map, struct map_entry, i).label, label) == 0)
+    for (guint i = 0; i < collector->replica->shard_map->len; i++)
+        if (strcmp(g_array_index(collector->replica->shard_map, struct shard_map_entry, i).label,
+                   label) == 0)
             return false;
     return true;
 }
 
 /* A page of a node that is away is removed once others have taken its machines over and the jobs
  * are over of which it says what is done. */
-static void remove_pages(struct cleanup *cleanup)
+static void collect_record_pages(struct garbage_collector *collector)
 {
     GHashTableIter it;
-    struct page *page;
-    g_hash_table_iter_init(&it, cleanup->view->pages);
-    while (!cleanup->removing && g_hash_table_iter_next(&it, NULL, (gpointer *)&page)) {
-        if (page->tasks->len || !node_away(cleanup, page->label))
+    struct record_page *page;
+    g_hash_table_iter_init(&it, collector->replica->pages);
+    while (!collector->removal_in_flight && g_hash_table_iter_next(&it, NULL, (gpointer *)&page)) {
+        if (page->run_records->len || !node_is_departed(collector, page->label))
             continue;
-        struct live_search search = {cleanup->view, false};
-        page_read_done(page->done ? page->done : "", search_live, &search);
+        struct live_search search = {collector->replica, false};
+        completions_decode(page->completions_text ? page->completions_text : "", visit_completion,
+                           &search);
         if (!search.found)
-            remove_key(cleanup, page->key, page->stamp);
+            remove_key(collector, page->key, page->mod_revision);
     }
 }
 
 /* A list of machines of a node that is away is removed once it says nothing of a machine on which
  * anything is on record: those that own them now list them, too. */
-static void remove_inventories(struct cleanup *cleanup)
+static void collect_inventories(struct garbage_collector *collector)
 {
     GHashTableIter it;
-    struct inventory *inventory;
-    g_hash_table_iter_init(&it, cleanup->view->inventories);
-    while (!cleanup->removing && g_hash_table_iter_next(&it, NULL, (gpointer *)&inventory)) {
+    struct machine_inventory *inventory;
+    g_hash_table_iter_init(&it, collector->replica->inventories);
+    while (!collector->removal_in_flight &&
+           g_hash_table_iter_next(&it, NULL, (gpointer *)&inventory)) {
         bool needed = false;
-        for (guint i = 0; i < inventory->hosts->len; i++)
-            needed = needed || ((struct host_record *)inventory->hosts->pdata[i])->tasks->len;
-        if (!needed && node_away(cleanup, inventory->label))
-            remove_key(cleanup, inventory->key, inventory->stamp);
+        for (guint i = 0; i < inventory->machines->len; i++)
+            needed = needed ||
+                     ((struct machine_record *)inventory->machines->pdata[i])->run_records->len;
+        if (!needed && node_is_departed(collector, inventory->label))
+            remove_key(collector, inventory->key, inventory->mod_revision);
     }
 }
 
-static bool may_act(struct cleanup *cleanup)
+static bool may_collect(struct garbage_collector *collector)
 {
-    if (store_troubled(cleanup->store))
+    if (kv_client_is_unavailable(collector->kv))
         return false;
-    return cleanup->view->duties_on ? duties_may_act(cleanup->duties, DUTY_CLEANUP)
-                                    : membership_leads(cleanup->members);
+    return collector->replica->singleton_roles_enabled
+               ? role_manager_may_act(collector->role_manager, ROLE_GARBAGE_COLLECTOR)
+               : membership_is_leader(collector->membership);
 }
 
-static void tick(void *arg)
+static void on_tick(void *arg)
 {
-    struct cleanup *cleanup = arg;
-    timer_start(cleanup->loop, &cleanup->tick, EVERY_MS);
-    if (cleanup->removing || !may_act(cleanup))
+    struct garbage_collector *collector = arg;
+    timer_start(collector->loop, &collector->tick_timer, EVERY_MS);
+    if (collector->removal_in_flight || !may_collect(collector))
         return;
-    remove_pages(cleanup);
-    remove_inventories(cleanup);
+    collect_record_pages(collector);
+    collect_inventories(collector);
 }
 
-struct cleanup *cleanup_new(struct loop *loop, struct store *store, struct view *view,
-                            struct membership *members, struct duties *duties)
+struct garbage_collector *garbage_collector_new(struct loop *loop, struct kv_client *kv,
+                                                struct replica *replica,
+                                                struct membership *membership,
+                                                struct role_manager *manager)
 {
-    struct cleanup *cleanup = g_new0(struct cleanup, 1);
-    cleanup->loop = loop;
-    cleanup->store = store;
-    cleanup->view = view;
-    cleanup->members = members;
-    cleanup->duties = duties;
-    timer_init(&cleanup->tick, tick, cleanup);
-    return cleanup;
+    struct garbage_collector *collector = g_new0(struct garbage_collector, 1);
+    collector->loop = loop;
+    collector->kv = kv;
+    collector->replica = replica;
+    collector->membership = membership;
+    collector->role_manager = manager;
+    timer_init(&collector->tick_timer, on_tick, collector);
+    return collector;
 }
 
-void cleanup_free(struct cleanup *cleanup)
+void garbage_collector_free(struct garbage_collector *collector)
 {
-    timer_stop(cleanup->loop, &cleanup->tick);
-    g_free(cleanup);
+    timer_stop(collector->loop, &collector->tick_timer);
+    g_free(collector);
 }
 
-void cleanup_start(struct cleanup *cleanup)
+void garbage_collector_start(struct garbage_collector *collector)
 {
-    timer_start(cleanup->loop, &cleanup->tick, EVERY_MS);
+    timer_start(collector->loop, &collector->tick_timer, EVERY_MS);
 }
--- a/src/scheduler/garbage_collector.h
+++ b/src/scheduler/garbage_collector.h
@@ -8,11 +8,13 @@
 #include "replica.h"
 #include "role_manager.h"
 
-struct cleanup;
+struct garbage_collector;
 
-struct cleanup *cleanup_new(struct loop *loop, struct store *store, struct view *view,
-                            struct membership *members, struct duties *duties);
-void cleanup_free(struct cleanup *cleanup);
-void cleanup_start(struct cleanup *cleanup);
+struct garbage_collector *garbage_collector_new(struct loop *loop, struct kv_client *kv,
+                                                struct replica *replica,
+                                                struct membership *membership,
+                                                struct role_manager *manager);
+void garbage_collector_free(struct garbage_collector *collector);
+void garbage_collector_start(struct garbage_collector *collector);
 
 #endif
--- a/src/scheduler/job_completion.h
+++ b/src/scheduler/job_completion.h
@@ -6,8 +6,8 @@
 
 /* Stores the end of a job whose tasks are all done, or that was cancelled and of which nothing is
  * on record. */
-void leader_consider_end(struct leader *leader, struct leader_job *job);
+void job_completion_check(struct leader *leader, struct ledger_job *job);
 /* Whether nothing of the job is left to be kept: it ended, and all know. */
-bool leader_job_over(struct leader *leader, struct leader_job *job);
+bool job_completion_is_over(struct leader *leader, struct ledger_job *job);
 
 #endif
--- a/src/scheduler/job_queue.c
+++ b/src/scheduler/job_queue.c
@@ -8,14 +8,14 @@
 
 /* Of cpus, in thousandths. */
 enum {
-    MOST_DEFICIT = 10000000,
-    LEAST_QUANTUM = 1000,
+    MAX_DEFICIT_MILLI_CPUS = 10000000,
+    MIN_QUANTUM_MILLI_CPUS = 1000,
     QUANTUM_DIVISOR = 16, /* a team's quantum is its guarantee divided by that */
 };
 
 /* Ranks below RANK_BORROWED are for what a team was promised; each has one place by urgency. */
 enum {
-    RANK_SERVICES = 0,
+    RANK_SERVICE = 0,
     RANK_BORROWED = 4,
     RANK_BORROWED_LATE = 8,
 };
@@ -29,233 +29,248 @@
 
 /* A job stands behind those that came up to so many times as long after it as it would keep its
  * team's whole limit busy: small jobs pass large ones, but none passes for ever. */
-static const double SIZE_COUNTS = 4;
+static const double JOB_SIZE_WEIGHT = 4;
 
 /* Whether what the job's class is expected to do can still be done. One that has waited for very
  * long has its place back, so that none waits for ever. */
-static bool still_in_time(struct leader *leader, struct leader_job *job, const struct job *job_view)
+static bool update_waiting_state(struct leader *leader, struct ledger_job *job,
+                                 const struct job *job_record)
 {
-    double waited = (double)(loop_wall(leader->loop).ms - job_view->since.ms) / 1000;
-    job->aged = waited > AGED_S;
-    job->overdue = waited > OVERDUE_S;
-    return waited < job->patience_s || job->aged;
+    double waited_s = (double)(loop_wall_time(leader->loop).ms - job_record->eligible_at.ms) / 1000;
+    job->is_aged = waited_s > AGED_S;
+    job->is_overdue = waited_s > OVERDUE_S;
+    return waited_s < job->patience_s || job->is_aged;
 }
 
-int leader_rank_of(struct leader *leader, struct leader_job *job)
+int job_queue_rank(struct leader *leader, struct ledger_job *job)
 {
-    struct leader_team *team = &leader->teams[job->team];
-    if (job->urgency == URGENCY_PROD)
-        return RANK_SERVICES;
-    if (leader_within_limits(team->used, job->room, team->team->cpus, team->team->gpus))
-        return job->urgency;
+    struct ledger_team *team = &leader->teams[job->team_index];
+    if (job->priority == PRIORITY_PROD)
+        return RANK_SERVICE;
+    if (quota_ledger_is_within_limits(team->used, job->task_resources, team->quota->cpus,
+                                      team->quota->gpus))
+        return job->priority;
     /* What is overdue goes before all that is borrowed, or urgent work would hold it back for ever.
      */
-    if (job->overdue)
+    if (job->is_overdue)
         return RANK_BORROWED;
-    return (job->in_time ? RANK_BORROWED : RANK_BORROWED_LATE) + job->urgency;
+    return (job->can_meet_objective ? RANK_BORROWED : RANK_BORROWED_LATE) + job->priority;
 }
 
 /* Deals so many tasks at most to one machine; tells how many. */
-static int fill_host(struct leader *leader, struct leader_job *job, struct job *job_view,
-                     struct leader_host *host, attempt_no attempt, int most)
+static int dispatch_to_machine(struct leader *leader, struct ledger_job *job,
+                               struct job *job_record, struct ledger_machine *machine,
+                               attempt_no attempt, int max_tasks)
 {
-    int dealt = 0;
-    while (dealt < most && room_holds(leader_host_free_room(host), job->room) &&
-           leader_zone_allowed(leader, job, job_view->spec, host->zone_index)) {
-        uint32_t index = leader_next_waiting(job, job_view);
-        if (index >= job_view->tasks)
+    int dispatched_tasks = 0;
+    while (dispatched_tasks < max_tasks &&
+           resources_fit(placement_free_resources(machine), job->task_resources) &&
+           placement_is_zone_allowed(leader, job, job_record->spec, machine->zone_index)) {
+        uint32_t index = quota_ledger_next_waiting_task(job, job_record);
+        if (index >= job_record->task_count)
             break; /* more is on record than the count says */
-        leader_book_deal(leader, job, index, attempt, host);
-        leader_send_deal(leader, job, index, false);
-        if (host->zone_index >= 0)
-            leader->zone_tasks[host->zone_index]++;
-        dealt++;
+        quota_ledger_add_dispatch(leader, job, index, attempt, machine);
+        shard_dispatcher_queue_dispatch(leader, job, index, false);
+        if (machine->zone_index >= 0)
+            leader->zone_task_counts[machine->zone_index]++;
+        dispatched_tasks++;
     }
-    return dealt;
+    return dispatched_tasks;
 }
 
 /* Deals so many tasks at most, to the best machines; tells how many. image: only to machines that
  * have the job's image. */
-static int deal_to_best(struct leader *leader, struct leader_job *job, struct job *job_view,
-                        int most, bool image)
+static int dispatch_to_best(struct leader *leader, struct ledger_job *job, struct job *job_record,
+                            int max_tasks, bool needs_image)
 {
-    if (leader_known_unplaceable(leader, job_view->spec))
+    if (placement_is_unschedulable(leader, job_record->spec))
         return 0;
-    GArray *hosts = leader_choose_hosts(leader, job, job_view->spec, image);
-    attempt_no attempt = leader_next_attempt(leader);
-    int dealt = 0;
-    for (guint i = 0; i < hosts->len && dealt < most; i++) {
-        struct leader_host *host = g_array_index(hosts, struct host_choice, i).host;
-        dealt += fill_host(leader, job, job_view, host, attempt, most - dealt);
+    GArray *candidates = placement_find_candidates(leader, job, job_record->spec, needs_image);
+    attempt_no attempt = quota_ledger_next_attempt(leader);
+    int dispatched_tasks = 0;
+    for (guint i = 0; i < candidates->len && dispatched_tasks < max_tasks; i++) {
+        struct ledger_machine *machine =
+            g_array_index(candidates, struct placement_candidate, i).machine;
+        dispatched_tasks += dispatch_to_machine(leader, job, job_record, machine, attempt,
+                                                max_tasks - dispatched_tasks);
     }
-    if (!hosts->len && !image)
-        leader_note_unplaceable(leader, job_view->spec);
-    g_array_unref(hosts);
-    return dealt;
+    if (!candidates->len && !needs_image)
+        placement_add_unschedulable(leader, job_record->spec);
+    g_array_unref(candidates);
+    return dispatched_tasks;
 }
 
 /* Deals so many tasks at most, or has room made for some if none finds any; tells how many. */
-static int deal_some(struct leader *leader, struct leader_job *job, struct job *job_view, int most)
+static int dispatch_or_preempt(struct leader *leader, struct ledger_job *job,
+                               struct job *job_record, int max_tasks)
 {
-    int allowed = (int)MIN(most, leader_count_allowed(leader, job, job_view));
-    if (allowed <= 0)
+    int allowed_tasks =
+        (int)MIN(max_tasks, quota_ledger_count_allowed_tasks(leader, job, job_record));
+    if (allowed_tasks <= 0)
         return 0;
-    leader_count_zones(leader, job, job_view->spec);
-    bool image = leader_holds_out_for_image(leader, job, job_view);
-    int dealt = deal_to_best(leader, job, job_view, allowed, image);
-    if (!dealt) {
-        job->blocked = true;
-        leader_preempt(leader, job, job_view, image);
+    placement_count_zone_tasks(leader, job, job_record->spec);
+    bool needs_image = preemption_waits_for_image(leader, job, job_record);
+    int dispatched_tasks = dispatch_to_best(leader, job, job_record, allowed_tasks, needs_image);
+    if (!dispatched_tasks) {
+        job->is_blocked = true;
+        preemption_free_resources(leader, job, job_record, needs_image);
     }
-    return dealt;
+    return dispatched_tasks;
 }
 
-static double share_of(double part, double whole)
+static double fraction(double part, double whole)
 {
     return whole > 0 ? part / whole : 0;
 }
 
 /* How long the job would keep its team's whole limit busy. */
-static double keeps_busy_s(struct leader *leader, const struct leader_job *job,
-                           const struct job *job_view)
+static double limit_busy_time_s(struct leader *leader, const struct ledger_job *job,
+                                const struct job *job_record)
 {
-    const struct team *team = leader->teams[job->team].team;
-    double cpus = (double)job->room.cpus.milli * job_view->tasks;
-    double gpus = (double)job->room.gpus.milli * job_view->tasks;
-    double share = MAX(share_of(cpus, (double)team->cpus_max.milli),
-                       share_of(gpus, (double)team->gpus_max.milli));
-    return share * job_view->spec->expected_s;
+    const struct team *quota = leader->teams[job->team_index].quota;
+    double cpus = (double)job->task_resources.cpus.milli * job_record->task_count;
+    double gpus = (double)job->task_resources.gpus.milli * job_record->task_count;
+    double share = MAX(fraction(cpus, (double)quota->cpus_max.milli),
+                       fraction(gpus, (double)quota->gpus_max.milli));
+    return share * job_record->spec->expected_run_s;
 }
 
 /* By arrival and size; but jobs that are late whatever is done now stand behind those that may
  * still be in time. */
-static gint by_place(gconstpointer a, gconstpointer b)
+static gint compare_queue_position(gconstpointer a, gconstpointer b)
 {
-    const struct leader_job *first = *(struct leader_job *const *)a;
-    const struct leader_job *second = *(struct leader_job *const *)b;
-    if (first->in_time != second->in_time)
-        return first->in_time ? -1 : 1;
-    if (first->aged != second->aged)
-        return first->aged ? -1 : 1;
-    if (first->queue_ms != second->queue_ms)
-        return first->queue_ms < second->queue_ms ? -1 : 1;
-    return strcmp(first->id.s, second->id.s);
+    const struct ledger_job *first = *(struct ledger_job *const *)a;
+    const struct ledger_job *second = *(struct ledger_job *const *)b;
+    if (first->can_meet_objective != second->can_meet_objective)
+        return first->can_meet_objective ? -1 : 1;
+    if (first->is_aged != second->is_aged)
+        return first->is_aged ? -1 : 1;
+    if (first->queue_position_ms != second->queue_position_ms)
+        return first->queue_position_ms < second->queue_position_ms ? -1 : 1;
+    return strcmp(first->id.text, second->id.text);
 }
 
 /* Aged jobs and those that may be in time take turns: either alone at the front would make all the
  * others late. */
-static void take_turns(GPtrArray *ready)
+static void interleave_aged_jobs(GPtrArray *ready_jobs)
 {
-    guint aged = 0, timely = 0;
-    for (guint i = 0; i < ready->len; i++) {
-        struct leader_job *job = ready->pdata[i];
-        aged += job->aged;
-        timely += !job->aged && job->in_time;
+    guint aged_count = 0, timely_count = 0;
+    for (guint i = 0; i < ready_jobs->len; i++) {
+        struct ledger_job *job = ready_jobs->pdata[i];
+        aged_count += job->is_aged;
+        timely_count += !job->is_aged && job->can_meet_objective;
     }
-    if (!aged || !timely)
+    if (!aged_count || !timely_count)
         return;
-    GPtrArray *out = g_ptr_array_sized_new(ready->len);
-    for (guint i = 0; i < MAX(aged, timely); i++) {
-        if (i < aged)
-            g_ptr_array_add(out, ready->pdata[i]);
-        if (i < timely)
-            g_ptr_array_add(out, ready->pdata[aged + i]);
+    GPtrArray *interleaved = g_ptr_array_sized_new(ready_jobs->len);
+    for (guint i = 0; i < MAX(aged_count, timely_count); i++) {
+        if (i < aged_count)
+            g_ptr_array_add(interleaved, ready_jobs->pdata[i]);
+        if (i < timely_count)
+            g_ptr_array_add(interleaved, ready_jobs->pdata[aged_count + i]);
     }
-    memcpy(ready->pdata, out->pdata, out->len * sizeof *out->pdata);
-    g_ptr_array_unref(out);
+    memcpy(ready_jobs->pdata, interleaved->pdata, interleaved->len * sizeof *interleaved->pdata);
+    g_ptr_array_unref(interleaved);
 }
 
 /* What a team may deal in its turn. Jobs that have no more to deal in this rank, or no room, are
  * passed over until the next pass; false when the team is through with the rank. */
-static bool deal_turn(struct leader *leader, struct leader_team *team, int rank, int budget,
-                      int *dealt)
+static bool dispatch_team_turn(struct leader *leader, struct ledger_team *team, int rank,
+                               int budget, int *dispatched_tasks)
 {
-    while (team->next_ready < team->ready->len && *dealt < budget) {
-        struct leader_job *job = team->ready->pdata[team->next_ready];
-        struct job *job_view = job->view;
-        if (job->blocked || leader_next_waiting(job, job_view) >= job_view->tasks ||
-            leader_rank_of(leader, job) != rank) {
-            team->next_ready++;
+    while (team->next_ready_index < team->ready_jobs->len && *dispatched_tasks < budget) {
+        struct ledger_job *job = team->ready_jobs->pdata[team->next_ready_index];
+        struct job *job_record = job->job_record;
+        if (job->is_blocked ||
+            quota_ledger_next_waiting_task(job, job_record) >= job_record->task_count ||
+            job_queue_rank(leader, job) != rank) {
+            team->next_ready_index++;
             continue;
         }
-        double cost = CLAMP((double)job->room.cpus.milli, 1, MOST_DEFICIT);
-        int most = (int)MIN(team->deficit / cost, budget - *dealt);
-        if (most < 1)
+        double cost = CLAMP((double)job->task_resources.cpus.milli, 1, MAX_DEFICIT_MILLI_CPUS);
+        int max_tasks = (int)MIN(team->deficit_milli_cpus / cost, budget - *dispatched_tasks);
+        if (max_tasks < 1)
             return true;
-        int n = job_view->spec->form == FORM_GANG ? leader_deal_gang(leader, job, job_view)
-                                                  : deal_some(leader, job, job_view, most);
-        if (n == 0)
-            team->next_ready++;
-        team->deficit -= n * cost;
-        *dealt += n;
+        int newly_dispatched = job_record->spec->form == FORM_GANG
+                                   ? gang_scheduler_dispatch(leader, job, job_record)
+                                   : dispatch_or_preempt(leader, job, job_record, max_tasks);
+        if (newly_dispatched == 0)
+            team->next_ready_index++;
+        team->deficit_milli_cpus -= newly_dispatched * cost;
+        *dispatched_tasks += newly_dispatched;
     }
-    if (team->next_ready >= team->ready->len)
-        team->deficit = 0;
-    return team->next_ready < team->ready->len;
+    if (team->next_ready_index >= team->ready_jobs->len)
+        team->deficit_milli_cpus = 0;
+    return team->next_ready_index < team->ready_jobs->len;
 }
 
-int leader_deal_rank(struct leader *leader, int rank, int budget)
+int job_queue_dispatch_rank(struct leader *leader, int rank, int budget)
 {
-    int dealt = 0;
-    bool any = true;
-    for (int i = 0; i < leader->n_teams; i++)
-        leader->teams[i].next_ready = 0;
-    while (any && dealt < budget) {
-        any = false;
-        for (int i = 0; i < leader->n_teams && dealt < budget; i++) {
-            struct leader_team *team = &leader->teams[(leader->first_team + i) % leader->n_teams];
-            if (team->next_ready >= team->ready->len)
+    int dispatched_tasks = 0;
+    bool has_remaining = true;
+    for (int i = 0; i < leader->team_count; i++)
+        leader->teams[i].next_ready_index = 0;
+    while (has_remaining && dispatched_tasks < budget) {
+        has_remaining = false;
+        for (int i = 0; i < leader->team_count && dispatched_tasks < budget; i++) {
+            struct ledger_team *team =
+                &leader->teams[(leader->first_team_index + i) % leader->team_count];
+            if (team->next_ready_index >= team->ready_jobs->len)
                 continue;
-            team->deficit =
-                MIN(team->deficit + MAX(team->team->cpus.milli / QUANTUM_DIVISOR, LEAST_QUANTUM),
-                    MOST_DEFICIT);
-            any = deal_turn(leader, team, rank, budget, &dealt) || any;
+            team->deficit_milli_cpus =
+                MIN(team->deficit_milli_cpus +
+                        MAX(team->quota->cpus.milli / QUANTUM_DIVISOR, MIN_QUANTUM_MILLI_CPUS),
+                    MAX_DEFICIT_MILLI_CPUS);
+            has_remaining =
+                dispatch_team_turn(leader, team, rank, budget, &dispatched_tasks) || has_remaining;
         }
     }
-    return dealt;
+    return dispatched_tasks;
 }
 
 /* Whether the job may have something to deal in this pass. */
-static bool is_ready(struct leader *leader, struct leader_job *job, const struct job *job_view)
+static bool is_ready(struct leader *leader, struct ledger_job *job, const struct job *job_record)
 {
     /* What it needs is done once that is durable and seen here, whoever led when it was. */
-    if (!job_view || !job_view->known || job_view->state != JOB_LIVE || !job_view->spec ||
-        job_view->waits || time_before(loop_now(leader->loop), job->not_before))
+    if (!job_record || !job_record->is_known || job_record->state != JOB_ACTIVE ||
+        !job_record->spec || job_record->has_pending_dependencies ||
+        time_before(loop_now(leader->loop), job->retry_at))
         return false;
-    return job_view->spec->form == FORM_GANG ||
-           leader_next_waiting(job, job_view) < job_view->tasks;
+    return job_record->spec->form == FORM_GANG ||
+           quota_ledger_next_waiting_task(job, job_record) < job_record->task_count;
 }
 
 /* Adds the job to its team's queue. */
-static void enqueue(struct leader *leader, struct leader_job *job, struct job *job_view)
+static void enqueue(struct leader *leader, struct ledger_job *job, struct job *job_record)
 {
-    job->in_time = still_in_time(leader, job, job_view);
-    job->view = job_view;
-    job->queue_ms =
-        job_view->since.ms + (int64_t)(SIZE_COUNTS * 1000 * keeps_busy_s(leader, job, job_view));
-    g_ptr_array_add(leader->teams[job->team].ready, job);
+    job->can_meet_objective = update_waiting_state(leader, job, job_record);
+    job->job_record = job_record;
+    job->queue_position_ms =
+        job_record->eligible_at.ms +
+        (int64_t)(JOB_SIZE_WEIGHT * 1000 * limit_busy_time_s(leader, job, job_record));
+    g_ptr_array_add(leader->teams[job->team_index].ready_jobs, job);
 }
 
-bool leader_collect_ready(struct leader *leader)
+bool job_queue_collect_ready(struct leader *leader)
 {
-    bool any = false;
-    for (int i = 0; i < leader->n_teams; i++)
-        g_ptr_array_set_size(leader->teams[i].ready, 0);
+    bool has_ready_jobs = false;
+    for (int i = 0; i < leader->team_count; i++)
+        g_ptr_array_set_size(leader->teams[i].ready_jobs, 0);
     GHashTableIter it;
-    struct leader_job *job;
+    struct ledger_job *job;
     g_hash_table_iter_init(&it, leader->jobs);
     while (g_hash_table_iter_next(&it, NULL, (gpointer *)&job)) {
-        struct job *job_view = view_job(leader->view, job->id.s);
-        job->blocked = false;
-        job->gang.held_tasks = 0;
-        if (!is_ready(leader, job, job_view))
+        struct job *job_record = replica_get_job(leader->replica, job->id.text);
+        job->is_blocked = false;
+        job->gang.reserved_task_count = 0;
+        if (!is_ready(leader, job, job_record))
             continue;
-        enqueue(leader, job, job_view);
-        any = true;
+        enqueue(leader, job, job_record);
+        has_ready_jobs = true;
     }
-    for (int i = 0; i < leader->n_teams; i++) {
-        g_ptr_array_sort(leader->teams[i].ready, by_place);
-        take_turns(leader->teams[i].ready);
+    for (int i = 0; i < leader->team_count; i++) {
+        g_ptr_array_sort(leader->teams[i].ready_jobs, compare_queue_position);
+        interleave_aged_jobs(leader->teams[i].ready_jobs);
     }
-    return any;
+    return has_ready_jobs;
 }
--- a/src/scheduler/leader.h
+++ b/src/scheduler/leader.h
@@ -12,12 +12,12 @@
 /* What it works with; all of it outlives the leader. */
 struct leader_setup {
     struct loop *loop;
-    struct net *net;
-    struct store *store;
-    struct view *view;
+    struct http_client *net;
+    struct kv_client *store;
+    struct replica *view;
     struct membership *members;
-    struct duties *duties;
-    struct bus *bus;
+    struct role_manager *duties;
+    struct node_rpc *bus;
     struct shard *shard;
     const struct settings *settings;
     const struct feature_set *features;
--- a/src/scheduler/machine_health.c
+++ b/src/scheduler/machine_health.c
@@ -4,15 +4,15 @@
 #include "quota_ledger.h"
 
 enum {
-    SLOW_AFTER = 5,  /* tasks, before a machine can be slow */
-    SLOW_BESIDE = 3, /* tasks of a job, before another is compared with them */
+    MIN_MACHINE_SAMPLES = 5, /* tasks, before a machine can be slow */
+    MIN_JOB_SAMPLES = 3,     /* tasks of a job, before another is compared with them */
     MAX_RUN_TIMES = 10000,
-    SICK_AFTER = 2,        /* jobs that failed on a machine */
-    SICK_MS = 120000,      /* then it may try again, if something kept it */
-    AT_FAULT_AFTER = 3,    /* machines on which only this job failed */
-    PAUSE_BASE_MS = 4000,  /* of a job that fails everywhere; doubled with each failure */
-    MOST_PAUSE_MS = 40000, /* and at most */
-    MOST_DOUBLINGS = 5,
+    QUARANTINE_JOB_COUNT = 2,     /* jobs that failed on a machine */
+    QUARANTINE_MS = 120000,       /* then it may try again, if something kept it */
+    FAULTY_JOB_MACHINE_COUNT = 3, /* machines on which only this job failed */
+    RETRY_BASE_DELAY_MS = 4000,   /* of a job that fails everywhere; doubled with each failure */
+    MAX_RETRY_DELAY_MS = 40000,   /* and at most */
+    MAX_RETRY_DOUBLINGS = 5,
     AVOID_AFTER_LOSS_MS = 5000,    /* a machine on which a task was lost */
     AVOID_AFTER_REPEAT_MS = 60000, /* a machine that failed tasks of the same job before */
     AVOID_AFTER_ERROR_MS = 10000,  /* a machine on which a task failed */
@@ -22,134 +22,141 @@
 static const double SLOWDOWN_LIMIT = 1.7;
 
 /* Shorter tasks tell nothing of a machine. */
-static const double LEAST_MEAN_S = 0.5;
+static const double MIN_MEAN_RUN_TIME_S = 0.5;
 
 /* The weight of the latest task in the slowdown of its machine. */
 static const double SLOWDOWN_WEIGHT = 0.25;
 
-static void host_failed(struct leader *leader, struct leader_host *host, const char *job)
+static void quarantine_if_repeated(struct leader *leader, struct ledger_machine *machine,
+                                   const char *job_name)
 {
-    if (!host->failed_jobs)
-        host->failed_jobs = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    g_hash_table_add(host->failed_jobs, g_strdup(job));
-    if (g_hash_table_size(host->failed_jobs) >= SICK_AFTER) {
-        LOG_INFO("machine_sick", "machine=%s", host->id.s);
-        host->sick_until = time_add_ms(loop_now(leader->loop), SICK_MS);
-        g_hash_table_remove_all(host->failed_jobs);
+    if (!machine->failed_jobs)
+        machine->failed_jobs = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    g_hash_table_add(machine->failed_jobs, g_strdup(job_name));
+    if (g_hash_table_size(machine->failed_jobs) >= QUARANTINE_JOB_COUNT) {
+        LOG_INFO("machine_sick", "machine=%s", machine->id.text);
+        machine->quarantined_until = time_add_ms(loop_now(leader->loop), QUARANTINE_MS);
+        g_hash_table_remove_all(machine->failed_jobs);
     }
 }
 
-void leader_learn_run_time(struct leader *leader, const char *job, struct leader_host *host,
-                           double took_s)
+void machine_health_record_run_time(struct leader *leader, const char *job_name,
+                                    struct ledger_machine *machine, double run_time_s)
 {
-    struct job_run_time *run_time = g_hash_table_lookup(leader->run_times, job);
+    struct job_run_time *run_time = g_hash_table_lookup(leader->job_run_times, job_name);
     if (!run_time) {
-        if (g_hash_table_size(leader->run_times) > MAX_RUN_TIMES)
-            g_hash_table_remove_all(leader->run_times);
+        if (g_hash_table_size(leader->job_run_times) > MAX_RUN_TIMES)
+            g_hash_table_remove_all(leader->job_run_times);
         run_time = g_new0(struct job_run_time, 1);
-        g_hash_table_insert(leader->run_times, g_strdup(job), run_time);
+        g_hash_table_insert(leader->job_run_times, g_strdup(job_name), run_time);
     }
-    if (run_time->n >= SLOW_BESIDE && run_time->mean_s > LEAST_MEAN_S) {
-        double slowdown = took_s / run_time->mean_s;
-        host->slowdown = host->slowdown_samples++
-                             ? host->slowdown + (slowdown - host->slowdown) * SLOWDOWN_WEIGHT
-                             : slowdown;
+    if (run_time->task_count >= MIN_JOB_SAMPLES && run_time->mean_s > MIN_MEAN_RUN_TIME_S) {
+        double slowdown = run_time_s / run_time->mean_s;
+        machine->slowdown =
+            machine->slowdown_sample_count++
+                ? machine->slowdown + (slowdown - machine->slowdown) * SLOWDOWN_WEIGHT
+                : slowdown;
     }
-    run_time->mean_s += (took_s - run_time->mean_s) / ++run_time->n;
+    run_time->mean_s += (run_time_s - run_time->mean_s) / ++run_time->task_count;
 }
 
-static gint by_value(gconstpointer a, gconstpointer b)
+static gint compare_doubles(gconstpointer a, gconstpointer b)
 {
     double x = *(const double *)a, y = *(const double *)b;
     return (x > y) - (x < y);
 }
 
-void leader_measure_slowdowns(struct leader *leader)
+void machine_health_update_median_slowdown(struct leader *leader)
 {
     GArray *slowdowns = g_array_new(FALSE, FALSE, sizeof(double));
     GHashTableIter it;
-    struct leader_host *host;
-    g_hash_table_iter_init(&it, leader->hosts);
-    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&host))
-        if (host->told && host->slowdown_samples >= SLOW_AFTER)
-            g_array_append_val(slowdowns, host->slowdown);
-    g_array_sort(slowdowns, by_value);
+    struct ledger_machine *machine;
+    g_hash_table_iter_init(&it, leader->machines);
+    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&machine))
+        if (machine->is_reported && machine->slowdown_sample_count >= MIN_MACHINE_SAMPLES)
+            g_array_append_val(slowdowns, machine->slowdown);
+    g_array_sort(slowdowns, compare_doubles);
     leader->median_slowdown =
         slowdowns->len ? g_array_index(slowdowns, double, (slowdowns->len - 1) / 2) : 1;
     g_array_unref(slowdowns);
 }
 
-bool leader_host_slow(const struct leader *leader, const struct leader_host *host)
+bool machine_health_is_slow(const struct leader *leader, const struct ledger_machine *machine)
 {
-    return host->slowdown_samples >= SLOW_AFTER &&
-           host->slowdown > SLOWDOWN_LIMIT * MAX(leader->median_slowdown, 1);
+    return machine->slowdown_sample_count >= MIN_MACHINE_SAMPLES &&
+           machine->slowdown > SLOWDOWN_LIMIT * MAX(leader->median_slowdown, 1);
 }
 
 /* Tasks of other jobs have failed on the machine, too. */
-static bool fails_others(struct leader *leader, const char *host, const char *job)
+static bool has_failed_other_jobs(struct leader *leader, const char *machine_name,
+                                  const char *job_name)
 {
-    struct leader_host *h = leader_host_get(leader, host);
-    if (!h)
+    struct ledger_machine *machine = quota_ledger_find_machine(leader, machine_name);
+    if (!machine)
         return false;
-    guint n = h->failed_jobs ? g_hash_table_size(h->failed_jobs) : 0;
-    bool this_one = n && g_hash_table_contains(h->failed_jobs, job);
-    return time_before(loop_now(leader->loop), h->sick_until) || n > this_one;
+    guint failed_job_count = machine->failed_jobs ? g_hash_table_size(machine->failed_jobs) : 0;
+    bool includes_this_job =
+        failed_job_count && g_hash_table_contains(machine->failed_jobs, job_name);
+    return time_before(loop_now(leader->loop), machine->quarantined_until) ||
+           failed_job_count > includes_this_job;
 }
 
 /* Machines on which only this job has failed, as far as is known. When several machines are sick at
  * once, a large job comes to all of them within a moment, and is no worse than others. */
-static guint failed_alone(struct leader *leader, struct leader_job *job)
+static guint count_exclusive_failures(struct leader *leader, struct ledger_job *job)
 {
-    guint n = 0;
+    guint machine_count = 0;
     GHashTableIter it;
-    const char *host;
-    g_hash_table_iter_init(&it, job->failed_on);
-    while (g_hash_table_iter_next(&it, (gpointer *)&host, NULL))
-        n += !fails_others(leader, host, job->id.s);
-    return n;
+    const char *machine_name;
+    g_hash_table_iter_init(&it, job->failed_machines);
+    while (g_hash_table_iter_next(&it, (gpointer *)&machine_name, NULL))
+        machine_count += !has_failed_other_jobs(leader, machine_name, job->id.text);
+    return machine_count;
 }
 
 /* A machine that failed a task gets nothing new for a while. If it has failed the same job before,
  * in another try, it has the job's image by now and would be chosen next: it is left out for
  * longer, whether the job is taken for the one at fault or not. */
-static void avoid_after_error(struct leader *leader, struct leader_job *job,
-                              struct leader_host *host)
+static void avoid_failed_machine(struct leader *leader, struct ledger_job *job,
+                                 struct ledger_machine *machine)
 {
     mono_time now = loop_now(leader->loop);
-    bool same_try = time_before(now, host->avoid_until);
-    bool failed_before = !g_hash_table_add(job->failed_on, g_strdup(host->id.s));
-    int64_t avoid_ms = failed_before && !same_try ? AVOID_AFTER_REPEAT_MS : AVOID_AFTER_ERROR_MS;
+    bool is_same_try = time_before(now, machine->avoid_until);
+    bool has_failed_before = !g_hash_table_add(job->failed_machines, g_strdup(machine->id.text));
+    int64_t avoid_ms =
+        has_failed_before && !is_same_try ? AVOID_AFTER_REPEAT_MS : AVOID_AFTER_ERROR_MS;
     mono_time until = time_add_ms(now, avoid_ms);
-    if (time_before(host->avoid_until, until))
-        host->avoid_until = until;
+    if (time_before(machine->avoid_until, until))
+        machine->avoid_until = until;
 }
 
-void leader_task_failed(struct leader *leader, struct leader_job *job, struct leader_host *host,
-                        enum cause cause)
+void machine_health_record_failure(struct leader *leader, struct ledger_job *job,
+                                   struct ledger_machine *machine, enum exit_cause cause)
 {
     if (cause == CAUSE_INCOMPLETE) /* another task of its gang was missing */
         return;
     if (cause != CAUSE_ERROR) {
-        host->avoid_until = time_add_ms(loop_now(leader->loop), AVOID_AFTER_LOSS_MS);
+        machine->avoid_until = time_add_ms(loop_now(leader->loop), AVOID_AFTER_LOSS_MS);
         return;
     }
-    struct job *job_view = view_job(leader->view, job->id.s);
-    if (!job->failed_on)
-        job->failed_on = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    avoid_after_error(leader, job, host);
-    bool at_fault =
-        job_view && job_view->n_done == 0 && failed_alone(leader, job) >= AT_FAULT_AFTER;
+    struct job *job_record = replica_get_job(leader->replica, job->id.text);
+    if (!job->failed_machines)
+        job->failed_machines = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    avoid_failed_machine(leader, job, machine);
+    bool is_job_faulty = job_record && job_record->completed_count == 0 &&
+                         count_exclusive_failures(leader, job) >= FAULTY_JOB_MACHINE_COUNT;
     /* Its tasks fail within a moment of one another: that is one try, not many. */
-    if (at_fault && time_before(loop_now(leader->loop), job->not_before))
+    if (is_job_faulty && time_before(loop_now(leader->loop), job->retry_at))
         return;
-    if (at_fault) {
-        job->failures++;
-        int64_t pause =
-            MIN(MOST_PAUSE_MS, (int64_t)PAUSE_BASE_MS << MIN(job->failures, MOST_DOUBLINGS));
-        job->not_before = time_add_ms(loop_now(leader->loop), pause);
-        LOG_INFO("job_failing", "job=%s machines=%u pause_ms=%" G_GINT64_FORMAT, job->id.s,
-                 g_hash_table_size(job->failed_on), pause);
+    if (is_job_faulty) {
+        job->failure_count++;
+        int64_t delay_ms =
+            MIN(MAX_RETRY_DELAY_MS,
+                (int64_t)RETRY_BASE_DELAY_MS << MIN(job->failure_count, MAX_RETRY_DOUBLINGS));
+        job->retry_at = time_add_ms(loop_now(leader->loop), delay_ms);
+        LOG_INFO("job_failing", "job=%s machines=%u pause_ms=%" G_GINT64_FORMAT, job->id.text,
+                 g_hash_table_size(job->failed_machines), delay_ms);
         return;
     }
-    host_failed(leader, host, job->id.s);
+    quarantine_if_repeated(leader, machine, job->id.text);
 }
--- a/src/scheduler/placement.c
+++ b/src/scheduler/placement.c
@@ -5,156 +5,166 @@
 #include "quota_ledger.h"
 #include "shard.h"
 
-bool leader_host_takes(struct leader *leader, struct leader_host *host)
+bool placement_is_schedulable(struct leader *leader, struct ledger_machine *machine)
 {
     mono_time now = loop_now(leader->loop);
-    return host->told && !time_before(now, host->sick_until) && !leader_host_slow(leader, host) &&
-           (host->flags & HOST_KNOWN) &&
-           !(host->flags & (HOST_LOST | HOST_RECLAIMED | HOST_QUIET)) &&
-           !fleet_gone(leader->fleet, host->id.s) && !fleet_returning(leader->fleet, host->id.s) &&
-           !time_before(now, host->avoid_until);
+    return machine->is_reported && !time_before(now, machine->quarantined_until) &&
+           !machine_health_is_slow(leader, machine) && (machine->flags & MACHINE_KNOWN) &&
+           !(machine->flags & (MACHINE_UNREACHABLE | MACHINE_RECLAIMED | MACHINE_UNAVAILABLE)) &&
+           !cloud_provider_is_gone(leader->cloud, machine->id.text) &&
+           !cloud_provider_is_scaling_in(leader->cloud, machine->id.text) &&
+           !time_before(now, machine->avoid_until);
 }
 
-struct room leader_host_free_room(const struct leader_host *host)
+struct resources placement_free_resources(const struct ledger_machine *machine)
 {
-    return room_left(room_left(room_left(host->total, host->booked), host->dealt), host->held);
+    return resources_remaining(
+        resources_remaining(resources_remaining(machine->capacity, machine->allocated),
+                            machine->dispatched),
+        machine->reserved);
 }
 
 /* The zone of the machine, or NULL if it cannot be told. */
-static const char *zone_of(struct leader *leader, host_id id)
+static const char *find_machine_zone(struct leader *leader, machine_id id)
 {
-    const struct leader_host *host = leader_host_get(leader, id.s);
-    if (host && host->zone[0])
-        return host->zone;
-    const struct host_record *rec = view_host(leader->view, id.s);
-    return rec && rec->zone[0] ? rec->zone : NULL;
+    const struct ledger_machine *machine = quota_ledger_find_machine(leader, id.text);
+    if (machine && machine->zone[0])
+        return machine->zone;
+    const struct machine_record *machine_record = replica_get_machine(leader->replica, id.text);
+    return machine_record && machine_record->zone[0] ? machine_record->zone : NULL;
 }
 
-uint32_t leader_in_zone(struct leader *leader, struct leader_job *job, const char *zone)
+uint32_t placement_count_tasks_in_zone(struct leader *leader, struct ledger_job *job,
+                                       const char *zone)
 {
-    uint32_t n = 0;
+    uint32_t task_count = 0;
     GHashTableIter it;
-    struct entry *entry;
-    struct deal *deal;
-    g_hash_table_iter_init(&it, job->entries);
-    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&entry)) {
-        const char *where = zone_of(leader, entry->host);
+    struct allocation *allocation;
+    struct pending_dispatch *dispatch;
+    g_hash_table_iter_init(&it, job->allocations);
+    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&allocation)) {
+        const char *machine_zone = find_machine_zone(leader, allocation->machine);
         /* Where it is cannot be told: it counts everywhere. */
-        n += !where || strcmp(where, zone) == 0;
+        task_count += !machine_zone || strcmp(machine_zone, zone) == 0;
     }
-    g_hash_table_iter_init(&it, job->deals);
-    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&deal))
-        n += strcmp(deal->zone, zone) == 0;
-    return n;
+    g_hash_table_iter_init(&it, job->dispatches);
+    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&dispatch))
+        task_count += strcmp(dispatch->zone, zone) == 0;
+    return task_count;
 }
 
 /* OneZone and Apart are decided here, on records and deals; the zone is part of the deal. */
-static bool zone_bound(const struct spec *spec)
+static bool is_zone_bound(const struct job_spec *spec)
 {
-    return spec->one_zone || spec->apart;
+    return spec->needs_single_zone || spec->needs_separate_zones;
 }
 
-void leader_count_zones(struct leader *leader, struct leader_job *job, const struct spec *spec)
+void placement_count_zone_tasks(struct leader *leader, struct ledger_job *job,
+                                const struct job_spec *spec)
 {
-    for (guint i = 0; zone_bound(spec) && i < leader->settings->zones->len; i++)
-        leader->zone_tasks[i] = leader_in_zone(leader, job, leader->settings->zones->pdata[i]);
+    for (guint i = 0; is_zone_bound(spec) && i < leader->settings->zones->len; i++)
+        leader->zone_task_counts[i] =
+            placement_count_tasks_in_zone(leader, job, leader->settings->zones->pdata[i]);
 }
 
-bool leader_zone_allowed(struct leader *leader, struct leader_job *job, const struct spec *spec,
-                         int zone_index)
+bool placement_is_zone_allowed(struct leader *leader, struct ledger_job *job,
+                               const struct job_spec *spec, int zone_index)
 {
-    if (!zone_bound(spec))
+    if (!is_zone_bound(spec))
         return true;
     if (zone_index < 0)
         return false;
-    uint32_t there = leader->zone_tasks[zone_index];
-    if (spec->one_zone && there != g_hash_table_size(job->entries) + g_hash_table_size(job->deals))
+    uint32_t tasks_in_zone = leader->zone_task_counts[zone_index];
+    if (spec->needs_single_zone &&
+        tasks_in_zone != g_hash_table_size(job->allocations) + g_hash_table_size(job->dispatches))
         return false;
-    return !spec->apart || there < (spec->tasks + 1) / 2;
+    return !spec->needs_separate_zones || tasks_in_zone < (spec->task_count + 1) / 2;
 }
 
-bool leader_host_allowed(struct leader *leader, struct leader_job *job, const struct spec *spec,
-                         struct leader_host *host)
+bool placement_is_machine_allowed(struct leader *leader, struct ledger_job *job,
+                                  const struct job_spec *spec, struct ledger_machine *machine)
 {
-    return spec_allows(spec, host->type_name, host->zone, host->spot) &&
-           leader_zone_allowed(leader, job, spec, host->zone_index);
+    return job_spec_allows_machine(spec, machine->type_name, machine->zone, machine->is_spot) &&
+           placement_is_zone_allowed(leader, job, spec, machine->zone_index);
 }
 
-void leader_survey(struct leader *leader)
+void placement_begin_pass(struct leader *leader)
 {
     memset(leader->zone_cpus, 0, sizeof *leader->zone_cpus * leader->settings->zones->len);
-    g_ptr_array_set_size(leader->open_hosts, 0);
-    g_array_set_size(leader->unplaceable, 0);
-    leader->holding_gangs = 0;
-    loop_work(leader->loop, g_hash_table_size(leader->hosts));
+    g_ptr_array_set_size(leader->schedulable_machines, 0);
+    g_array_set_size(leader->unschedulable_requests, 0);
+    leader->reserving_gang_count = 0;
+    loop_add_work(leader->loop, g_hash_table_size(leader->machines));
     GHashTableIter it;
-    struct leader_host *host;
-    g_hash_table_iter_init(&it, leader->hosts);
-    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&host)) {
-        host->held = (struct room){0};
-        host->wanted = false;
-        if (host->told && !host->spot && host->zone_index >= 0)
-            leader->zone_cpus[host->zone_index] += (double)host->total.cpus.milli / 1000;
-        if (leader_host_takes(leader, host))
-            g_ptr_array_add(leader->open_hosts, host);
+    struct ledger_machine *machine;
+    g_hash_table_iter_init(&it, leader->machines);
+    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&machine)) {
+        machine->reserved = (struct resources){0};
+        machine->is_wanted_by_gang = false;
+        if (machine->is_reported && !machine->is_spot && machine->zone_index >= 0)
+            leader->zone_cpus[machine->zone_index] += (double)machine->capacity.cpus.milli / 1000;
+        if (placement_is_schedulable(leader, machine))
+            g_ptr_array_add(leader->schedulable_machines, machine);
     }
 }
 
 /* The processors of a zone's ordinary machines beside those of the largest zone. */
-static double zone_roomy(struct leader *leader, int zone_index)
+static double relative_zone_capacity(struct leader *leader, int zone_index)
 {
-    double most = 0;
+    double largest_cpus = 0;
     for (guint i = 0; i < leader->settings->zones->len; i++)
-        most = MAX(most, leader->zone_cpus[i]);
-    return most > 0 && zone_index >= 0 ? leader->zone_cpus[zone_index] / most : 1;
+        largest_cpus = MAX(largest_cpus, leader->zone_cpus[i]);
+    return largest_cpus > 0 && zone_index >= 0 ? leader->zone_cpus[zone_index] / largest_cpus : 1;
 }
 
-static double host_score(struct leader *leader, const struct leader_host *host,
-                         const struct spec *spec)
+static double score_candidate(struct leader *leader, const struct ledger_machine *machine,
+                              const struct job_spec *spec)
 {
-    struct room taken = host->booked;
-    room_add(&taken, host->dealt);
-    struct score_facts facts = {
-        images_hold(host->images, spec->image), host->spot, room_share(taken, host->total),
-        room_share(host->pinned, host->total), zone_roomy(leader, host->zone_index)};
-    return score_host(spec, &facts);
+    struct resources used = machine->allocated;
+    resources_add(&used, machine->dispatched);
+    struct placement_facts facts = {
+        image_cache_contains(machine->image_cache, spec->image), machine->is_spot,
+        resources_dominant_share(used, machine->capacity),
+        resources_dominant_share(machine->service_resources, machine->capacity),
+        relative_zone_capacity(leader, machine->zone_index)};
+    return placement_score(spec, &facts);
 }
 
-gint leader_compare_choices(gconstpointer a, gconstpointer b)
+gint placement_compare_candidates(gconstpointer a, gconstpointer b)
 {
-    const struct host_choice *first = a, *second = b;
+    const struct placement_candidate *first = a, *second = b;
     if (first->score != second->score)
         return first->score > second->score ? -1 : 1;
-    return strcmp(first->host->id.s, second->host->id.s);
+    return strcmp(first->machine->id.text, second->machine->id.text);
 }
 
-GArray *leader_choose_hosts(struct leader *leader, struct leader_job *job, const struct spec *spec,
-                            bool image)
+GArray *placement_find_candidates(struct leader *leader, struct ledger_job *job,
+                                  const struct job_spec *spec, bool needs_image)
 {
-    loop_work(leader->loop, leader->open_hosts->len);
-    GArray *out = g_array_new(FALSE, FALSE, sizeof(struct host_choice));
-    for (guint i = 0; i < leader->open_hosts->len; i++) {
-        struct leader_host *host = leader->open_hosts->pdata[i];
-        if (!room_holds(leader_host_free_room(host), job->room) ||
-            !leader_host_allowed(leader, job, spec, host) ||
-            (image && !images_hold(host->images, spec->image)))
+    loop_add_work(leader->loop, leader->schedulable_machines->len);
+    GArray *candidates = g_array_new(FALSE, FALSE, sizeof(struct placement_candidate));
+    for (guint i = 0; i < leader->schedulable_machines->len; i++) {
+        struct ledger_machine *machine = leader->schedulable_machines->pdata[i];
+        if (!resources_fit(placement_free_resources(machine), job->task_resources) ||
+            !placement_is_machine_allowed(leader, job, spec, machine) ||
+            (needs_image && !image_cache_contains(machine->image_cache, spec->image)))
             continue;
-        struct host_choice choice = {host, host_score(leader, host, spec)};
-        g_array_append_val(out, choice);
+        struct placement_candidate candidate = {machine, score_candidate(leader, machine, spec)};
+        g_array_append_val(candidates, candidate);
     }
-    g_array_sort(out, leader_compare_choices);
-    return out;
+    g_array_sort(candidates, placement_compare_candidates);
+    return candidates;
 }
 
-bool leader_known_unplaceable(struct leader *leader, const struct spec *spec)
+bool placement_is_unschedulable(struct leader *leader, const struct job_spec *spec)
 {
-    struct lack lack = lack_of_spec(spec, "");
-    return lacks_cover(leader->unplaceable, &lack);
+    struct unschedulable request = unschedulable_of_job_spec(spec, "");
+    return unschedulable_list_covers(leader->unschedulable_requests, &request);
 }
 
-void leader_note_unplaceable(struct leader *leader, const struct spec *spec)
+void placement_add_unschedulable(struct leader *leader, const struct job_spec *spec)
 {
-    struct lack lack = lack_of_spec(spec, "");
-    if (!zone_bound(spec) && !spec->type_names && !spec->zone)
-        g_array_append_val(leader->unplaceable, lack);
+    struct unschedulable request = unschedulable_of_job_spec(spec, "");
+    if (!is_zone_bound(spec) && !spec->machine_type_names && !spec->zone)
+        g_array_append_val(leader->unschedulable_requests, request);
 }
--- a/src/scheduler/preemption.c
+++ b/src/scheduler/preemption.c
@@ -7,139 +7,154 @@
 #include "shard_dispatcher.h"
 
 enum {
-    MOVE_AFTER_MS = 35000,  /* a start counts once it has run for a while */
-    PREEMPT_TASKS = 32,     /* at a time, for one job */
-    PREEMPT_MS = 1000,      /* for what was stopped to be off the record */
-    HOLD_OUT_MS = 1200,     /* for a machine that has the image */
-    MOVE_BACKOFF_MS = 1000, /* a zone in which nothing can be moved is let be */
+    MIN_RELOCATION_AGE_MS = 35000, /* a start counts once it has run for a while */
+    MAX_PREEMPTED_TASKS = 32,      /* at a time, for one job */
+    PREEMPTION_INTERVAL_MS = 1000, /* for what was stopped to be off the record */
+    IMAGE_WAIT_MS = 1200,          /* for a machine that has the image */
+    RELOCATION_BACKOFF_MS = 1000,  /* a zone in which nothing can be moved is let be */
 };
 
 /* A task on record that may be stopped. */
-struct victim {
-    struct leader_job *job;
+struct preemption_victim {
+    struct ledger_job *job;
     uint32_t index;
-    struct entry *entry;
+    struct allocation *allocation;
 };
 
 /* The youngest first: the least is lost with them. */
-static gint by_youth(gconstpointer a, gconstpointer b)
+static gint compare_by_youth(gconstpointer a, gconstpointer b)
 {
-    const struct victim *victim = a, *y = b;
-    return victim->entry->since.us > y->entry->since.us
+    const struct preemption_victim *first = a, *second = b;
+    return first->allocation->allocated_at.us > second->allocation->allocated_at.us
                ? -1
-               : victim->entry->since.us < y->entry->since.us;
+               : first->allocation->allocated_at.us < second->allocation->allocated_at.us;
 }
 
 /* Whether all that waits of a job lies within its team's guarantee. */
-static bool guaranteed(struct leader *leader, struct leader_job *job, struct job *job_view)
+static bool is_within_guarantee(struct leader *leader, struct ledger_job *job,
+                                struct job *job_record)
 {
-    struct leader_team *team = &leader->teams[job->team];
-    int64_t n = leader_count_waiting(job, job_view);
-    struct room all = {{job->room.cpus.milli * n}, {job->room.gpus.milli * n}, {0}};
-    return leader_within_limits(team->used, all, team->team->cpus, team->team->gpus);
+    struct ledger_team *team = &leader->teams[job->team_index];
+    int64_t waiting_tasks = quota_ledger_count_waiting_tasks(job, job_record);
+    struct resources total_request = {{job->task_resources.cpus.milli * waiting_tasks},
+                                      {job->task_resources.gpus.milli * waiting_tasks},
+                                      {0}};
+    return quota_ledger_is_within_limits(team->used, total_request, team->quota->cpus,
+                                         team->quota->gpus);
 }
 
 /* A job that finds no room, and what it may have stopped: work of lower priority, and what other
  * teams run above their guarantee while its own lacks it. */
-struct claim {
-    struct leader_job *job;
-    struct job *view;
-    bool over_lower, over_borrowed;
-    bool image; /* on machines with its image only */
+struct preemptor {
+    struct ledger_job *job;
+    struct job *job_record;
+    bool may_stop_lower_priority, may_stop_borrowed;
+    bool needs_image; /* on machines with its image only */
 };
 
 /* Services are not stopped for a guarantee. */
-static bool may_stop(struct leader *leader, struct leader_job *victim, const struct claim *claim)
+static bool may_preempt_job(struct leader *leader, struct ledger_job *victim,
+                            const struct preemptor *preemptor)
 {
     /* What waited for long is not stopped again and again, but for services. */
-    if (victim->urgency > claim->job->urgency)
-        return claim->over_lower && (!victim->overdue || claim->job->service);
-    const struct leader_team *team = &leader->teams[victim->team];
-    return victim->team != claim->job->team && !victim->service && claim->over_borrowed &&
-           (team->used.cpus.milli - team->halting.cpus.milli - victim->room.cpus.milli >=
-                team->team->cpus.milli &&
-            team->used.gpus.milli - team->halting.gpus.milli - victim->room.gpus.milli >=
-                team->team->gpus.milli);
+    if (victim->priority > preemptor->job->priority)
+        return preemptor->may_stop_lower_priority &&
+               (!victim->is_overdue || preemptor->job->is_service);
+    const struct ledger_team *team = &leader->teams[victim->team_index];
+    return victim->team_index != preemptor->job->team_index && !victim->is_service &&
+           preemptor->may_stop_borrowed &&
+           (team->used.cpus.milli - team->stopping.cpus.milli - victim->task_resources.cpus.milli >=
+                team->quota->cpus.milli &&
+            team->used.gpus.milli - team->stopping.gpus.milli - victim->task_resources.gpus.milli >=
+                team->quota->gpus.milli);
 }
 
 /* Tasks on a machine that may be stopped for a job, youngest first. Gangs are let be: one task
  * stopped stops them all. */
-static GArray *victims_on(struct leader *leader, struct leader_host *host,
-                          const struct claim *claim)
+static GArray *find_victims(struct leader *leader, struct ledger_machine *machine,
+                            const struct preemptor *preemptor)
 {
-    GArray *out = g_array_new(FALSE, FALSE, sizeof(struct victim));
-    struct host_record *rec = view_host(leader->view, host->id.s);
-    loop_work(leader->loop, rec ? rec->tasks->len : 0);
-    for (guint i = 0; rec && i < rec->tasks->len; i++) {
-        struct placed *placed = rec->tasks->pdata[i];
-        struct leader_job *job = leader_job_get(leader, placed->job->id.s);
-        struct entry *entry =
-            job ? g_hash_table_lookup(job->entries, leader_key_of(placed->index)) : NULL;
-        if (!entry || entry->attempt.v != placed->attempt.v || !host_eq(entry->host, host->id) ||
-            entry->halted || !placed->job->spec || placed->job->spec->form == FORM_GANG ||
-            !may_stop(leader, job, claim))
+    GArray *victims = g_array_new(FALSE, FALSE, sizeof(struct preemption_victim));
+    struct machine_record *machine_record = replica_get_machine(leader->replica, machine->id.text);
+    loop_add_work(leader->loop, machine_record ? machine_record->run_records->len : 0);
+    for (guint i = 0; machine_record && i < machine_record->run_records->len; i++) {
+        struct run_record *run_record = machine_record->run_records->pdata[i];
+        struct ledger_job *job = quota_ledger_find_job(leader, run_record->job->id.text);
+        struct allocation *allocation =
+            job ? g_hash_table_lookup(job->allocations,
+                                      quota_ledger_task_key(run_record->task_index))
+                : NULL;
+        if (!allocation || allocation->attempt.value != run_record->attempt.value ||
+            !machine_id_equal(allocation->machine, machine->id) || allocation->is_stopping ||
+            !run_record->job->spec || run_record->job->spec->form == FORM_GANG ||
+            !may_preempt_job(leader, job, preemptor))
             continue;
-        struct victim victim = {job, placed->index, entry};
-        g_array_append_val(out, victim);
+        struct preemption_victim victim = {job, run_record->task_index, allocation};
+        g_array_append_val(victims, victim);
     }
-    g_array_sort(out, by_youth);
-    return out;
+    g_array_sort(victims, compare_by_youth);
+    return victims;
 }
 
 /* Whether a task of a service could go to another machine that is not in the zone. */
-static bool could_leave(struct leader *leader, struct leader_job *job, const struct spec *spec,
-                        int zone_index)
+static bool could_leave_zone(struct leader *leader, struct ledger_job *job,
+                             const struct job_spec *spec, int zone_index)
 {
-    leader_count_zones(leader, job, spec);
-    loop_work(leader->loop, leader->open_hosts->len);
-    for (guint i = 0; i < leader->open_hosts->len; i++) {
-        struct leader_host *host = leader->open_hosts->pdata[i];
-        if (host->zone_index != zone_index && room_holds(leader_host_free_room(host), job->room) &&
-            leader_host_allowed(leader, job, spec, host))
+    placement_count_zone_tasks(leader, job, spec);
+    loop_add_work(leader->loop, leader->schedulable_machines->len);
+    for (guint i = 0; i < leader->schedulable_machines->len; i++) {
+        struct ledger_machine *machine = leader->schedulable_machines->pdata[i];
+        if (machine->zone_index != zone_index &&
+            resources_fit(placement_free_resources(machine), job->task_resources) &&
+            placement_is_machine_allowed(leader, job, spec, machine))
             return true;
     }
     return false;
 }
 
 /* A replica on a machine that may be moved away, so that there is room for another. */
-static bool may_move(struct leader *leader, struct leader_host *host, struct placed *placed,
-                     struct leader_job *for_job, struct leader_job **owner, struct entry **entry)
+static bool may_relocate(struct leader *leader, struct ledger_machine *machine,
+                         struct run_record *run_record, struct ledger_job *requester,
+                         struct ledger_job **service, struct allocation **allocation)
 {
-    struct leader_job *job = leader_job_get(leader, placed->job->id.s);
-    if (!job || !job->service || job == for_job || !placed->job->spec)
+    struct ledger_job *job = quota_ledger_find_job(leader, run_record->job->id.text);
+    if (!job || !job->is_service || job == requester || !run_record->job->spec)
         return false;
-    struct entry *e = g_hash_table_lookup(job->entries, leader_key_of(placed->index));
-    struct room free = leader_host_free_room(host);
-    room_add(&free, job->room);
-    if (!e || e->halted || time_ms_since(loop_now(leader->loop), e->since) < MOVE_AFTER_MS ||
-        !room_holds(free, for_job->room))
+    struct allocation *candidate =
+        g_hash_table_lookup(job->allocations, quota_ledger_task_key(run_record->task_index));
+    struct resources free = placement_free_resources(machine);
+    resources_add(&free, job->task_resources);
+    if (!candidate || candidate->is_stopping ||
+        time_ms_since(loop_now(leader->loop), candidate->allocated_at) < MIN_RELOCATION_AGE_MS ||
+        !resources_fit(free, requester->task_resources))
         return false;
-    *owner = job;
-    *entry = e;
+    *service = job;
+    *allocation = candidate;
     return true;
 }
 
 /* Moves one replica away from a machine, if one could be elsewhere. stays: services that could not
  * leave the zone, whatever machine they are on. */
-static bool move_one(struct leader *leader, struct leader_host *host, struct leader_job *job,
-                     GHashTable *stays)
+static bool relocate_one(struct leader *leader, struct ledger_machine *machine,
+                         struct ledger_job *job, GHashTable *immovable_jobs)
 {
-    struct host_record *rec = view_host(leader->view, host->id.s);
-    for (guint i = 0; rec && i < rec->tasks->len; i++) {
-        struct placed *placed = rec->tasks->pdata[i];
-        struct leader_job *other;
-        struct entry *entry;
-        loop_work(leader->loop, 1);
-        if (g_hash_table_contains(stays, placed->job) ||
-            !may_move(leader, host, placed, job, &other, &entry))
+    struct machine_record *machine_record = replica_get_machine(leader->replica, machine->id.text);
+    for (guint i = 0; machine_record && i < machine_record->run_records->len; i++) {
+        struct run_record *run_record = machine_record->run_records->pdata[i];
+        struct ledger_job *service;
+        struct allocation *allocation;
+        loop_add_work(leader->loop, 1);
+        if (g_hash_table_contains(immovable_jobs, run_record->job) ||
+            !may_relocate(leader, machine, run_record, job, &service, &allocation))
             continue;
-        if (!could_leave(leader, other, placed->job->spec, host->zone_index)) {
-            g_hash_table_add(stays, placed->job);
+        if (!could_leave_zone(leader, service, run_record->job->spec, machine->zone_index)) {
+            g_hash_table_add(immovable_jobs, run_record->job);
             continue;
         }
-        LOG_INFO("move", "job=%s task=%u machine=%s for=%s", placed->job->id.s, placed->index,
-                 host->id.s, job->id.s);
-        leader_send_halt(leader, other, placed->index, entry, placed->job->spec->save_s);
+        LOG_INFO("move", "job=%s task=%u machine=%s for=%s", run_record->job->id.text,
+                 run_record->task_index, machine->id.text, job->id.text);
+        shard_dispatcher_queue_stop(leader, service, run_record->task_index, allocation,
+                                    run_record->job->spec->checkpoint_save_s);
         return true;
     }
     return false;
@@ -148,233 +163,263 @@
 /* A replica that has to be in one zone finds it full, of others that could as well be elsewhere:
  * one of these is moved, which costs it a moment. All machines of a zone are looked through, so
  * when that was in vain it is not done again for a while, whoever asks for as much. */
-static void make_way(struct leader *leader, struct leader_job *job, struct job *job_view)
+static void relocate_for_job(struct leader *leader, struct ledger_job *job, struct job *job_record)
 {
     mono_time now = loop_now(leader->loop);
     for (guint zone_index = 0; zone_index < leader->settings->zones->len; zone_index++) {
-        struct move_backoff *backoff = &leader->move_backoffs[zone_index];
-        leader_count_zones(leader, job, job_view->spec);
-        if (!leader_zone_allowed(leader, job, job_view->spec, (int)zone_index) ||
-            (time_before(now, backoff->until) && room_holds(job->room, backoff->room)))
+        struct relocation_backoff *backoff = &leader->move_backoffs[zone_index];
+        placement_count_zone_tasks(leader, job, job_record->spec);
+        if (!placement_is_zone_allowed(leader, job, job_record->spec, (int)zone_index) ||
+            (time_before(now, backoff->until) &&
+             resources_fit(job->task_resources, backoff->request)))
             continue;
-        GHashTable *stays = g_hash_table_new(NULL, NULL);
-        bool moved = false;
-        for (guint k = 0; k < leader->open_hosts->len && !moved; k++) {
-            struct leader_host *host = leader->open_hosts->pdata[k];
-            if (host->zone_index == (int)zone_index && host->pinned.cpus.milli &&
-                spec_allows(job_view->spec, host->type_name, host->zone, host->spot))
-                moved = move_one(leader, host, job, stays);
+        GHashTable *immovable_jobs = g_hash_table_new(NULL, NULL);
+        bool was_relocated = false;
+        for (guint k = 0; k < leader->schedulable_machines->len && !was_relocated; k++) {
+            struct ledger_machine *machine = leader->schedulable_machines->pdata[k];
+            if (machine->zone_index == (int)zone_index && machine->service_resources.cpus.milli &&
+                job_spec_allows_machine(job_record->spec, machine->type_name, machine->zone,
+                                        machine->is_spot))
+                was_relocated = relocate_one(leader, machine, job, immovable_jobs);
         }
-        g_hash_table_unref(stays);
-        if (moved)
+        g_hash_table_unref(immovable_jobs);
+        if (was_relocated)
             return;
-        *backoff = (struct move_backoff){time_add_ms(now, MOVE_BACKOFF_MS), job->room};
+        *backoff = (struct relocation_backoff){time_add_ms(now, RELOCATION_BACKOFF_MS),
+                                               job->task_resources};
     }
 }
 
 /* A machine on which room for a task could be made, and what that would cost. */
-struct preempt_site {
-    struct leader_host *host;
-    struct room freed; /* made already, and not used yet */
-    double loss;       /* < 0: there is no more to be had */
+struct preemption_candidate {
+    struct ledger_machine *machine;
+    struct resources freed_resources; /* made already, and not used yet */
+    double lost_work;                 /* < 0: there is no more to be had */
 };
 
 /* What stopping enough on the machine for one more task would lose. */
-static void estimate_loss(struct leader *leader, const struct claim *claim,
-                          struct preempt_site *site)
+static void estimate_lost_work(struct leader *leader, const struct preemptor *preemptor,
+                               struct preemption_candidate *candidate)
 {
-    struct leader_job *job = claim->job;
-    struct leader_host *host = site->host;
+    struct ledger_job *job = preemptor->job;
+    struct ledger_machine *machine = candidate->machine;
     mono_time now = loop_now(leader->loop);
-    struct room free = leader_host_free_room(host);
-    room_add(&free, site->freed);
-    site->loss = -1;
-    GArray *victims = victims_on(leader, host, claim);
+    struct resources free = placement_free_resources(machine);
+    resources_add(&free, candidate->freed_resources);
+    candidate->lost_work = -1;
+    GArray *victims = find_victims(leader, machine, preemptor);
     double loss = 0;
-    for (guint i = 0; i < victims->len && !room_holds(free, job->room); i++) {
-        struct victim *victim = &g_array_index(victims, struct victim, i);
-        room_add(&free, victim->job->room);
-        loss += (double)victim->job->room.cpus.milli *
-                (double)(1 + time_ms_since(now, victim->entry->since));
+    for (guint i = 0; i < victims->len && !resources_fit(free, job->task_resources); i++) {
+        struct preemption_victim *victim = &g_array_index(victims, struct preemption_victim, i);
+        resources_add(&free, victim->job->task_resources);
+        loss += (double)victim->job->task_resources.cpus.milli *
+                (double)(1 + time_ms_since(now, victim->allocation->allocated_at));
     }
     g_array_unref(victims);
     /* A machine that services hold already is kept anyway, and one without the image is late. */
-    if (room_holds(free, job->room))
-        site->loss = loss * (1.2 - room_share(host->pinned, host->total) +
-                             (images_hold(host->images, claim->view->spec->image) ? 0 : 1));
+    if (resources_fit(free, job->task_resources))
+        candidate->lost_work =
+            loss *
+            (1.2 - resources_dominant_share(machine->service_resources, machine->capacity) +
+             (image_cache_contains(machine->image_cache, preemptor->job_record->spec->image) ? 0
+                                                                                             : 1));
 }
 
 /* Every machine where room could be made. */
-static GArray *preempt_sites(struct leader *leader, const struct claim *claim)
+static GArray *find_preemption_candidates(struct leader *leader, const struct preemptor *preemptor)
 {
-    GArray *out = g_array_new(FALSE, FALSE, sizeof(struct preempt_site));
-    loop_work(leader->loop, leader->open_hosts->len);
-    for (guint i = 0; i < leader->open_hosts->len; i++) {
-        struct leader_host *host = leader->open_hosts->pdata[i];
-        if (!room_holds(room_left(host->total, host->pinned), claim->job->room) ||
-            !leader_host_allowed(leader, claim->job, claim->view->spec, host) ||
-            (claim->image && !images_hold(host->images, claim->view->spec->image)))
+    GArray *candidates = g_array_new(FALSE, FALSE, sizeof(struct preemption_candidate));
+    loop_add_work(leader->loop, leader->schedulable_machines->len);
+    for (guint i = 0; i < leader->schedulable_machines->len; i++) {
+        struct ledger_machine *machine = leader->schedulable_machines->pdata[i];
+        if (!resources_fit(resources_remaining(machine->capacity, machine->service_resources),
+                           preemptor->job->task_resources) ||
+            !placement_is_machine_allowed(leader, preemptor->job, preemptor->job_record->spec,
+                                          machine) ||
+            (preemptor->needs_image &&
+             !image_cache_contains(machine->image_cache, preemptor->job_record->spec->image)))
             continue;
-        struct preempt_site site = {.host = host};
-        estimate_loss(leader, claim, &site);
-        if (site.loss >= 0)
-            g_array_append_val(out, site);
+        struct preemption_candidate candidate = {.machine = machine};
+        estimate_lost_work(leader, preemptor, &candidate);
+        if (candidate.lost_work >= 0)
+            g_array_append_val(candidates, candidate);
     }
-    return out;
+    return candidates;
 }
 
 /* Where the least is lost, in a zone that may take one more task; NULL: nowhere. */
-static struct preempt_site *cheapest(struct leader *leader, const struct claim *claim, GArray *all)
+static struct preemption_candidate *find_cheapest_candidate(struct leader *leader,
+                                                            const struct preemptor *preemptor,
+                                                            GArray *candidates)
 {
-    struct preempt_site *best = NULL;
-    for (guint i = 0; i < all->len; i++) {
-        struct preempt_site *site = &g_array_index(all, struct preempt_site, i);
-        if (site->loss >= 0 && (!best || site->loss < best->loss) &&
-            leader_zone_allowed(leader, claim->job, claim->view->spec, site->host->zone_index))
-            best = site;
+    struct preemption_candidate *best = NULL;
+    for (guint i = 0; i < candidates->len; i++) {
+        struct preemption_candidate *candidate =
+            &g_array_index(candidates, struct preemption_candidate, i);
+        if (candidate->lost_work >= 0 && (!best || candidate->lost_work < best->lost_work) &&
+            placement_is_zone_allowed(leader, preemptor->job, preemptor->job_record->spec,
+                                      candidate->machine->zone_index))
+            best = candidate;
     }
     return best;
 }
 
 /* Stops what has to be stopped on a machine for one task. */
-static void preempt_at(struct leader *leader, const struct claim *claim, struct preempt_site *site)
+static void preempt_on_machine(struct leader *leader, const struct preemptor *preemptor,
+                               struct preemption_candidate *candidate)
 {
-    GArray *victims = victims_on(leader, site->host, claim);
-    struct room free = leader_host_free_room(site->host);
-    room_add(&free, site->freed);
-    for (guint i = 0; i < victims->len && !room_holds(free, claim->job->room); i++) {
-        struct victim *victim = &g_array_index(victims, struct victim, i);
-        struct job *job = view_job(leader->view, victim->job->id.s);
-        LOG_INFO("preempt", "job=%s task=%u machine=%s for=%s why=%s", victim->job->id.s,
-                 victim->index, site->host->id.s, claim->job->id.s,
-                 victim->job->urgency > claim->job->urgency ? "priority" : "guarantee");
-        room_add(&free, victim->job->room);
-        room_add(&site->freed, victim->job->room);
-        victim->entry->preempted_for = claim->job->id;
-        claim->job->pending_preemptions++;
-        leader_send_halt(leader, victim->job, victim->index, victim->entry,
-                         job && job->spec ? job->spec->save_s : 0);
+    GArray *victims = find_victims(leader, candidate->machine, preemptor);
+    struct resources free = placement_free_resources(candidate->machine);
+    resources_add(&free, candidate->freed_resources);
+    for (guint i = 0; i < victims->len && !resources_fit(free, preemptor->job->task_resources);
+         i++) {
+        struct preemption_victim *victim = &g_array_index(victims, struct preemption_victim, i);
+        struct job *victim_record = replica_get_job(leader->replica, victim->job->id.text);
+        LOG_INFO("preempt", "job=%s task=%u machine=%s for=%s why=%s", victim->job->id.text,
+                 victim->index, candidate->machine->id.text, preemptor->job->id.text,
+                 victim->job->priority > preemptor->job->priority ? "priority" : "guarantee");
+        resources_add(&free, victim->job->task_resources);
+        resources_add(&candidate->freed_resources, victim->job->task_resources);
+        victim->allocation->preemptor_job = preemptor->job->id;
+        preemptor->job->pending_preemptions++;
+        shard_dispatcher_queue_stop(
+            leader, victim->job, victim->index, victim->allocation,
+            victim_record && victim_record->spec ? victim_record->spec->checkpoint_save_s : 0);
     }
-    room_sub(&site->freed, claim->job->room);
+    resources_subtract(&candidate->freed_resources, preemptor->job->task_resources);
     g_array_unref(victims);
 }
 
 /* Whether anything runs that the claim might stop. */
-static bool claim_has_hope(struct leader *leader, const struct claim *claim)
+static bool has_possible_victims(struct leader *leader, const struct preemptor *preemptor)
 {
-    for (int u = claim->job->urgency + 1;
-         claim->over_lower && u < (int)G_N_ELEMENTS(leader->running); u++)
-        if (leader->running[u])
+    for (int priority = preemptor->job->priority + 1;
+         preemptor->may_stop_lower_priority &&
+         priority < (int)G_N_ELEMENTS(leader->allocated_by_priority);
+         priority++)
+        if (leader->allocated_by_priority[priority])
             return true;
-    for (int i = 0; claim->over_borrowed && i < leader->n_teams; i++) {
-        struct leader_team *team = &leader->teams[i];
-        if (i != claim->job->team &&
-            (team->used.cpus.milli - team->halting.cpus.milli > team->team->cpus.milli ||
-             team->used.gpus.milli - team->halting.gpus.milli > team->team->gpus.milli))
+    for (int i = 0; preemptor->may_stop_borrowed && i < leader->team_count; i++) {
+        struct ledger_team *team = &leader->teams[i];
+        if (i != preemptor->job->team_index &&
+            (team->used.cpus.milli - team->stopping.cpus.milli > team->quota->cpus.milli ||
+             team->used.gpus.milli - team->stopping.gpus.milli > team->quota->gpus.milli))
             return true;
     }
     return false;
 }
 
 /* How many tasks there would be room for on a machine if all that may be stopped was. */
-static int64_t would_hold(struct leader *leader, const struct claim *claim,
-                          struct leader_host *host)
+static int64_t tasks_after_preemption(struct leader *leader, const struct preemptor *preemptor,
+                                      struct ledger_machine *machine)
 {
-    struct room free = leader_host_free_room(host);
-    GArray *victims = victims_on(leader, host, claim);
+    struct resources free = placement_free_resources(machine);
+    GArray *victims = find_victims(leader, machine, preemptor);
     for (guint i = 0; i < victims->len; i++)
-        room_add(&free, g_array_index(victims, struct victim, i).job->room);
+        resources_add(&free,
+                      g_array_index(victims, struct preemption_victim, i).job->task_resources);
     g_array_unref(victims);
-    return room_times(free, claim->job->room);
+    return resources_fit_count(free, preemptor->job->task_resources);
 }
 
 /* For how many tasks of a gang room has to be made beside what is held for it: all that it lacks,
  * or none when it would still not be whole. One that has to be in one zone has it made in one where
  * that is enough, and where the least is lacking; the machines of others are passed over. */
-static int64_t gang_lacks(struct leader *leader, const struct claim *claim, GArray *all,
-                          int64_t lacks)
+static int64_t plan_gang_preemption(struct leader *leader, const struct preemptor *preemptor,
+                                    GArray *candidates, int64_t missing_tasks)
 {
-    struct leader_job *job = claim->job;
-    bool one_zone = claim->view->spec->one_zone;
-    guint zones = one_zone ? leader->settings->zones->len : 1;
-    int64_t least = 0;
-    int best = -1;
-    for (guint z = 0; z < zones; z++) {
-        int64_t need = one_zone && (int)z != job->gang.held_zone ? lacks + job->gang.held_tasks
-                                                                 : lacks,
-                holds = 0;
-        for (guint i = 0; i < all->len; i++) {
-            struct leader_host *host = g_array_index(all, struct preempt_site, i).host;
-            if (!one_zone || host->zone_index == (int)z)
-                holds += would_hold(leader, claim, host);
+    struct ledger_job *job = preemptor->job;
+    bool one_zone = preemptor->job_record->spec->needs_single_zone;
+    guint zone_count = one_zone ? leader->settings->zones->len : 1;
+    int64_t least_needed = 0;
+    int best_zone_index = -1;
+    for (guint zone_index = 0; zone_index < zone_count; zone_index++) {
+        int64_t needed_tasks = one_zone && (int)zone_index != job->gang.reserved_zone_index
+                                   ? missing_tasks + job->gang.reserved_task_count
+                                   : missing_tasks,
+                available_tasks = 0;
+        for (guint i = 0; i < candidates->len; i++) {
+            struct ledger_machine *machine =
+                g_array_index(candidates, struct preemption_candidate, i).machine;
+            if (!one_zone || machine->zone_index == (int)zone_index)
+                available_tasks += tasks_after_preemption(leader, preemptor, machine);
         }
-        if (holds >= need && (best < 0 || need < least)) {
-            best = (int)z;
-            least = need;
+        if (available_tasks >= needed_tasks &&
+            (best_zone_index < 0 || needed_tasks < least_needed)) {
+            best_zone_index = (int)zone_index;
+            least_needed = needed_tasks;
         }
     }
-    for (guint i = 0; one_zone && i < all->len; i++) {
-        struct preempt_site *site = &g_array_index(all, struct preempt_site, i);
-        if (site->host->zone_index != best)
-            site->loss = -1;
+    for (guint i = 0; one_zone && i < candidates->len; i++) {
+        struct preemption_candidate *candidate =
+            &g_array_index(candidates, struct preemption_candidate, i);
+        if (candidate->machine->zone_index != best_zone_index)
+            candidate->lost_work = -1;
     }
-    if (best >= 0)
-        job->gang.preempt_zone = best;
-    return least;
+    if (best_zone_index >= 0)
+        job->gang.preemption_zone_index = best_zone_index;
+    return least_needed;
 }
 
-void leader_preempt(struct leader *leader, struct leader_job *job, struct job *job_view, bool image)
+void preemption_free_resources(struct leader *leader, struct ledger_job *job,
+                               struct job *job_record, bool needs_image)
 {
     mono_time now = loop_now(leader->loop);
     /* Just after a change of epoch much of the room is not known yet. */
-    if ((job->preempted_at.us && time_ms_since(now, job->preempted_at) < PREEMPT_MS) ||
-        time_ms_since(now, leader->epoch_at) < (int64_t)(leader->settings->report_s * 1250))
+    if ((job->last_preemption_at.us &&
+         time_ms_since(now, job->last_preemption_at) < PREEMPTION_INTERVAL_MS) ||
+        time_ms_since(now, leader->epoch_began_at) <
+            (int64_t)(leader->settings->heartbeat_interval_s * 1250))
         return;
-    job->preempted_at = now;
-    struct claim claim = {job, job_view, leader_may_preempt(leader, job, job_view->spec),
-                          guaranteed(leader, job, job_view), image};
-    bool moves = job_view->spec->form == FORM_SERVICE && job_view->spec->apart;
-    if (!claim_has_hope(leader, &claim) && !moves)
+    job->last_preemption_at = now;
+    struct preemptor preemptor = {job, job_record,
+                                  scheduling_policy_may_preempt(leader, job, job_record->spec),
+                                  is_within_guarantee(leader, job, job_record), needs_image};
+    bool may_relocate_replicas =
+        job_record->spec->form == FORM_SERVICE && job_record->spec->needs_separate_zones;
+    if (!has_possible_victims(leader, &preemptor) && !may_relocate_replicas)
         return;
-    GArray *all = preempt_sites(leader, &claim);
+    GArray *candidates = find_preemption_candidates(leader, &preemptor);
     /* What was stopped for it before and is not off the record yet is room that is on its way:
      * while few writes are allowed that takes several seconds, and all would be stopped over and
      * over. */
-    int64_t n = leader_count_allowed(leader, job, job_view) - job->gang.held_tasks -
-                job->pending_preemptions;
-    bool gang = job_view->spec->form == FORM_GANG;
-    if (gang && n > 0)
-        n = gang_lacks(leader, &claim, all, n);
-    n = MIN(n, PREEMPT_TASKS);
-    for (int64_t k = 0; k < n; k++) {
-        struct preempt_site *best = cheapest(leader, &claim, all);
+    int64_t task_count = quota_ledger_count_allowed_tasks(leader, job, job_record) -
+                         job->gang.reserved_task_count - job->pending_preemptions;
+    bool is_gang = job_record->spec->form == FORM_GANG;
+    if (is_gang && task_count > 0)
+        task_count = plan_gang_preemption(leader, &preemptor, candidates, task_count);
+    task_count = MIN(task_count, MAX_PREEMPTED_TASKS);
+    for (int64_t k = 0; k < task_count; k++) {
+        struct preemption_candidate *best = find_cheapest_candidate(leader, &preemptor, candidates);
         if (!best) {
-            if (k == 0 && moves)
-                make_way(leader, job, job_view);
+            if (k == 0 && may_relocate_replicas)
+                relocate_for_job(leader, job, job_record);
             break;
         }
-        preempt_at(leader, &claim, best);
-        estimate_loss(leader, &claim, best);
-        if (job_view->spec->one_zone && !gang)
+        preempt_on_machine(leader, &preemptor, best);
+        estimate_lost_work(leader, &preemptor, best);
+        if (job_record->spec->needs_single_zone && !is_gang)
             break; /* the zone is settled once this one is placed */
-        if (best->host->zone_index >= 0 && job_view->spec->apart)
-            leader->zone_tasks[best->host->zone_index]++;
+        if (best->machine->zone_index >= 0 && job_record->spec->needs_separate_zones)
+            leader->zone_task_counts[best->machine->zone_index]++;
     }
-    g_array_unref(all);
+    g_array_unref(candidates);
 }
 
-bool leader_holds_out_for_image(struct leader *leader, struct leader_job *job, struct job *job_view)
+bool preemption_waits_for_image(struct leader *leader, struct ledger_job *job,
+                                struct job *job_record)
 {
-    const struct spec *spec = job_view->spec;
-    if (spec->urgency != URGENCY_PROD ||
-        loop_wall(leader->loop).ms - job_view->since.ms > HOLD_OUT_MS ||
-        !leader_may_preempt(leader, job, spec))
+    const struct job_spec *spec = job_record->spec;
+    if (spec->priority != PRIORITY_PROD ||
+        loop_wall_time(leader->loop).ms - job_record->eligible_at.ms > IMAGE_WAIT_MS ||
+        !scheduling_policy_may_preempt(leader, job, spec))
         return false;
-    for (guint i = 0; i < leader->open_hosts->len; i++) {
-        struct leader_host *host = leader->open_hosts->pdata[i];
-        if (images_hold(host->images, spec->image) &&
-            room_holds(room_left(host->total, host->pinned), job->room) &&
-            leader_host_allowed(leader, job, spec, host))
+    for (guint i = 0; i < leader->schedulable_machines->len; i++) {
+        struct ledger_machine *machine = leader->schedulable_machines->pdata[i];
+        if (image_cache_contains(machine->image_cache, spec->image) &&
+            resources_fit(resources_remaining(machine->capacity, machine->service_resources),
+                          job->task_resources) &&
+            placement_is_machine_allowed(leader, job, spec, machine))
             return true;
     }
     return false;
--- a/src/scheduler/preemption.h
+++ b/src/scheduler/preemption.h
@@ -8,12 +8,12 @@
 /* Makes room for tasks that fit nowhere, by stopping work of lower priority where that loses the
  * least. What is stopped is off the record a moment later, and ranks behind. image: only on
  * machines that have the job's image. */
-void leader_preempt(struct leader *leader, struct leader_job *job, struct job *job_view,
-                    bool image);
+void preemption_free_resources(struct leader *leader, struct ledger_job *job,
+                               struct job *job_record, bool needs_image);
 /* Whether a job takes only machines that have its image for now. People wait on a service, and a
  * fetch takes longer than to stop other work where the image is: for a moment only such machines
  * will do, if there are any. */
-bool leader_holds_out_for_image(struct leader *leader, struct leader_job *job,
-                                struct job *job_view);
+bool preemption_waits_for_image(struct leader *leader, struct ledger_job *job,
+                                struct job *job_record);
 
 #endif
--- a/src/scheduler/quota_ledger.c
+++ b/src/scheduler/quota_ledger.c
@@ -7,302 +7,323 @@
 /* Of an attempt number: the low bits count, those above are the epoch. */
 enum { ATTEMPT_BITS = 20 };
 
-static void job_free(gpointer q)
+static void ledger_job_free(gpointer q)
 {
-    struct leader_job *job = q;
-    g_hash_table_unref(job->entries);
-    g_hash_table_unref(job->deals);
-    if (job->failed_on)
-        g_hash_table_unref(job->failed_on);
+    struct ledger_job *job = q;
+    g_hash_table_unref(job->allocations);
+    g_hash_table_unref(job->dispatches);
+    if (job->failed_machines)
+        g_hash_table_unref(job->failed_machines);
     g_free(job);
 }
 
-static void host_free(gpointer q)
+static void ledger_machine_free(gpointer q)
 {
-    struct leader_host *host = q;
-    g_free(host->owner);
-    g_ptr_array_unref(host->images);
-    if (host->failed_jobs)
-        g_hash_table_unref(host->failed_jobs);
-    g_free(host);
+    struct ledger_machine *machine = q;
+    g_free(machine->owner_label);
+    g_ptr_array_unref(machine->image_cache);
+    if (machine->failed_jobs)
+        g_hash_table_unref(machine->failed_jobs);
+    g_free(machine);
 }
 
-void leader_ledger_init(struct leader *leader)
+void quota_ledger_init(struct leader *leader)
 {
-    leader->jobs = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, job_free);
-    leader->hosts = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, host_free);
+    leader->jobs = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, ledger_job_free);
+    leader->machines = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, ledger_machine_free);
 }
 
-struct leader_job *leader_job_get(struct leader *leader, const char *id)
+struct ledger_job *quota_ledger_find_job(struct leader *leader, const char *id)
 {
     return g_hash_table_lookup(leader->jobs, id);
 }
 
-struct leader_job *leader_job_make(struct leader *leader, job_id id)
+struct ledger_job *quota_ledger_ensure_job(struct leader *leader, job_id id)
 {
-    struct leader_job *job = leader_job_get(leader, id.s);
+    struct ledger_job *job = quota_ledger_find_job(leader, id.text);
     if (job)
         return job;
-    struct job *job_view = view_job(leader->view, id.s);
-    int team = job_view && job_view->spec
-                   ? settings_team(leader->settings, job_view->spec->team_name)
+    struct job *job_record = replica_get_job(leader->replica, id.text);
+    int team = job_record && job_record->spec
+                   ? settings_find_team(leader->settings, job_record->spec->team_name)
                    : -1;
     if (team < 0)
         return NULL;
-    job = g_new0(struct leader_job, 1);
+    job = g_new0(struct ledger_job, 1);
     job->id = id;
-    job->team = team;
-    job->room = room_of_spec(job_view->spec);
-    job->service = job_view->spec->form == FORM_SERVICE;
-    job->urgency = (enum urgency)job_view->urgency;
-    job->patience_s = leader_patience_s(leader, job_view);
-    job->entries = g_hash_table_new_full(NULL, NULL, NULL, g_free);
-    job->deals = g_hash_table_new_full(NULL, NULL, NULL, g_free);
-    g_hash_table_insert(leader->jobs, job->id.s, job);
+    job->team_index = team;
+    job->task_resources = resources_of_job_spec(job_record->spec);
+    job->is_service = job_record->spec->form == FORM_SERVICE;
+    job->priority = (enum job_priority)job_record->inherited_priority;
+    job->patience_s = scheduling_policy_patience_s(leader, job_record);
+    job->allocations = g_hash_table_new_full(NULL, NULL, NULL, g_free);
+    job->dispatches = g_hash_table_new_full(NULL, NULL, NULL, g_free);
+    g_hash_table_insert(leader->jobs, job->id.text, job);
     return job;
 }
 
-void leader_job_take_lent(struct leader *leader, struct leader_job *job, const struct job *job_view)
+void quota_ledger_update_inherited(struct leader *leader, struct ledger_job *job,
+                                   const struct job *job_record)
 {
     if (!job)
         return;
-    int recorded = (int)g_hash_table_size(job->entries);
-    leader->running[job->urgency] -= recorded;
-    job->urgency = (enum urgency)job_view->urgency;
-    leader->running[job->urgency] += recorded;
-    job->patience_s = leader_patience_s(leader, job_view);
+    int allocation_count = (int)g_hash_table_size(job->allocations);
+    leader->allocated_by_priority[job->priority] -= allocation_count;
+    job->priority = (enum job_priority)job_record->inherited_priority;
+    leader->allocated_by_priority[job->priority] += allocation_count;
+    job->patience_s = scheduling_policy_patience_s(leader, job_record);
 }
 
-gpointer leader_key_of(uint32_t index)
+gpointer quota_ledger_task_key(uint32_t index)
 {
     return GUINT_TO_POINTER(index + 1);
 }
 
-struct leader_host *leader_host_get(struct leader *leader, const char *id)
+struct ledger_machine *quota_ledger_find_machine(struct leader *leader, const char *id)
 {
-    return g_hash_table_lookup(leader->hosts, id);
+    return g_hash_table_lookup(leader->machines, id);
 }
 
-struct leader_host *leader_host_make(struct leader *leader, host_id id, const char *type_name,
-                                     const char *zone, bool spot)
+struct ledger_machine *quota_ledger_ensure_machine(struct leader *leader, machine_id id,
+                                                   const char *type_name, const char *zone,
+                                                   bool spot)
 {
-    struct leader_host *host = leader_host_get(leader, id.s);
-    if (!host) {
-        host = g_new0(struct leader_host, 1);
-        host->id = id;
-        host->idle_since = loop_now(leader->loop);
-        host->images = images_new();
-        g_hash_table_insert(leader->hosts, host->id.s, host);
+    struct ledger_machine *machine = quota_ledger_find_machine(leader, id.text);
+    if (!machine) {
+        machine = g_new0(struct ledger_machine, 1);
+        machine->id = id;
+        machine->idle_since = loop_now(leader->loop);
+        machine->image_cache = image_cache_new();
+        g_hash_table_insert(leader->machines, machine->id.text, machine);
     }
     guint zone_index;
-    bool known =
+    bool is_known_zone =
         g_ptr_array_find_with_equal_func(leader->settings->zones, zone, g_str_equal, &zone_index);
-    host->zone_index = known ? (int)zone_index : -1;
-    g_strlcpy(host->type_name, type_name, sizeof host->type_name);
-    g_strlcpy(host->zone, zone, sizeof host->zone);
-    host->spot = spot;
-    const struct machine_type *type = type_named(leader->view->types, type_name);
+    machine->zone_index = is_known_zone ? (int)zone_index : -1;
+    g_strlcpy(machine->type_name, type_name, sizeof machine->type_name);
+    g_strlcpy(machine->zone, zone, sizeof machine->zone);
+    machine->is_spot = spot;
+    const struct machine_type *type = machine_type_find(leader->replica->machine_types, type_name);
     if (type)
-        host->total = room_of_type(type);
-    return host;
+        machine->capacity = resources_of_machine_type(type);
+    return machine;
 }
 
-void leader_deal_drop(struct leader *leader, struct leader_job *job, uint32_t index)
+void quota_ledger_drop_dispatch(struct leader *leader, struct ledger_job *job, uint32_t index)
 {
-    struct deal *deal = g_hash_table_lookup(job->deals, leader_key_of(index));
-    if (!deal)
+    struct pending_dispatch *dispatch =
+        g_hash_table_lookup(job->dispatches, quota_ledger_task_key(index));
+    if (!dispatch)
         return;
-    if (deal->host)
-        room_sub(&deal->host->dealt, job->room);
-    room_sub(&leader->teams[job->team].used, job->room);
-    g_hash_table_remove(job->deals, leader_key_of(index));
-    job->cursor = MIN(job->cursor, index);
+    if (dispatch->machine)
+        resources_subtract(&dispatch->machine->dispatched, job->task_resources);
+    resources_subtract(&leader->teams[job->team_index].used, job->task_resources);
+    g_hash_table_remove(job->dispatches, quota_ledger_task_key(index));
+    job->first_waiting_index = MIN(job->first_waiting_index, index);
 }
 
-void leader_entry_add(struct leader *leader, job_id id, uint32_t index, attempt_no attempt,
-                      host_id where)
+void quota_ledger_add_allocation(struct leader *leader, job_id id, uint32_t index,
+                                 attempt_no attempt, machine_id location)
 {
-    struct leader_job *job = leader_job_make(leader, id);
-    if (!job || g_hash_table_contains(job->entries, leader_key_of(index)))
+    struct ledger_job *job = quota_ledger_ensure_job(leader, id);
+    if (!job || g_hash_table_contains(job->allocations, quota_ledger_task_key(index)))
         return;
-    struct deal *deal = g_hash_table_lookup(job->deals, leader_key_of(index));
-    if (deal && deal->attempt.v == attempt.v)
-        leader_deal_drop(leader, job, index);
-    struct entry *entry = g_new(struct entry, 1);
-    *entry = (struct entry){.attempt = attempt, .host = where, .since = loop_now(leader->loop)};
-    g_hash_table_insert(job->entries, leader_key_of(index), entry);
-    room_add(&leader->teams[job->team].used, job->room);
-    leader->running[job->urgency]++;
-    struct host_record *rec = view_host(leader->view, where.s);
-    struct leader_host *host = leader_host_get(leader, where.s);
-    if (!host && rec)
-        host = leader_host_make(leader, where, rec->type_name, rec->zone, rec->spot);
-    if (host)
-        room_add(&host->booked, job->room);
-    if (host && job->service)
-        room_add(&host->pinned, job->room);
+    struct pending_dispatch *dispatch =
+        g_hash_table_lookup(job->dispatches, quota_ledger_task_key(index));
+    if (dispatch && dispatch->attempt.value == attempt.value)
+        quota_ledger_drop_dispatch(leader, job, index);
+    struct allocation *allocation = g_new(struct allocation, 1);
+    *allocation = (struct allocation){
+        .attempt = attempt, .machine = location, .allocated_at = loop_now(leader->loop)};
+    g_hash_table_insert(job->allocations, quota_ledger_task_key(index), allocation);
+    resources_add(&leader->teams[job->team_index].used, job->task_resources);
+    leader->allocated_by_priority[job->priority]++;
+    struct machine_record *machine_record = replica_get_machine(leader->replica, location.text);
+    struct ledger_machine *machine = quota_ledger_find_machine(leader, location.text);
+    if (!machine && machine_record)
+        machine = quota_ledger_ensure_machine(leader, location, machine_record->machine_type_name,
+                                              machine_record->zone, machine_record->is_spot);
+    if (machine)
+        resources_add(&machine->allocated, job->task_resources);
+    if (machine && job->is_service)
+        resources_add(&machine->service_resources, job->task_resources);
 }
 
-void leader_entry_remove(struct leader *leader, job_id id, uint32_t index, attempt_no attempt)
+void quota_ledger_remove_allocation(struct leader *leader, job_id id, uint32_t index,
+                                    attempt_no attempt)
 {
-    struct leader_job *job = leader_job_get(leader, id.s);
-    struct entry *entry = job ? g_hash_table_lookup(job->entries, leader_key_of(index)) : NULL;
-    if (!entry || entry->attempt.v != attempt.v)
+    struct ledger_job *job = quota_ledger_find_job(leader, id.text);
+    struct allocation *allocation =
+        job ? g_hash_table_lookup(job->allocations, quota_ledger_task_key(index)) : NULL;
+    if (!allocation || allocation->attempt.value != attempt.value)
         return;
-    struct leader_host *host = leader_host_get(leader, entry->host.s);
-    job->gang.lost_task = true;
-    if (host) {
-        room_sub(&host->booked, job->room);
-        if (job->service)
-            room_sub(&host->pinned, job->room);
-        host->idle_since = loop_now(leader->loop);
+    struct ledger_machine *machine = quota_ledger_find_machine(leader, allocation->machine.text);
+    job->gang.has_lost_task = true;
+    if (machine) {
+        resources_subtract(&machine->allocated, job->task_resources);
+        if (job->is_service)
+            resources_subtract(&machine->service_resources, job->task_resources);
+        machine->idle_since = loop_now(leader->loop);
     }
-    room_sub(&leader->teams[job->team].used, job->room);
-    leader->running[job->urgency]--;
-    if (entry->halted)
-        room_sub(&leader->teams[job->team].halting, job->room);
-    struct leader_job *preemptor =
-        entry->preempted_for.s[0] ? leader_job_get(leader, entry->preempted_for.s) : NULL;
+    resources_subtract(&leader->teams[job->team_index].used, job->task_resources);
+    leader->allocated_by_priority[job->priority]--;
+    if (allocation->is_stopping)
+        resources_subtract(&leader->teams[job->team_index].stopping, job->task_resources);
+    struct ledger_job *preemptor =
+        allocation->preemptor_job.text[0]
+            ? quota_ledger_find_job(leader, allocation->preemptor_job.text)
+            : NULL;
     if (preemptor)
         preemptor->pending_preemptions--;
-    g_hash_table_remove(job->entries, leader_key_of(index));
-    job->cursor = MIN(job->cursor, index);
+    g_hash_table_remove(job->allocations, quota_ledger_task_key(index));
+    job->first_waiting_index = MIN(job->first_waiting_index, index);
 }
 
 /* Nothing is booked on machines, and nothing used by teams; whose machines they are is not known.
  */
-static void clear_counts(struct leader *leader)
+static void reset_counts(struct leader *leader)
 {
-    memset(leader->running, 0, sizeof leader->running);
-    for (int i = 0; i < leader->n_teams; i++)
-        leader->teams[i].used = leader->teams[i].halting = (struct room){0};
+    memset(leader->allocated_by_priority, 0, sizeof leader->allocated_by_priority);
+    for (int i = 0; i < leader->team_count; i++)
+        leader->teams[i].used = leader->teams[i].stopping = (struct resources){0};
     GHashTableIter it;
-    struct leader_host *host;
-    g_hash_table_iter_init(&it, leader->hosts);
-    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&host)) {
-        host->booked = host->dealt = host->pinned = (struct room){0};
-        host->told = false;
-        host->flags = 0;
+    struct ledger_machine *machine;
+    g_hash_table_iter_init(&it, leader->machines);
+    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&machine)) {
+        machine->allocated = machine->dispatched = machine->service_resources =
+            (struct resources){0};
+        machine->is_reported = false;
+        machine->flags = 0;
     }
 }
 
 /* One shard for each node on the map, of which nothing is known yet. */
-static void reset_shards(struct leader *leader)
+static void reset_shard_channels(struct leader *leader)
 {
-    g_hash_table_remove_all(leader->shards);
-    for (guint i = 0; i < leader->view->map->len; i++)
-        leader_shard_get(leader, g_array_index(leader->view->map, struct map_entry, i).label);
+    g_hash_table_remove_all(leader->shard_channels);
+    for (guint i = 0; i < leader->replica->shard_map->len; i++)
+        shard_dispatcher_channel(
+            leader, g_array_index(leader->replica->shard_map, struct shard_map_entry, i).label);
 }
 
 /* Takes a machine from the view, and what is on record there. */
-static void enter_record(struct leader *leader, const struct host_record *rec)
+static void load_machine_record(struct leader *leader, const struct machine_record *machine_record)
 {
-    struct leader_host *host =
-        leader_host_make(leader, rec->id, rec->type_name, rec->zone, rec->spot);
-    for (guint i = 0; i < rec->images->len && !host->told; i++)
-        images_add(host->images, rec->images->pdata[i]);
-    for (guint i = 0; i < rec->tasks->len; i++) {
-        struct placed *placed = rec->tasks->pdata[i];
-        leader_entry_add(leader, placed->job->id, placed->index, placed->attempt, rec->id);
+    struct ledger_machine *machine =
+        quota_ledger_ensure_machine(leader, machine_record->id, machine_record->machine_type_name,
+                                    machine_record->zone, machine_record->is_spot);
+    for (guint i = 0; i < machine_record->cached_images->len && !machine->is_reported; i++)
+        image_cache_add(machine->image_cache, machine_record->cached_images->pdata[i]);
+    for (guint i = 0; i < machine_record->run_records->len; i++) {
+        struct run_record *run_record = machine_record->run_records->pdata[i];
+        quota_ledger_add_allocation(leader, run_record->job->id, run_record->task_index,
+                                    run_record->attempt, machine_record->id);
     }
 }
 
 /* Takes a job from the view. What was learnt of it stays; old: the jobs of the last epoch. */
-static void enter_job(struct leader *leader, const struct job *job_view, GHashTable *old)
+static void load_job_record(struct leader *leader, const struct job *job_record,
+                            GHashTable *previous_jobs)
 {
-    if (!job_view->known || (job_view->state != JOB_LIVE && !job_view->spec))
+    if (!job_record->is_known || (job_record->state != JOB_ACTIVE && !job_record->spec))
         return;
-    struct leader_job *job = leader_job_make(leader, job_view->id);
-    struct leader_job *before = g_hash_table_lookup(old, job_view->id.s);
-    if (!job || !before)
+    struct ledger_job *job = quota_ledger_ensure_job(leader, job_record->id);
+    struct ledger_job *previous = g_hash_table_lookup(previous_jobs, job_record->id.text);
+    if (!job || !previous)
         return;
-    job->failures = before->failures;
-    job->not_before = before->not_before;
-    job->failed_on = g_steal_pointer(&before->failed_on);
+    job->failure_count = previous->failure_count;
+    job->retry_at = previous->retry_at;
+    job->failed_machines = g_steal_pointer(&previous->failed_machines);
 }
 
-void leader_ledger_rebuild(struct leader *leader)
+void quota_ledger_rebuild(struct leader *leader)
 {
-    leader->epoch = leader->view->epoch;
-    leader->epoch_at = loop_now(leader->loop);
+    leader->epoch = leader->replica->shard_map_epoch;
+    leader->epoch_began_at = loop_now(leader->loop);
     leader->generation++;
-    leader->attempts = 0;
-    GHashTable *old = leader->jobs;
-    leader->jobs = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, job_free);
-    clear_counts(leader);
-    reset_shards(leader);
+    leader->attempts_issued = 0;
+    GHashTable *previous_jobs = leader->jobs;
+    leader->jobs = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, ledger_job_free);
+    reset_counts(leader);
+    reset_shard_channels(leader);
     GHashTableIter it;
-    struct host_record *rec;
-    g_hash_table_iter_init(&it, leader->view->hosts);
-    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&rec))
-        enter_record(leader, rec);
-    struct job *job_view;
-    g_hash_table_iter_init(&it, leader->view->jobs);
-    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&job_view))
-        enter_job(leader, job_view, old);
-    g_hash_table_unref(old);
+    struct machine_record *machine_record;
+    g_hash_table_iter_init(&it, leader->replica->machines);
+    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&machine_record))
+        load_machine_record(leader, machine_record);
+    struct job *job_record;
+    g_hash_table_iter_init(&it, leader->replica->jobs);
+    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&job_record))
+        load_job_record(leader, job_record, previous_jobs);
+    g_hash_table_unref(previous_jobs);
     LOG_INFO("leading", "jobs=%u machines=%u", g_hash_table_size(leader->jobs),
-             g_hash_table_size(leader->hosts));
+             g_hash_table_size(leader->machines));
 }
 
-attempt_no leader_next_attempt(struct leader *leader)
+attempt_no quota_ledger_next_attempt(struct leader *leader)
 {
     /* The epoch makes it unique for good, without asking what was used before. */
-    if (++leader->attempts >> ATTEMPT_BITS)
-        membership_raise(leader->members, "attempts used up");
-    return (attempt_no){leader->epoch.v << ATTEMPT_BITS |
-                        (leader->attempts & ((1 << ATTEMPT_BITS) - 1))};
+    if (++leader->attempts_issued >> ATTEMPT_BITS)
+        membership_raise_epoch(leader->membership, "attempts used up");
+    return (attempt_no){leader->epoch.value << ATTEMPT_BITS |
+                        (leader->attempts_issued & ((1 << ATTEMPT_BITS) - 1))};
 }
 
-void leader_book_deal(struct leader *leader, struct leader_job *job, uint32_t index,
-                      attempt_no attempt, struct leader_host *host)
+void quota_ledger_add_dispatch(struct leader *leader, struct ledger_job *job, uint32_t index,
+                               attempt_no attempt, struct ledger_machine *machine)
 {
-    struct deal *deal = g_new0(struct deal, 1);
-    deal->attempt = attempt;
-    deal->host = host;
-    deal->number = ++leader->deals;
-    deal->since = loop_now(leader->loop);
-    g_strlcpy(deal->zone, host->zone, sizeof deal->zone);
-    g_hash_table_insert(job->deals, leader_key_of(index), deal);
-    room_add(&host->dealt, job->room);
-    room_add(&leader->teams[job->team].used, job->room);
+    struct pending_dispatch *dispatch = g_new0(struct pending_dispatch, 1);
+    dispatch->attempt = attempt;
+    dispatch->machine = machine;
+    dispatch->number = ++leader->dispatches_issued;
+    dispatch->dispatched_at = loop_now(leader->loop);
+    g_strlcpy(dispatch->zone, machine->zone, sizeof dispatch->zone);
+    g_hash_table_insert(job->dispatches, quota_ledger_task_key(index), dispatch);
+    resources_add(&machine->dispatched, job->task_resources);
+    resources_add(&leader->teams[job->team_index].used, job->task_resources);
 }
 
-bool leader_task_waits(const struct leader_job *job, const struct job *job_view, uint32_t index)
+bool quota_ledger_is_task_waiting(const struct ledger_job *job, const struct job *job_record,
+                                  uint32_t index)
 {
-    return !job_task_done(job_view, index) && !job_placed(job_view, index) &&
-           !g_hash_table_contains(job->entries, leader_key_of(index)) &&
-           !g_hash_table_contains(job->deals, leader_key_of(index));
+    return !job_is_task_completed(job_record, index) && !job_get_run_record(job_record, index) &&
+           !g_hash_table_contains(job->allocations, quota_ledger_task_key(index)) &&
+           !g_hash_table_contains(job->dispatches, quota_ledger_task_key(index));
 }
 
-uint32_t leader_next_waiting(struct leader_job *job, const struct job *job_view)
+uint32_t quota_ledger_next_waiting_task(struct ledger_job *job, const struct job *job_record)
 {
-    while (job->cursor < job_view->tasks && !leader_task_waits(job, job_view, job->cursor))
-        job->cursor++;
-    return job->cursor;
+    while (job->first_waiting_index < job_record->task_count &&
+           !quota_ledger_is_task_waiting(job, job_record, job->first_waiting_index))
+        job->first_waiting_index++;
+    return job->first_waiting_index;
 }
 
-uint32_t leader_count_waiting(struct leader_job *job, const struct job *job_view)
+uint32_t quota_ledger_count_waiting_tasks(struct ledger_job *job, const struct job *job_record)
 {
-    uint32_t busy =
-        g_hash_table_size(job->entries) + g_hash_table_size(job->deals) + job_view->n_done;
-    return busy >= job_view->tasks ? 0 : job_view->tasks - busy;
+    uint32_t accounted_tasks = g_hash_table_size(job->allocations) +
+                               g_hash_table_size(job->dispatches) + job_record->completed_count;
+    return accounted_tasks >= job_record->task_count ? 0 : job_record->task_count - accounted_tasks;
 }
 
-bool leader_within_limits(struct room used, struct room more, amount cpus, amount gpus)
+bool quota_ledger_is_within_limits(struct resources used, struct resources more, amount cpus,
+                                   amount gpus)
 {
     return used.cpus.milli + more.cpus.milli <= cpus.milli &&
            used.gpus.milli + more.gpus.milli <= gpus.milli;
 }
 
-struct room leader_limit_left(const struct leader_team *team)
+struct resources quota_ledger_remaining_limit(const struct ledger_team *team)
 {
-    return room_left((struct room){team->team->cpus_max, team->team->gpus_max, {INT64_MAX / 4}},
-                     team->used);
+    return resources_remaining(
+        (struct resources){team->quota->cpus_max, team->quota->gpus_max, {INT64_MAX / 4}},
+        team->used);
 }
 
-int64_t leader_count_allowed(struct leader *leader, struct leader_job *job, struct job *job_view)
+int64_t quota_ledger_count_allowed_tasks(struct leader *leader, struct ledger_job *job,
+                                         struct job *job_record)
 {
-    struct room left = leader_limit_left(&leader->teams[job->team]);
-    return MIN((int64_t)leader_count_waiting(job, job_view), room_times(left, job->room));
+    struct resources remaining = quota_ledger_remaining_limit(&leader->teams[job->team_index]);
+    return MIN((int64_t)quota_ledger_count_waiting_tasks(job, job_record),
+               resources_fit_count(remaining, job->task_resources));
 }
--- a/src/scheduler/scheduling_policy.c
+++ b/src/scheduler/scheduling_policy.c
@@ -3,125 +3,128 @@
 #include <math.h>
 
 /* Of a class of which nothing is expected. */
-enum { USUAL_PATIENCE_S = 60 };
+enum { DEFAULT_PATIENCE_S = 60 };
 
 static const double NO_TYPE_BOOT_S = 1e9;
 
-const GArray *leader_types_now(struct leader *leader)
+const GArray *scheduling_policy_machine_types(struct leader *leader)
 {
-    return fleet_types(leader->fleet) ? fleet_types(leader->fleet) : leader->view->types;
+    return cloud_provider_get_types(leader->cloud) ? cloud_provider_get_types(leader->cloud)
+                                                   : leader->replica->machine_types;
 }
 
 /* Of all machine types; without any, longer than any wait. */
-static double quickest_boot(struct leader *leader)
+static double quickest_boot_s(struct leader *leader)
 {
-    double least = NO_TYPE_BOOT_S;
-    const GArray *types = leader_types_now(leader);
+    double quickest_s = NO_TYPE_BOOT_S;
+    const GArray *types = scheduling_policy_machine_types(leader);
     for (guint i = 0; types && i < types->len; i++)
-        least = MIN(least, g_array_index(types, struct machine_type, i).boot_s);
-    return least;
+        quickest_s = MIN(quickest_s, g_array_index(types, struct machine_type, i).boot_time_s);
+    return quickest_s;
 }
 
-double leader_slowest_boot(struct leader *leader)
+double scheduling_policy_slowest_boot_s(struct leader *leader)
 {
-    double most = 0;
-    const GArray *types = leader_types_now(leader);
+    double slowest_s = 0;
+    const GArray *types = scheduling_policy_machine_types(leader);
     for (guint i = 0; types && i < types->len; i++)
-        most = MAX(most, g_array_index(types, struct machine_type, i).boot_s);
-    return most;
+        slowest_s = MAX(slowest_s, g_array_index(types, struct machine_type, i).boot_time_s);
+    return slowest_s;
 }
 
 /* How long a task may wait if the objective is to be met; patience if it says nothing of that. */
-static double wait_left_s(const struct objective *objective, const struct spec *spec,
-                          double patience)
+static double max_wait_s(const struct objective *objective, const struct job_spec *spec,
+                         double default_s)
 {
     if (objective->kind == OBJECTIVE_WAIT)
         return objective->within_s;
     if (objective->kind == OBJECTIVE_FINISHED)
-        return objective->within_s - spec->expected_s;
-    if (objective->kind == OBJECTIVE_DEADLINE && spec->due_s >= 0)
-        return spec->due_s - spec->expected_s;
-    return patience;
+        return objective->within_s - spec->expected_run_s;
+    if (objective->kind == OBJECTIVE_DEADLINE && spec->deadline_s >= 0)
+        return spec->deadline_s - spec->expected_run_s;
+    return default_s;
 }
 
-double leader_patience_s(struct leader *leader, const struct job *job_view)
+double scheduling_policy_patience_s(struct leader *leader, const struct job *job_record)
 {
-    const struct spec *spec = job_view->spec;
-    double patience = USUAL_PATIENCE_S;
-    double boot = quickest_boot(leader);
+    const struct job_spec *spec = job_record->spec;
+    double patience_s = DEFAULT_PATIENCE_S;
+    double quickest_s = quickest_boot_s(leader);
     for (guint i = 0; i < leader->settings->objectives->len; i++) {
         const struct objective *objective =
             &g_array_index(leader->settings->objectives, struct objective, i);
         if (strcmp(objective->class, spec->job_class) != 0)
             continue;
-        double left = wait_left_s(objective, spec, patience);
-        if (left > boot)
-            patience = MIN(patience, left);
+        double wait_s = max_wait_s(objective, spec, patience_s);
+        if (wait_s > quickest_s)
+            patience_s = MIN(patience_s, wait_s);
     }
     /* The deadline of a job that needs this one leaves it less, the longer the way there. */
-    if (spec->due_s < 0 && job_view->due.ms != NEVER.ms) {
-        double due_s = (double)(job_view->due.ms - job_view->since.ms) / 1000;
-        patience = MIN(patience, MAX(due_s - spec->expected_s, boot));
+    if (spec->deadline_s < 0 && job_record->inherited_deadline.ms != NO_DEADLINE.ms) {
+        double due_s =
+            (double)(job_record->inherited_deadline.ms - job_record->eligible_at.ms) / 1000;
+        patience_s = MIN(patience_s, MAX(due_s - spec->expected_run_s, quickest_s));
     }
-    return patience;
+    return patience_s;
 }
 
-double leader_used_cpus(struct leader *leader)
+double scheduling_policy_used_cpus(struct leader *leader)
 {
     double sum = 0;
-    for (int i = 0; i < leader->n_teams; i++)
+    for (int i = 0; i < leader->team_count; i++)
         sum += (double)leader->teams[i].used.cpus.milli / 1000;
     return sum;
 }
 
-void leader_load_inputs(struct leader *leader, struct policy_value *value)
+void scheduling_policy_set_load_inputs(struct leader *leader, struct policy_value *inputs)
 {
-    value[INPUT_USED_CPUS].number = leader_used_cpus(leader);
-    value[INPUT_PEAK_CPUS].number = leader->demand_peak;
+    inputs[INPUT_USED_CPUS].number = scheduling_policy_used_cpus(leader);
+    inputs[INPUT_PEAK_CPUS].number = leader->peak_cpus;
 }
 
 /* Inputs that tell of the load and the job. */
-static void job_inputs(struct leader *leader, const struct leader_job *job, const struct spec *spec,
-                       struct policy_value *value)
+static void set_job_inputs(struct leader *leader, const struct ledger_job *job,
+                           const struct job_spec *spec, struct policy_value *value)
 {
-    leader_load_inputs(leader, value);
+    scheduling_policy_set_load_inputs(leader, value);
     value[INPUT_TEAM].text = spec->team_name;
     value[INPUT_CLASS].text = spec->job_class;
-    value[INPUT_PRIORITY].text = codec_urgency_word(job->urgency);
+    value[INPUT_PRIORITY].text = job_priority_name(job->priority);
 }
 
-double leader_spare_cpus(struct leader *leader)
+double scheduling_policy_spare_cpus(struct leader *leader)
 {
-    struct policy_value value[POLICY_INPUTS] = {0};
-    leader_load_inputs(leader, value);
-    return floor(policy_number(leader->policy, POLICY_SPARE_CPUS, value));
+    struct policy_value inputs[POLICY_INPUTS] = {0};
+    scheduling_policy_set_load_inputs(leader, inputs);
+    return floor(policy_number(leader->policy, POLICY_SPARE_CPUS, inputs));
 }
 
-bool leader_may_rent_ordinary(struct leader *leader, const struct leader_job *job,
-                              const struct spec *spec, double backlog_s)
+bool scheduling_policy_may_rent_on_demand(struct leader *leader, const struct ledger_job *job,
+                                          const struct job_spec *spec, double backlog_s)
 {
-    struct policy_value value[POLICY_INPUTS] = {0};
-    job_inputs(leader, job, spec, value);
-    value[INPUT_BACKLOG_S].number = backlog_s;
-    value[INPUT_PATIENCE_S].number = job->patience_s;
-    return policy_flag(leader->policy, POLICY_RENT_ORDINARY, value);
+    struct policy_value inputs[POLICY_INPUTS] = {0};
+    set_job_inputs(leader, job, spec, inputs);
+    inputs[INPUT_BACKLOG_S].number = backlog_s;
+    inputs[INPUT_PATIENCE_S].number = job->patience_s;
+    return policy_flag(leader->policy, POLICY_RENT_ORDINARY, inputs);
 }
 
-bool leader_may_preempt(struct leader *leader, const struct leader_job *job,
-                        const struct spec *spec)
+bool scheduling_policy_may_preempt(struct leader *leader, const struct ledger_job *job,
+                                   const struct job_spec *spec)
 {
-    struct policy_value value[POLICY_INPUTS] = {0};
-    job_inputs(leader, job, spec, value);
-    return policy_flag(leader->policy, POLICY_PREEMPT, value);
+    struct policy_value inputs[POLICY_INPUTS] = {0};
+    set_job_inputs(leader, job, spec, inputs);
+    return policy_flag(leader->policy, POLICY_PREEMPT, inputs);
 }
 
-double leader_idle_ms(struct leader *leader, const struct leader_host *host)
+double scheduling_policy_idle_timeout_ms(struct leader *leader,
+                                         const struct ledger_machine *machine)
 {
-    struct policy_value value[POLICY_INPUTS] = {0};
-    leader_load_inputs(leader, value);
-    value[INPUT_TYPE].text = host->type_name;
-    value[INPUT_ZONE].text = host->zone;
-    value[INPUT_SPOT].flag = host->spot;
-    value[INPUT_CPUS].number = (double)host->total.cpus.milli / 1000;
-    return policy_number(leader->policy, POLICY_IDLE_S, value) * 1000;
+    struct policy_value inputs[POLICY_INPUTS] = {0};
+    scheduling_policy_set_load_inputs(leader, inputs);
+    inputs[INPUT_TYPE].text = machine->type_name;
+    inputs[INPUT_ZONE].text = machine->zone;
+    inputs[INPUT_SPOT].flag = machine->is_spot;
+    inputs[INPUT_CPUS].number = (double)machine->capacity.cpus.milli / 1000;
+    return policy_number(leader->policy, POLICY_IDLE_S, inputs) * 1000;
 }
--- a/src/scheduler/shard_dispatcher.c
+++ b/src/scheduler/shard_dispatcher.c
@@ -3,188 +3,196 @@
 #include "quota_ledger.h"
 
 enum {
-    OUT_TIMEOUT_MS = 1500,
-    UNREACHABLE_MS = 4000, /* then its node is excluded from the map */
-    EXCLUDE_MS = 20000,
+    MESSAGE_TIMEOUT_MS = 1500,
+    UNREACHABLE_TIMEOUT_MS = 4000, /* then its node is excluded from the map */
+    NODE_EXCLUSION_MS = 20000,
 };
 
-static void leader_shard_free(gpointer q)
+static void shard_channel_free(gpointer q)
 {
-    struct leader_shard *shard = q;
-    cJSON_Delete(shard->deal);
-    cJSON_Delete(shard->halt);
-    cJSON_Delete(shard->gone);
-    cJSON_Delete(shard->close);
-    cJSON_Delete(shard->sending);
-    g_free(shard->label);
-    g_free(shard);
+    struct shard_channel *channel = q;
+    cJSON_Delete(channel->dispatches);
+    cJSON_Delete(channel->stops);
+    cJSON_Delete(channel->departed);
+    cJSON_Delete(channel->cordons);
+    cJSON_Delete(channel->unacknowledged);
+    g_free(channel->label);
+    g_free(channel);
 }
 
-void leader_shards_init(struct leader *leader)
+void shard_dispatcher_init(struct leader *leader)
 {
-    leader->shards = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, leader_shard_free);
+    leader->shard_channels =
+        g_hash_table_new_full(g_str_hash, g_str_equal, NULL, shard_channel_free);
 }
 
-struct leader_shard *leader_shard_get(struct leader *leader, const char *label)
+struct shard_channel *shard_dispatcher_channel(struct leader *leader, const char *label)
 {
-    struct leader_shard *shard = g_hash_table_lookup(leader->shards, label);
-    if (!shard) {
-        shard = g_new0(struct leader_shard, 1);
-        shard->label = g_strdup(label);
-        g_hash_table_insert(leader->shards, shard->label, shard);
+    struct shard_channel *channel = g_hash_table_lookup(leader->shard_channels, label);
+    if (!channel) {
+        channel = g_new0(struct shard_channel, 1);
+        channel->label = g_strdup(label);
+        g_hash_table_insert(leader->shard_channels, channel->label, channel);
     }
-    return shard;
+    return channel;
 }
 
-void leader_shard_add(cJSON **list, cJSON *item)
+void shard_dispatcher_append(cJSON **list, cJSON *item)
 {
     if (!*list)
         *list = cJSON_CreateArray();
     cJSON_AddItemToArray(*list, item);
 }
 
-void leader_send_deal(struct leader *leader, struct leader_job *job, uint32_t index, bool bound)
+void shard_dispatcher_queue_dispatch(struct leader *leader, struct ledger_job *job, uint32_t index,
+                                     bool is_bound)
 {
-    struct deal *deal = g_hash_table_lookup(job->deals, leader_key_of(index));
-    struct job *job_view = view_job(leader->view, job->id.s);
-    cJSON *x = bus_task(job->id, index, deal->attempt);
-    bus_put_u64(x, "n", deal->number);
-    if (job_view->spec->one_zone || job_view->spec->apart)
-        cJSON_AddStringToObject(x, "y", deal->zone);
-    if (bound)
-        cJSON_AddStringToObject(x, "h", deal->host->id.s);
-    leader_shard_add(&leader_shard_get(leader, deal->host->owner)->deal, x);
+    struct pending_dispatch *dispatch =
+        g_hash_table_lookup(job->dispatches, quota_ledger_task_key(index));
+    struct job *job_record = replica_get_job(leader->replica, job->id.text);
+    cJSON *item = node_rpc_encode_task(job->id, index, dispatch->attempt);
+    node_rpc_put_u64(item, "n", dispatch->number);
+    if (job_record->spec->needs_single_zone || job_record->spec->needs_separate_zones)
+        cJSON_AddStringToObject(item, "y", dispatch->zone);
+    if (is_bound)
+        cJSON_AddStringToObject(item, "h", dispatch->machine->id.text);
+    shard_dispatcher_append(
+        &shard_dispatcher_channel(leader, dispatch->machine->owner_label)->dispatches, item);
 }
 
-void leader_send_halt(struct leader *leader, struct leader_job *job, uint32_t index,
-                      struct entry *e, double grace_s)
+void shard_dispatcher_queue_stop(struct leader *leader, struct ledger_job *job, uint32_t index,
+                                 struct allocation *allocation, double grace_s)
 {
-    struct leader_host *host = leader_host_get(leader, e->host.s);
-    if (!host || !host->owner)
+    struct ledger_machine *machine = quota_ledger_find_machine(leader, allocation->machine.text);
+    if (!machine || !machine->owner_label)
         return;
-    if (!e->halted)
-        room_add(&leader->teams[job->team].halting, job->room);
-    e->halted = true;
-    cJSON *x = bus_task(job->id, index, e->attempt);
-    cJSON_AddStringToObject(x, "h", e->host.s);
-    cJSON_AddNumberToObject(x, "g", grace_s);
-    leader_shard_add(&leader_shard_get(leader, host->owner)->halt, x);
+    if (!allocation->is_stopping)
+        resources_add(&leader->teams[job->team_index].stopping, job->task_resources);
+    allocation->is_stopping = true;
+    cJSON *item = node_rpc_encode_task(job->id, index, allocation->attempt);
+    cJSON_AddStringToObject(item, "h", allocation->machine.text);
+    cJSON_AddNumberToObject(item, "g", grace_s);
+    shard_dispatcher_append(&shard_dispatcher_channel(leader, machine->owner_label)->stops, item);
 }
 
 /* A message that is on its way to a shard; void once the generation has changed. */
-struct shard_out {
+struct shard_request {
     struct leader *leader;
     uint64_t generation;
     char *label;
 };
 
-static void shard_send(struct leader *leader, struct leader_shard *shard);
+static void send_message(struct leader *leader, struct shard_channel *channel);
 
 /* Whether there is anything to tell the shard. */
-static bool has_news(const struct leader_shard *shard)
+static bool has_queued_items(const struct shard_channel *channel)
 {
-    return shard->deal || shard->halt || shard->gone || shard->close;
+    return channel->dispatches || channel->stops || channel->departed || channel->cordons;
 }
 
 /* The shard names the machines on which it places nothing more. */
-static void take_closed(struct leader *leader, const cJSON *answer)
+static void apply_cordoned(struct leader *leader, const cJSON *answer)
 {
     const cJSON *name;
     cJSON_ArrayForEach(name, cJSON_GetObjectItemCaseSensitive(answer, "closed"))
     {
         if (cJSON_IsString(name))
-            fleet_return_closed(leader->fleet, name->valuestring, leader->epoch);
+            cloud_provider_note_cordoned(leader->cloud, name->valuestring, leader->epoch);
     }
 }
 
 /* The shard has heard of the machines that are gone. */
-static void take_announced(struct leader *leader, const struct leader_shard *shard)
+static void apply_departed(struct leader *leader, const struct shard_channel *channel)
 {
     const cJSON *name;
-    cJSON_ArrayForEach(name, cJSON_GetObjectItemCaseSensitive(shard->sending, "gone"))
-        fleet_return_announced(leader->fleet, name->valuestring);
+    cJSON_ArrayForEach(name, cJSON_GetObjectItemCaseSensitive(channel->unacknowledged, "gone"))
+        cloud_provider_note_announced(leader->cloud, name->valuestring);
 }
 
-void leader_tell_returns(struct leader *leader)
+void shard_dispatcher_queue_returns(struct leader *leader)
 {
-    GPtrArray *closing = fleet_returns_to_close(leader->fleet);
-    GPtrArray *gone = fleet_returns_to_announce(leader->fleet);
-    for (guint i = 0; i < closing->len + gone->len; i++) {
-        const char *name = i < closing->len ? closing->pdata[i] : gone->pdata[i - closing->len];
-        const char *owner = map_owner(leader->view, name);
-        struct leader_shard *shard = owner ? leader_shard_get(leader, owner) : NULL;
+    GPtrArray *to_cordon = cloud_provider_list_to_cordon(leader->cloud);
+    GPtrArray *to_announce = cloud_provider_list_to_announce(leader->cloud);
+    for (guint i = 0; i < to_cordon->len + to_announce->len; i++) {
+        const char *name =
+            i < to_cordon->len ? to_cordon->pdata[i] : to_announce->pdata[i - to_cordon->len];
+        const char *owner = shard_map_get_owner(leader->replica, name);
+        struct shard_channel *channel = owner ? shard_dispatcher_channel(leader, owner) : NULL;
         /* While a message is on its way, it or its answer may name them. */
-        if (shard && !shard->sending)
-            leader_shard_add(i < closing->len ? &shard->close : &shard->gone,
-                             cJSON_CreateString(name));
+        if (channel && !channel->unacknowledged)
+            shard_dispatcher_append(i < to_cordon->len ? &channel->cordons : &channel->departed,
+                                    cJSON_CreateString(name));
     }
-    g_ptr_array_unref(closing);
-    g_ptr_array_unref(gone);
+    g_ptr_array_unref(to_cordon);
+    g_ptr_array_unref(to_announce);
 }
 
-static void shard_answered(void *arg, int status, const cJSON *answer)
+static void on_shard_answer(void *arg, int status, const cJSON *answer)
 {
-    struct shard_out *out = arg;
-    struct leader *leader = out->leader;
-    struct leader_shard *shard = g_hash_table_lookup(leader->shards, out->label);
-    if (out->generation == leader->generation && shard) {
+    struct shard_request *request = arg;
+    struct leader *leader = request->leader;
+    struct shard_channel *channel = g_hash_table_lookup(leader->shard_channels, request->label);
+    if (request->generation == leader->generation && channel) {
         mono_time now = loop_now(leader->loop);
-        shard->out = false;
+        channel->is_request_in_flight = false;
         if (status == 200) {
-            take_announced(leader, shard);
-            cJSON_Delete(shard->sending);
-            shard->sending = NULL;
-            shard->failing_since = (mono_time){0};
-            take_closed(leader, answer);
-            if (has_news(shard))
-                shard_send(leader, shard);
-        } else if (!shard->failing_since.us) {
-            shard->failing_since = now;
-        } else if (time_ms_since(now, shard->failing_since) > UNREACHABLE_MS &&
-                   membership_leads(leader->members) &&
-                   strcmp(shard->label, leader->settings->label) != 0) {
-            shard->failing_since = now;
-            membership_exclude(leader->members, shard->label, EXCLUDE_MS);
+            apply_departed(leader, channel);
+            cJSON_Delete(channel->unacknowledged);
+            channel->unacknowledged = NULL;
+            channel->unanswered_since = (mono_time){0};
+            apply_cordoned(leader, answer);
+            if (has_queued_items(channel))
+                send_message(leader, channel);
+        } else if (!channel->unanswered_since.us) {
+            channel->unanswered_since = now;
+        } else if (time_ms_since(now, channel->unanswered_since) > UNREACHABLE_TIMEOUT_MS &&
+                   membership_is_leader(leader->membership) &&
+                   strcmp(channel->label, leader->settings->label) != 0) {
+            channel->unanswered_since = now;
+            membership_exclude_node(leader->membership, channel->label, NODE_EXCLUSION_MS);
         }
     }
-    g_free(out->label);
-    g_free(out);
+    g_free(request->label);
+    g_free(request);
 }
 
-/* One message at a time, and the same one until it is acknowledged: see on_deal in shard.c. */
-static void shard_send(struct leader *leader, struct leader_shard *shard)
+/* One message at a time, and the same one until it is acknowledged: see handle_dispatch_message in
+ * shard.c. */
+static void send_message(struct leader *leader, struct shard_channel *channel)
 {
-    if (!shard->sending) {
+    if (!channel->unacknowledged) {
         cJSON *message = cJSON_CreateObject();
-        bus_put_u64(message, "e", leader->epoch.v);
-        bus_put_u64(message, "s", ++shard->seq);
-        if (shard->deal)
-            cJSON_AddItemToObject(message, "deal", g_steal_pointer(&shard->deal));
-        if (shard->halt)
-            cJSON_AddItemToObject(message, "halt", g_steal_pointer(&shard->halt));
-        if (shard->gone)
-            cJSON_AddItemToObject(message, "gone", g_steal_pointer(&shard->gone));
-        if (shard->close)
-            cJSON_AddItemToObject(message, "close", g_steal_pointer(&shard->close));
-        shard->sending = message;
+        node_rpc_put_u64(message, "e", leader->epoch.value);
+        node_rpc_put_u64(message, "s", ++channel->message_sequence);
+        if (channel->dispatches)
+            cJSON_AddItemToObject(message, "deal", g_steal_pointer(&channel->dispatches));
+        if (channel->stops)
+            cJSON_AddItemToObject(message, "halt", g_steal_pointer(&channel->stops));
+        if (channel->departed)
+            cJSON_AddItemToObject(message, "gone", g_steal_pointer(&channel->departed));
+        if (channel->cordons)
+            cJSON_AddItemToObject(message, "close", g_steal_pointer(&channel->cordons));
+        channel->unacknowledged = message;
     }
-    struct shard_out *out = g_new(struct shard_out, 1);
-    *out = (struct shard_out){leader, leader->generation, g_strdup(shard->label)};
-    shard->out = true;
-    bus_send(leader->bus, shard->label, "deal", cJSON_Duplicate(shard->sending, true),
-             OUT_TIMEOUT_MS, shard_answered, out);
+    struct shard_request *request = g_new(struct shard_request, 1);
+    *request = (struct shard_request){leader, leader->generation, g_strdup(channel->label)};
+    channel->is_request_in_flight = true;
+    node_rpc_call(leader->node_rpc, channel->label, "deal",
+                  cJSON_Duplicate(channel->unacknowledged, true), MESSAGE_TIMEOUT_MS,
+                  on_shard_answer, request);
 }
 
-void leader_send_all(struct leader *leader)
+void shard_dispatcher_flush(struct leader *leader)
 {
     GHashTableIter it;
-    struct leader_shard *shard;
-    GPtrArray *due = g_ptr_array_new();
-    g_hash_table_iter_init(&it, leader->shards);
-    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&shard))
-        if (!shard->out && (shard->sending || has_news(shard)))
-            g_ptr_array_add(due, shard);
-    for (guint i = 0; i < due->len; i++)
-        shard_send(leader, due->pdata[i]);
-    g_ptr_array_unref(due);
+    struct shard_channel *channel;
+    GPtrArray *due_channels = g_ptr_array_new();
+    g_hash_table_iter_init(&it, leader->shard_channels);
+    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&channel))
+        if (!channel->is_request_in_flight &&
+            (channel->unacknowledged || has_queued_items(channel)))
+            g_ptr_array_add(due_channels, channel);
+    for (guint i = 0; i < due_channels->len; i++)
+        send_message(leader, due_channels->pdata[i]);
+    g_ptr_array_unref(due_channels);
 }
--- a/src/scheduler/shard_status_receiver.c
+++ b/src/scheduler/shard_status_receiver.c
@@ -5,197 +5,203 @@
 #include "quota_ledger.h"
 
 enum {
-    AVOID_MS = 1500,       /* a machine to which a task could not be given */
-    RAISE_AFTER_MS = 5000, /* the epoch is raised no sooner after it began */
+    REJECTED_DISPATCH_AVOID_MS = 1500, /* a machine to which a task could not be given */
+    MIN_EPOCH_AGE_MS = 5000,           /* the epoch is raised no sooner after it began */
 };
 
 /* How a task ended on a machine: the time it took, or the cause of its failure. */
-static void on_event(struct leader *leader, const cJSON *event)
+static void apply_task_outcome(struct leader *leader, const cJSON *outcome)
 {
-    const char *host_name = bus_text(event, "h"), *job_name = bus_text(event, "j");
-    const cJSON *cause = cJSON_GetObjectItemCaseSensitive(event, "c");
-    const cJSON *took = cJSON_GetObjectItemCaseSensitive(event, "took");
-    struct leader_job *job = job_name ? leader_job_get(leader, job_name) : NULL;
-    struct leader_host *host = host_name ? leader_host_get(leader, host_name) : NULL;
-    if (job_name && host && cJSON_IsNumber(took))
-        leader_learn_run_time(leader, job_name, host, took->valuedouble);
-    if (job && host && cJSON_IsNumber(cause))
-        leader_task_failed(leader, job, host, (enum cause)cause->valuedouble);
+    const char *machine_name = node_rpc_get_text(outcome, "h"),
+               *job_name = node_rpc_get_text(outcome, "j");
+    const cJSON *cause = cJSON_GetObjectItemCaseSensitive(outcome, "c");
+    const cJSON *run_time = cJSON_GetObjectItemCaseSensitive(outcome, "took");
+    struct ledger_job *job = job_name ? quota_ledger_find_job(leader, job_name) : NULL;
+    struct ledger_machine *machine =
+        machine_name ? quota_ledger_find_machine(leader, machine_name) : NULL;
+    if (job_name && machine && cJSON_IsNumber(run_time))
+        machine_health_record_run_time(leader, job_name, machine, run_time->valuedouble);
+    if (job && machine && cJSON_IsNumber(cause))
+        machine_health_record_failure(leader, job, machine, (enum exit_cause)cause->valuedouble);
 }
 
 /* What a digest says of a machine: an array with these fields. */
-enum host_field {
-    FIELD_ID,
-    FIELD_TYPE,
-    FIELD_ZONE,
-    FIELD_SPOT,
-    FIELD_FLAGS,
-    FIELD_IMAGES, /* only if they have changed */
+enum machine_field {
+    MACHINE_FIELD_ID,
+    MACHINE_FIELD_TYPE,
+    MACHINE_FIELD_ZONE,
+    MACHINE_FIELD_SPOT,
+    MACHINE_FIELD_FLAGS,
+    MACHINE_FIELD_IMAGES, /* only if they have changed */
 };
 
 /* The same, read. */
-struct host_report {
-    host_id id;
+struct reported_machine {
+    machine_id id;
     const char *type_name, *zone;
-    bool spot;
+    bool is_spot;
     int flags;
     const cJSON *images; /* NULL: as before */
 };
 
 /* False if it is malformed. */
-static bool read_host(const cJSON *item, struct host_report *report)
+static bool parse_machine(const cJSON *item, struct reported_machine *report)
 {
-    const cJSON *id = cJSON_GetArrayItem(item, FIELD_ID);
-    const cJSON *type_name = cJSON_GetArrayItem(item, FIELD_TYPE);
-    const cJSON *zone = cJSON_GetArrayItem(item, FIELD_ZONE);
-    const cJSON *spot = cJSON_GetArrayItem(item, FIELD_SPOT);
-    const cJSON *flags = cJSON_GetArrayItem(item, FIELD_FLAGS);
-    if (!cJSON_IsString(id) || !host_id_from(&report->id, id->valuestring) ||
+    const cJSON *id = cJSON_GetArrayItem(item, MACHINE_FIELD_ID);
+    const cJSON *type_name = cJSON_GetArrayItem(item, MACHINE_FIELD_TYPE);
+    const cJSON *zone = cJSON_GetArrayItem(item, MACHINE_FIELD_ZONE);
+    const cJSON *spot = cJSON_GetArrayItem(item, MACHINE_FIELD_SPOT);
+    const cJSON *flags = cJSON_GetArrayItem(item, MACHINE_FIELD_FLAGS);
+    if (!cJSON_IsString(id) || !machine_id_parse(&report->id, id->valuestring) ||
         !cJSON_IsString(type_name) || !cJSON_IsString(zone) || !cJSON_IsBool(spot) ||
         !cJSON_IsNumber(flags))
         return false;
     report->type_name = type_name->valuestring;
     report->zone = zone->valuestring;
-    report->spot = cJSON_IsTrue(spot);
+    report->is_spot = cJSON_IsTrue(spot);
     report->flags = (int)flags->valuedouble;
-    report->images = cJSON_GetArrayItem(item, FIELD_IMAGES);
+    report->images = cJSON_GetArrayItem(item, MACHINE_FIELD_IMAGES);
     return true;
 }
 
-static void take_images(struct leader_host *host, const cJSON *images)
+static void update_image_cache(struct ledger_machine *machine, const cJSON *images)
 {
     const cJSON *image;
-    g_ptr_array_set_size(host->images, 0);
+    g_ptr_array_set_size(machine->image_cache, 0);
     cJSON_ArrayForEach(image, images)
     {
         if (cJSON_IsString(image))
-            images_add(host->images, image->valuestring);
+            image_cache_add(machine->image_cache, image->valuestring);
     }
 }
 
 /* What a machine is, and what it has fetched if that has changed. */
-static void on_host(struct leader *leader, const char *from, const cJSON *item)
+static void apply_machine(struct leader *leader, const char *from, const cJSON *item)
 {
-    struct host_report report;
-    if (!read_host(item, &report))
+    struct reported_machine report;
+    if (!parse_machine(item, &report))
         return;
-    struct leader_host *host =
-        leader_host_make(leader, report.id, report.type_name, report.zone, report.spot);
-    g_free(host->owner);
-    host->owner = g_strdup(from);
-    host->flags = report.flags;
-    host->told = true;
+    struct ledger_machine *machine = quota_ledger_ensure_machine(
+        leader, report.id, report.type_name, report.zone, report.is_spot);
+    g_free(machine->owner_label);
+    machine->owner_label = g_strdup(from);
+    machine->flags = report.flags;
+    machine->is_reported = true;
     if (report.images)
-        take_images(host, report.images);
+        update_image_cache(machine, report.images);
 }
 
 /* A deal that its shard could not place. */
-static void on_back(struct leader *leader, const cJSON *item)
+static void apply_rejected_dispatch(struct leader *leader, const cJSON *item)
 {
     job_id id;
     uint32_t index;
     attempt_no attempt;
-    struct leader_job *job =
-        bus_task_read(item, &id, &index, &attempt) ? leader_job_get(leader, id.s) : NULL;
+    struct ledger_job *job = node_rpc_decode_task(item, &id, &index, &attempt)
+                                 ? quota_ledger_find_job(leader, id.text)
+                                 : NULL;
     if (!job)
         return;
-    struct deal *deal = g_hash_table_lookup(job->deals, leader_key_of(index));
+    struct pending_dispatch *dispatch =
+        g_hash_table_lookup(job->dispatches, quota_ledger_task_key(index));
     /* A gang's task may be dealt again under the same attempt: an answer that is said again must
      * not take back the later deal. */
     uint64_t number = 0;
-    if (!deal || deal->attempt.v != attempt.v ||
-        (bus_u64(item, "n", &number) && number != deal->number))
+    if (!dispatch || dispatch->attempt.value != attempt.value ||
+        (node_rpc_get_u64(item, "n", &number) && number != dispatch->number))
         return;
-    if (deal->host)
-        deal->host->avoid_until = time_add_ms(loop_now(leader->loop), AVOID_MS);
-    leader_deal_drop(leader, job, index);
+    if (dispatch->machine)
+        dispatch->machine->avoid_until =
+            time_add_ms(loop_now(leader->loop), REJECTED_DISPATCH_AVOID_MS);
+    quota_ledger_drop_dispatch(leader, job, index);
 }
 
-static bool owned_by(const struct leader_host *host, const char *owner)
+static bool is_owned_by(const struct ledger_machine *machine, const char *owner)
 {
-    return host->owner && strcmp(host->owner, owner) == 0;
+    return machine->owner_label && strcmp(machine->owner_label, owner) == 0;
 }
 
 /* What a shard is told of its machines: those that are to get nothing more. */
-static cJSON *shut_hosts(struct leader *leader, const char *owner)
+static cJSON *build_answer(struct leader *leader, const char *owner)
 {
     cJSON *object = cJSON_CreateObject(), *list = cJSON_AddArrayToObject(object, "shut");
     mono_time now = loop_now(leader->loop);
     GHashTableIter it;
-    struct leader_host *host;
-    g_hash_table_iter_init(&it, leader->hosts);
-    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&host))
-        if (owned_by(host, owner) &&
-            (leader_host_slow(leader, host) || time_before(now, host->sick_until)))
-            cJSON_AddItemToArray(list, cJSON_CreateString(host->id.s));
+    struct ledger_machine *machine;
+    g_hash_table_iter_init(&it, leader->machines);
+    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&machine))
+        if (is_owned_by(machine, owner) && (machine_health_is_slow(leader, machine) ||
+                                            time_before(now, machine->quarantined_until)))
+            cJSON_AddItemToArray(list, cJSON_CreateString(machine->id.text));
     return object;
 }
 
 /* A whole digest begins: none of the shard's machines has been told of yet. */
-static void clear_told(struct leader *leader, const char *owner)
+static void clear_reported(struct leader *leader, const char *owner)
 {
     GHashTableIter it;
-    struct leader_host *host;
-    g_hash_table_iter_init(&it, leader->hosts);
-    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&host))
-        if (owned_by(host, owner))
-            host->told = false;
+    struct ledger_machine *machine;
+    g_hash_table_iter_init(&it, leader->machines);
+    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&machine))
+        if (is_owned_by(machine, owner))
+            machine->is_reported = false;
 }
 
 /* Machines that nobody tells of any more, and that hold nothing, are forgotten. */
-static void forget_untold(struct leader *leader, const char *owner)
+static void forget_unreported(struct leader *leader, const char *owner)
 {
     GHashTableIter it;
-    struct leader_host *host;
-    g_hash_table_iter_init(&it, leader->hosts);
-    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&host))
-        if (!host->told && owned_by(host, owner) && leader_host_idle(host) &&
-            !view_host(leader->view, host->id.s))
+    struct ledger_machine *machine;
+    g_hash_table_iter_init(&it, leader->machines);
+    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&machine))
+        if (!machine->is_reported && is_owned_by(machine, owner) &&
+            autoscaler_is_machine_idle(machine) &&
+            !replica_get_machine(leader->replica, machine->id.text))
             g_hash_table_iter_remove(&it);
 }
 
 /* Takes over what a digest lists. whole: it lists all machines of the shard, not only changes. */
-static void take_lists(struct leader *leader, const char *from, const cJSON *digest, bool whole)
+static void apply_status(struct leader *leader, const char *from, const cJSON *status, bool is_full)
 {
-    const cJSON *hosts = cJSON_GetObjectItemCaseSensitive(digest, "hosts");
-    const cJSON *back = cJSON_GetObjectItemCaseSensitive(digest, "back");
-    const cJSON *news = cJSON_GetObjectItemCaseSensitive(digest, "news");
+    const cJSON *machines = cJSON_GetObjectItemCaseSensitive(status, "hosts");
+    const cJSON *rejected = cJSON_GetObjectItemCaseSensitive(status, "back");
+    const cJSON *outcomes = cJSON_GetObjectItemCaseSensitive(status, "news");
     const cJSON *item;
-    if (whole)
-        clear_told(leader, from);
-    cJSON_ArrayForEach(item, hosts) on_host(leader, from, item);
-    cJSON_ArrayForEach(item, back) on_back(leader, item);
-    cJSON_ArrayForEach(item, news) on_event(leader, item);
-    if (whole)
-        forget_untold(leader, from);
+    if (is_full)
+        clear_reported(leader, from);
+    cJSON_ArrayForEach(item, machines) apply_machine(leader, from, item);
+    cJSON_ArrayForEach(item, rejected) apply_rejected_dispatch(leader, item);
+    cJSON_ArrayForEach(item, outcomes) apply_task_outcome(leader, item);
+    if (is_full)
+        forget_unreported(leader, from);
 }
 
 /* Whether the digest is for this leader in its present epoch. */
-static bool epoch_matches(const struct leader *leader, uint64_t epoch)
+static bool is_current_epoch(const struct leader *leader, uint64_t epoch)
 {
-    return membership_leads(leader->members) && leader->leading && epoch == leader->epoch.v &&
-           epoch == leader->view->epoch.v;
+    return membership_is_leader(leader->membership) && leader->is_leading &&
+           epoch == leader->epoch.value && epoch == leader->replica->shard_map_epoch.value;
 }
 
-int leader_on_digest(void *ctx, const char *from, const cJSON *digest, cJSON **answer)
+int shard_status_receiver_handle(void *ctx, const char *from, const cJSON *status, cJSON **answer)
 {
     struct leader *leader = ctx;
-    uint64_t epoch, seq;
-    if (!bus_u64(digest, "e", &epoch) || !bus_u64(digest, "s", &seq))
+    uint64_t epoch, sequence;
+    if (!node_rpc_get_u64(status, "e", &epoch) || !node_rpc_get_u64(status, "s", &sequence))
         return 400;
-    if (!epoch_matches(leader, epoch))
+    if (!is_current_epoch(leader, epoch))
         return 409;
-    struct leader_shard *shard = leader_shard_get(leader, from);
-    bool whole = cJSON_IsTrue(cJSON_GetObjectItemCaseSensitive(digest, "whole"));
-    if (seq <= shard->digest_seq || (!whole && !shard->digested))
+    struct shard_channel *channel = shard_dispatcher_channel(leader, from);
+    bool is_full = cJSON_IsTrue(cJSON_GetObjectItemCaseSensitive(status, "whole"));
+    if (sequence <= channel->status_sequence || (!is_full && !channel->has_full_status))
         return 409; /* after which the next one is whole */
-    shard->digest_seq = seq;
-    take_lists(leader, from, digest, whole);
-    if (cJSON_IsTrue(cJSON_GetObjectItemCaseSensitive(digest, "raise")) &&
-        time_ms_since(loop_now(leader->loop), leader->epoch_at) > RAISE_AFTER_MS)
-        membership_raise(leader->members, "a command may still be on its way");
-    *answer = shut_hosts(leader, from);
-    shard->digested = shard->digested || whole;
-    leader_pass_soon(leader);
+    channel->status_sequence = sequence;
+    apply_status(leader, from, status, is_full);
+    if (cJSON_IsTrue(cJSON_GetObjectItemCaseSensitive(status, "raise")) &&
+        time_ms_since(loop_now(leader->loop), leader->epoch_began_at) > MIN_EPOCH_AGE_MS)
+        membership_raise_epoch(leader->membership, "a command may still be on its way");
+    *answer = build_answer(leader, from);
+    channel->has_full_status = channel->has_full_status || is_full;
+    leader_request_pass(leader);
     return 200;
 }
--- a/src/scheduler/shard_status_receiver.h
+++ b/src/scheduler/shard_status_receiver.h
@@ -6,6 +6,6 @@
 #include "scheduler_internal.h"
 
 /* Handles the bus message "digest". ctx: the leader. */
-int leader_on_digest(void *ctx, const char *from, const cJSON *digest, cJSON **answer);
+int shard_status_receiver_handle(void *ctx, const char *from, const cJSON *status, cJSON **answer);
 
 #endif
