--- a/src/shard/agent_session.c
+++ b/src/shard/agent_session.c
@@ -5,266 +5,285 @@
 enum {
     PUSH_TIMEOUT_MS = 2500,
     PROBE_TIMEOUT_MS = 1500,
-    PROBE_EVERY_MS = 1500,
-    RESEND_MS = 1500,
-    REDIRECT_MS = 45000, /* a worker is sent to the owner again only so often */
+    PROBE_INTERVAL_MS = 1500,
+    RESEND_INTERVAL_MS = 1500,
+    REDIRECT_INTERVAL_MS = 45000, /* a worker is sent to the owner again only so often */
 };
 
 /* ---- orders ---- */
 
 /* clear makes the worker forget the attempt, after which a copy of its run command that is still on
  * its way would start the task once more. So it is only sent when there can be none. */
-bool shard_may_clear(const struct host *host, const struct run *run)
+bool shard_can_clear_attempt(const struct machine *machine, const struct task_run *run)
 {
     /* Commands of earlier owners are not counted in unsettled: their tokens were lower than ours.
      */
-    return (run->unsettled == 0 && host->token >= host->owned_since.v) ||
-           host->token > run->sent_token.v;
+    return (run->run_commands_in_flight == 0 &&
+            machine->fencing_token >= machine->owner_epoch.value) ||
+           machine->fencing_token > run->sent_fencing_token.value;
 }
 
-static void order_for_run(struct shard *shard, struct host *host, struct run *run, bool direct,
-                          GArray *out)
+static void add_run_command(struct shard *shard, struct machine *machine, struct task_run *run,
+                            bool is_push, GArray *commands)
 {
     mono_time now = loop_now(shard->loop);
-    struct command command = {.job = run->job, .index = run->index, .attempt = run->attempt};
-    if (run->phase == RUN_GONE && !direct && run->seen && run->state == TASK_EXITED &&
-        shard_may_clear(host, run)) {
+    struct agent_command command = {
+        .job = run->job, .task_index = run->index, .attempt = run->attempt};
+    if (run->phase == TASK_RUN_RELEASED && !is_push && run->is_reported &&
+        run->reported_state == TASK_EXITED && shard_can_clear_attempt(machine, run)) {
         command.verb = COMMAND_CLEAR;
-        g_array_append_val(out, command);
+        g_array_append_val(commands, command);
     }
-    if (run->phase != RUN_RECORDED)
+    if (run->phase != TASK_RUN_RECORDED)
         return;
-    if (run->stop) {
-        if (!run->seen || run->state == TASK_EXITED)
+    if (run->is_stopping) {
+        if (!run->is_reported || run->reported_state == TASK_EXITED)
             return;
-        int64_t since = run->halt_at.us ? time_ms_since(now, run->halt_at) : -1;
-        if (direct && since >= 0 && since < RESEND_MS)
+        int64_t since_stop_ms = run->stop_sent_at.us ? time_ms_since(now, run->stop_sent_at) : -1;
+        if (is_push && since_stop_ms >= 0 && since_stop_ms < RESEND_INTERVAL_MS)
             return;
-        bool again = since > (int64_t)(run->grace_s * 1000);
-        if (!run->halt_at.us)
-            run->halt_at = now;
-        command.verb = COMMAND_HALT;
-        command.grace_s = again ? 0 : run->grace_s;
-        g_array_append_val(out, command);
+        bool grace_is_over = since_stop_ms > (int64_t)(run->grace_s * 1000);
+        if (!run->stop_sent_at.us)
+            run->stop_sent_at = now;
+        command.verb = COMMAND_STOP;
+        command.grace_period_s = grace_is_over ? 0 : run->grace_s;
+        g_array_append_val(commands, command);
         return;
     }
-    if (run->seen || (run->sent_at.us && time_ms_since(now, run->sent_at) < RESEND_MS))
+    if (run->is_reported ||
+        (run->run_sent_at.us && time_ms_since(now, run->run_sent_at) < RESEND_INTERVAL_MS))
         return;
     command.verb = COMMAND_RUN;
-    run->sent_token = shard->epoch;
-    run->sent_at = now;
+    run->sent_fencing_token = shard->epoch;
+    run->run_sent_at = now;
     /* Only a later session proves that it is gone: sent once more, it may have been started in this
      * one, and a report from before may still come. */
-    run->sent_session = host->session;
-    if (direct)
-        run->unsettled++;
-    g_array_append_val(out, command);
+    run->sent_agent_epoch = machine->agent_epoch;
+    if (is_push)
+        run->run_commands_in_flight++;
+    g_array_append_val(commands, command);
 }
 
 /* A node that may not act may still end what is cancelled: that is final, whoever owns the machine
  * by now. */
-static GArray *host_orders(struct shard *shard, struct host *host, bool direct)
+static GArray *collect_commands(struct shard *shard, struct machine *machine, bool is_push)
 {
-    GArray *out = g_array_new(FALSE, TRUE, sizeof(struct command));
-    bool valid = membership_valid(shard->members);
-    for (guint i = 0; i < host->runs->len && out->len < 300; i++) {
-        struct run *run = host->runs->pdata[i];
-        if (valid || (run->stop && shard_job_over(shard, run->job)))
-            order_for_run(shard, host, run, direct, out);
+    GArray *commands = g_array_new(FALSE, TRUE, sizeof(struct agent_command));
+    bool is_member = membership_has_valid_lease(shard->membership);
+    for (guint i = 0; i < machine->runs->len && commands->len < 300; i++) {
+        struct task_run *run = machine->runs->pdata[i];
+        if (is_member || (run->is_stopping && shard_job_is_over(shard, run->job)))
+            add_run_command(shard, machine, run, is_push, commands);
     }
-    if (direct || !valid)
-        return out;
-    for (guint i = 0; i < host->unknown_tasks->len && out->len < 300; i++) {
-        const struct report_task *task = &g_array_index(host->unknown_tasks, struct report_task, i);
-        struct command command = {.job = task->job, .index = task->index, .attempt = task->attempt};
+    if (is_push || !is_member)
+        return commands;
+    for (guint i = 0; i < machine->unknown_tasks->len && commands->len < 300; i++) {
+        const struct heartbeat_task *task =
+            &g_array_index(machine->unknown_tasks, struct heartbeat_task, i);
+        struct agent_command command = {
+            .job = task->job, .task_index = task->task_index, .attempt = task->attempt};
         if (task->state == TASK_EXITED) {
             /* Earlier owners' commands carried lower tokens than ours. */
-            if (host->token < host->owned_since.v)
+            if (machine->fencing_token < machine->owner_epoch.value)
                 continue;
             command.verb = COMMAND_CLEAR;
         } else {
-            LOG_INFO("stray_task", "job=%s task=%u machine=%s", task->job.s, task->index,
-                     host->id.s);
-            command.verb = COMMAND_HALT;
+            LOG_INFO("stray_task", "job=%s task=%u machine=%s", task->job.text, task->task_index,
+                     machine->id.text);
+            command.verb = COMMAND_STOP;
         }
-        g_array_append_val(out, command);
+        g_array_append_val(commands, command);
     }
-    return out;
+    return commands;
 }
 
-struct pushed {
+struct agent_call {
     struct shard *shard;
-    host_id host;
+    machine_id machine;
     GArray *commands; /* of a push */
 };
 
-static bool newer(const struct host *host, const struct report *report)
+static bool is_newer_heartbeat(const struct machine *machine, const struct heartbeat *heartbeat)
 {
-    return report->session > host->session ||
-           (report->session == host->session && report->sequence > host->sequence);
+    return heartbeat->agent_epoch > machine->agent_epoch ||
+           (heartbeat->agent_epoch == machine->agent_epoch &&
+            heartbeat->sequence > machine->heartbeat_sequence);
 }
 
 /* A machine keeps its type, its zone and its kind, and both are known here. What says otherwise
  * counts for nothing. */
-static bool plausible(struct shard *shard, const struct host *host, const struct report *rep)
+static bool is_consistent_heartbeat(struct shard *shard, const struct machine *machine,
+                                    const struct heartbeat *heartbeat)
 {
-    bool zone =
-        g_ptr_array_find_with_equal_func(shard->settings->zones, rep->zone, g_str_equal, NULL);
-    bool type = !shard->view->types || type_named(shard->view->types, rep->type_name);
-    bool same = !host || !host->type_name[0] ||
-                (strcmp(host->type_name, rep->type_name) == 0 &&
-                 strcmp(host->zone, rep->zone) == 0 && host->spot == rep->spot);
-    bool other = host && host->known && rep->session == host->session &&
-                 rep->sequence == host->sequence && shard_report_hash(rep) != host->report_hash;
-    if (zone && type && same && !other)
+    bool zone_is_known = g_ptr_array_find_with_equal_func(shard->settings->zones, heartbeat->zone,
+                                                          g_str_equal, NULL);
+    bool type_is_known =
+        !shard->replica->machine_types ||
+        machine_type_find(shard->replica->machine_types, heartbeat->machine_type_name);
+    bool same_machine =
+        !machine || !machine->type_name[0] ||
+        (strcmp(machine->type_name, heartbeat->machine_type_name) == 0 &&
+         strcmp(machine->zone, heartbeat->zone) == 0 && machine->is_spot == heartbeat->is_spot);
+    bool same_sequence_differs = machine && machine->has_reported &&
+                                 heartbeat->agent_epoch == machine->agent_epoch &&
+                                 heartbeat->sequence == machine->heartbeat_sequence &&
+                                 shard_heartbeat_hash(heartbeat) != machine->heartbeat_hash;
+    if (zone_is_known && type_is_known && same_machine && !same_sequence_differs)
         return true;
     LOG_ERROR("report_contradicts",
               "machine=%s type=%s zone=%s session=%" G_GUINT64_FORMAT
               " sequence=%" G_GUINT64_FORMAT,
-              rep->host.s, rep->type_name, rep->zone, rep->session, rep->sequence);
+              heartbeat->machine.text, heartbeat->machine_type_name, heartbeat->zone,
+              heartbeat->agent_epoch, heartbeat->sequence);
     return false;
 }
 
-static bool answer_report(struct shard *shard, struct host *host, const struct net_answer *answer,
-                          bool probe)
+static bool handle_agent_answer(struct shard *shard, struct machine *machine,
+                                const struct http_response *response, bool is_probe)
 {
-    if (answer->status != 200 && answer->status != 409)
+    if (response->status != 200 && response->status != 409)
         return false;
-    struct report rep;
-    json_object *object = json_read(answer->body, answer->len);
-    bool ok = codec_report_read(object, &rep);
+    struct heartbeat heartbeat;
+    json_object *object = json_parse(response->body, response->body_bytes);
+    bool ok = heartbeat_decode(object, &heartbeat);
     json_object_put(object);
     if (!ok)
         return false;
-    ok = host_eq(rep.host, host->id) && plausible(shard, host, &rep);
+    ok = machine_id_equal(heartbeat.machine, machine->id) &&
+         is_consistent_heartbeat(shard, machine, &heartbeat);
     /* An answer is no copy. If it counts less than what was known when it was asked for, the worker
      * has begun anew: what it lacks is gone, though its session may have the same number. */
-    bool anew = ok && host->known && probe &&
-                (rep.session < host->probed_session ||
-                 (rep.session == host->probed_session && rep.sequence <= host->probed_sequence));
-    if (anew)
-        LOG_INFO("worker_anew", "machine=%s", host->id.s);
-    if (anew || (ok && (!host->known || newer(host, &rep))))
-        shard_host_reported(shard, host, &rep);
+    bool agent_restarted = ok && machine->has_reported && is_probe &&
+                           (heartbeat.agent_epoch < machine->probed_agent_epoch ||
+                            (heartbeat.agent_epoch == machine->probed_agent_epoch &&
+                             heartbeat.sequence <= machine->probed_sequence));
+    if (agent_restarted)
+        LOG_INFO("worker_anew", "machine=%s", machine->id.text);
+    if (agent_restarted ||
+        (ok && (!machine->has_reported || is_newer_heartbeat(machine, &heartbeat))))
+        shard_machine_apply_heartbeat(shard, machine, &heartbeat);
     if (ok) {
-        shard_host_reached(shard, host);
-        shard_place_soon(shard);
+        shard_machine_reached(shard, machine);
+        shard_request_placement(shard);
     }
-    report_clear(&rep);
+    heartbeat_clear(&heartbeat);
     return ok;
 }
 
-static void push_answered(void *arg, const struct net_answer *answer)
+static void handle_push_answer(void *arg, const struct http_response *response)
 {
-    struct pushed *pushed = arg;
-    struct shard *shard = pushed->shard;
-    struct host *host = shard_host_get(shard, pushed->host.s);
-    if (host) {
-        host->push_out = false;
-        bool settled = answer->status > 0 || answer->status == NET_NOT_SENT;
-        for (guint i = 0; i < pushed->commands->len; i++) {
-            struct command *command = &g_array_index(pushed->commands, struct command, i);
-            struct run *run = shard_run_find(host, command->job, command->index, command->attempt);
-            if (run && command->verb == COMMAND_RUN && settled) {
-                run->unsettled--;
-                if (answer->status != 200)
-                    run->sent_at = (mono_time){0};
+    struct agent_call *call = arg;
+    struct shard *shard = call->shard;
+    struct machine *machine = shard_find_machine(shard, call->machine.text);
+    if (machine) {
+        machine->push_in_flight = false;
+        bool outcome_known = response->status > 0 || response->status == HTTP_NOT_SENT;
+        for (guint i = 0; i < call->commands->len; i++) {
+            struct agent_command *command = &g_array_index(call->commands, struct agent_command, i);
+            struct task_run *run =
+                shard_run_find(machine, command->job, command->task_index, command->attempt);
+            if (run && command->verb == COMMAND_RUN && outcome_known) {
+                run->run_commands_in_flight--;
+                if (response->status != 200)
+                    run->run_sent_at = (mono_time){0};
             }
         }
-        answer_report(shard, host, answer, false);
-        if (host->push_wanted) {
-            host->push_wanted = false;
-            shard_push(shard, host);
+        handle_agent_answer(shard, machine, response, false);
+        if (machine->push_pending) {
+            machine->push_pending = false;
+            shard_push_commands(shard, machine);
         }
     }
-    g_array_unref(pushed->commands);
-    g_free(pushed);
+    g_array_unref(call->commands);
+    g_free(call);
 }
 
 /* Sends straight to the worker what it should do now. */
-void shard_push(struct shard *shard, struct host *host)
+void shard_push_commands(struct shard *shard, struct machine *machine)
 {
-    if (host->push_out) {
-        host->push_wanted = true;
+    if (machine->push_in_flight) {
+        machine->push_pending = true;
         return;
     }
-    if (!host->known || host->gone)
+    if (!machine->has_reported || machine->is_gone)
         return;
-    if (!host->hears) { /* once it answers, it gets its orders */
-        shard_probe(shard, host);
+    if (!machine->is_reachable) { /* once it answers, it gets its orders */
+        shard_probe_agent(shard, machine);
         return;
     }
-    GArray *commands = host_orders(shard, host, true);
+    GArray *commands = collect_commands(shard, machine, true);
     if (commands->len == 0) {
         g_array_unref(commands);
         return;
     }
-    struct pushed *pushed = g_new(struct pushed, 1);
-    *pushed = (struct pushed){shard, host->id, commands};
-    char *body = codec_commands_write(shard->epoch, host->session, (struct command *)commands->data,
-                                      commands->len);
-    struct net_request request = {host->addr, "POST",       "/commands",
-                                  body,       strlen(body), PUSH_TIMEOUT_MS};
-    host->push_out = true;
-    shard->net->request(shard->net, &request, push_answered, pushed);
+    struct agent_call *call = g_new(struct agent_call, 1);
+    *call = (struct agent_call){shard, machine->id, commands};
+    char *body = agent_commands_encode(shard->epoch, machine->agent_epoch,
+                                       (struct agent_command *)commands->data, commands->len);
+    struct http_client_request request = {machine->address, "POST",         "/commands", body,
+                                          strlen(body),     PUSH_TIMEOUT_MS};
+    machine->push_in_flight = true;
+    shard->net->request(shard->net, &request, handle_push_answer, call);
     g_free(body);
 }
 
-static void probe_answered(void *arg, const struct net_answer *answer)
+static void handle_probe_answer(void *arg, const struct http_response *response)
 {
-    struct pushed *pushed = arg;
-    struct shard *shard = pushed->shard;
-    struct host *host = shard_host_get(shard, pushed->host.s);
-    if (host) {
-        host->probe_out = false;
-        if (!answer_report(shard, host, answer, true))
-            host->probe_fails++;
+    struct agent_call *call = arg;
+    struct shard *shard = call->shard;
+    struct machine *machine = shard_find_machine(shard, call->machine.text);
+    if (machine) {
+        machine->probe_in_flight = false;
+        if (!handle_agent_answer(shard, machine, response, true))
+            machine->probe_failures++;
         else
-            shard_push(shard, host);
-        if (host->probe_fails == 2)
-            shard_digest_soon(shard);
+            shard_push_commands(shard, machine);
+        if (machine->probe_failures == 2)
+            shard_request_status(shard);
     }
-    g_free(pushed);
+    g_free(call);
 }
 
-void shard_probe(struct shard *shard, struct host *host)
+void shard_probe_agent(struct shard *shard, struct machine *machine)
 {
     mono_time now = loop_now(shard->loop);
-    int64_t pause = (int64_t)PROBE_EVERY_MS * (1 + MIN(host->probe_fails / 3, 3));
-    if (host->probe_out || !host->addr[0] ||
-        (host->probed.us && time_ms_since(now, host->probed) < pause))
+    int64_t pause_ms = (int64_t)PROBE_INTERVAL_MS * (1 + MIN(machine->probe_failures / 3, 3));
+    if (machine->probe_in_flight || !machine->address[0] ||
+        (machine->last_probe_at.us && time_ms_since(now, machine->last_probe_at) < pause_ms))
         return;
-    struct pushed *pushed = g_new0(struct pushed, 1);
-    pushed->shard = shard;
-    pushed->host = host->id;
-    host->probe_out = true;
-    host->probed = now;
-    host->probed_session = host->session;
-    host->probed_sequence = host->sequence;
-    struct net_request request = {host->addr, "GET", "/status", NULL, 0, PROBE_TIMEOUT_MS};
-    shard->net->request(shard->net, &request, probe_answered, pushed);
+    struct agent_call *call = g_new0(struct agent_call, 1);
+    call->shard = shard;
+    call->machine = machine->id;
+    machine->probe_in_flight = true;
+    machine->last_probe_at = now;
+    machine->probed_agent_epoch = machine->agent_epoch;
+    machine->probed_sequence = machine->heartbeat_sequence;
+    struct http_client_request request = {machine->address, "GET", "/status", NULL, 0,
+                                          PROBE_TIMEOUT_MS};
+    shard->net->request(shard->net, &request, handle_probe_answer, call);
 }
 
 /* ---- reports ---- */
 
-static void reply_text(struct http_replier *replier, conn_ref to, int status, char *text)
+static void reply_json(struct http_responder *responder, connection_ref to, int status, char *text)
 {
-    replier->reply(replier, to, status, NULL, text, strlen(text));
+    responder->respond(responder, to, status, NULL, text, strlen(text));
     g_free(text);
 }
 
-/* A job may have been cancelled meanwhile, and its tasks must be gone within cancel_s. */
-int64_t shard_keeping_ms(const struct shard *shard)
+/* A job may have been cancelled meanwhile, and its tasks must be gone within cancel_timeout_s. */
+int64_t shard_max_renewal_ms(const struct shard *shard)
 {
-    return (int64_t)((shard->settings->cancel_s - shard->settings->lease_s) * 995) - 1000;
+    return (int64_t)((shard->settings->cancel_timeout_s - shard->settings->lease_s) * 995) - 1000;
 }
 
-static bool may_keep_leases(struct shard *shard)
+static bool may_renew_leases(struct shard *shard)
 {
-    mono_time known = shard->view->fresh, quiet = peers_quiet_until(shard->peers);
-    if (time_before(known, quiet))
-        known = quiet;
-    return time_ms_since(loop_now(shard->loop), known) < shard_keeping_ms(shard);
+    mono_time known_until = shard->replica->fresh_at,
+              no_cancellation_until = cancel_broadcast_known_until(shard->peers);
+    if (time_before(known_until, no_cancellation_until))
+        known_until = no_cancellation_until;
+    return time_ms_since(loop_now(shard->loop), known_until) < shard_max_renewal_ms(shard);
 }
 
 /* Where a worker was sent that reported to the wrong node. */
@@ -278,32 +297,40 @@
  * in. The proofs of its owner count with that: see "Sheltered machines" in docs/safety.md. */
 static bool may_renew_for_peer(struct shard *shard, const char *owner)
 {
-    return !membership_valid(shard->members) && membership_seen(shard->members) &&
-           peers_lost(shard->peers, owner) &&
-           time_ms_since(loop_now(shard->loop), shard->view->fresh) < shard_keeping_ms(shard);
+    return !membership_has_valid_lease(shard->membership) &&
+           membership_is_visible(shard->membership) &&
+           failure_detector_is_unreachable(shard->peers, owner) &&
+           time_ms_since(loop_now(shard->loop), shard->replica->fresh_at) <
+               shard_max_renewal_ms(shard);
 }
 
 /* Halts for all that a report names of jobs that are over. */
-static GArray *halts_for(struct shard *shard, const struct report *rep)
+static GArray *stop_commands_for_over_jobs(struct shard *shard, const struct heartbeat *heartbeat)
 {
-    GArray *out = g_array_new(FALSE, TRUE, sizeof(struct command));
-    for (guint i = 0; i < rep->tasks->len && out->len < 300; i++) {
-        const struct report_task *task = &g_array_index(rep->tasks, struct report_task, i);
-        if (task->state == TASK_EXITED || !shard_job_over(shard, task->job))
+    GArray *commands = g_array_new(FALSE, TRUE, sizeof(struct agent_command));
+    for (guint i = 0; i < heartbeat->tasks->len && commands->len < 300; i++) {
+        const struct heartbeat_task *task =
+            &g_array_index(heartbeat->tasks, struct heartbeat_task, i);
+        if (task->state == TASK_EXITED || !shard_job_is_over(shard, task->job))
             continue;
-        struct command command = {
-            .verb = COMMAND_HALT, .job = task->job, .index = task->index, .attempt = task->attempt};
-        g_array_append_val(out, command);
+        struct agent_command command = {.verb = COMMAND_STOP,
+                                        .job = task->job,
+                                        .task_index = task->task_index,
+                                        .attempt = task->attempt};
+        g_array_append_val(commands, command);
     }
-    return out;
+    return commands;
 }
 
-static bool names_attempt(const struct report *rep, const struct placed *placed)
+static bool heartbeat_has_attempt(const struct heartbeat *heartbeat,
+                                  const struct run_record *run_record)
 {
-    for (guint i = 0; i < rep->tasks->len; i++) {
-        const struct report_task *task = &g_array_index(rep->tasks, struct report_task, i);
-        if (task->attempt.v == placed->attempt.v && task->index == placed->index &&
-            job_eq(task->job, placed->job->id))
+    for (guint i = 0; i < heartbeat->tasks->len; i++) {
+        const struct heartbeat_task *task =
+            &g_array_index(heartbeat->tasks, struct heartbeat_task, i);
+        if (task->attempt.value == run_record->attempt.value &&
+            task->task_index == run_record->task_index &&
+            job_id_equal(task->job, run_record->job->id))
             return true;
     }
     return false;
@@ -311,12 +338,14 @@
 
 /* A task of a job that is over is on record, and the worker does not name it: its command may still
  * be on its way, and no answer can end it. Only another session can, if no epoch can be raised. */
-static bool awaits_cancelled(struct shard *shard, const struct report *rep)
+static bool lacks_cancelled_task(struct shard *shard, const struct heartbeat *heartbeat)
 {
-    const struct host_record *rec = view_host(shard->view, rep->host.s);
-    for (guint i = 0; rec && i < rec->tasks->len; i++) {
-        const struct placed *placed = rec->tasks->pdata[i];
-        if (shard_job_over(shard, placed->job->id) && !names_attempt(rep, placed))
+    const struct machine_record *machine_record =
+        replica_get_machine(shard->replica, heartbeat->machine.text);
+    for (guint i = 0; machine_record && i < machine_record->run_records->len; i++) {
+        const struct run_record *run_record = machine_record->run_records->pdata[i];
+        if (shard_job_is_over(shard, run_record->job->id) &&
+            !heartbeat_has_attempt(heartbeat, run_record))
             return true;
     }
     return false;
@@ -324,168 +353,183 @@
 
 /* The same on a machine of this node's own, which knows how long its job may have been called
  * cancelled: the lease is not renewed when that would let the command be carried out after
- * cancel_s. */
-static bool lease_has_to_end(struct shard *shard, const struct host *host)
+ * cancel_timeout_s. */
+static bool must_not_renew_lease(struct shard *shard, const struct machine *machine)
 {
-    if (membership_valid(shard->members))
+    if (membership_has_valid_lease(shard->membership))
         return false;
-    for (guint i = 0; i < host->runs->len; i++) {
-        const struct run *run = host->runs->pdata[i];
-        if (run->phase == RUN_RECORDED && !run->seen && run->over_since.us &&
-            time_ms_since(loop_now(shard->loop), run->over_since) >= shard_keeping_ms(shard))
+    for (guint i = 0; i < machine->runs->len; i++) {
+        const struct task_run *run = machine->runs->pdata[i];
+        if (run->phase == TASK_RUN_RECORDED && !run->is_reported && run->job_over_since.us &&
+            time_ms_since(loop_now(shard->loop), run->job_over_since) >=
+                shard_max_renewal_ms(shard))
             return true;
     }
     return false;
 }
 
-struct handed_on {
-    struct http_replier *replier;
-    conn_ref from;
+struct forwarded_heartbeat {
+    struct http_responder *replier;
+    connection_ref from;
 };
 
-static void owner_answered(void *arg, const struct net_answer *answer)
+static void handle_owner_answer(void *arg, const struct http_response *response)
 {
-    struct handed_on *x = arg;
-    reply_text(x->replier, x->from, answer->status > 0 ? answer->status : 503,
-               answer->status > 0 ? g_strndup(answer->body, answer->len) : g_strdup("{}"));
-    g_free(x);
+    struct forwarded_heartbeat *forwarded = arg;
+    reply_json(forwarded->replier, forwarded->from, response->status > 0 ? response->status : 503,
+               response->status > 0 ? g_strndup(response->body, response->body_bytes)
+                                    : g_strdup("{}"));
+    g_free(forwarded);
 }
 
 /* Sends a worker to its machine's owner. One that is back soon could not reach it: its report is
  * handed on instead, so that its lease is renewed although the owner cannot hear it. */
-static void redirect(struct shard *shard, struct http_replier *replier, conn_ref from,
-                     const struct report *rep, const char *owner,
-                     const struct http_request *request)
+static void redirect_heartbeat(struct shard *shard, struct http_responder *responder,
+                               connection_ref from, const struct heartbeat *heartbeat,
+                               const char *owner, const struct http_request *request)
 {
     mono_time now = loop_now(shard->loop);
-    const char *host = rep->host.s;
-    if (!request->via && may_renew_for_peer(shard, owner) && awaits_cancelled(shard, rep)) {
-        reply_text(replier, from, 503, g_strdup("{}"));
+    const char *machine_name = heartbeat->machine.text;
+    if (!request->forwarded_by && may_renew_for_peer(shard, owner) &&
+        lacks_cancelled_task(shard, heartbeat)) {
+        reply_json(responder, from, 503, g_strdup("{}"));
         return;
     }
-    if (!request->via && may_renew_for_peer(shard, owner)) {
-        GArray *halts = halts_for(shard, rep);
-        peers_sheltered(shard->peers);
-        reply_text(
-            replier, from, 200,
-            codec_commands_write(shard->epoch, 0, (struct command *)halts->data, halts->len));
-        g_array_unref(halts);
+    if (!request->forwarded_by && may_renew_for_peer(shard, owner)) {
+        GArray *stop_commands = stop_commands_for_over_jobs(shard, heartbeat);
+        lease_proxy_note_renewal(shard->peers);
+        reply_json(responder, from, 200,
+                   agent_commands_encode(shard->epoch, 0,
+                                         (struct agent_command *)stop_commands->data,
+                                         stop_commands->len));
+        g_array_unref(stop_commands);
         return;
     }
-    struct redirect *r = g_hash_table_lookup(shard->redirects, host);
-    if (r && strcmp(r->owner, owner) == 0 && time_ms_since(now, r->at) < REDIRECT_MS &&
-        !request->via) {
-        struct handed_on *x = g_new(struct handed_on, 1);
-        *x = (struct handed_on){replier, from};
-        bus_relay(shard->bus, owner, request, PROBE_TIMEOUT_MS, owner_answered, x);
+    struct redirect *last_redirect = g_hash_table_lookup(shard->redirects, machine_name);
+    if (last_redirect && strcmp(last_redirect->owner, owner) == 0 &&
+        time_ms_since(now, last_redirect->at) < REDIRECT_INTERVAL_MS && !request->forwarded_by) {
+        struct forwarded_heartbeat *forwarded = g_new(struct forwarded_heartbeat, 1);
+        *forwarded = (struct forwarded_heartbeat){responder, from};
+        node_rpc_forward(shard->node_rpc, owner, request, PROBE_TIMEOUT_MS, handle_owner_answer,
+                         forwarded);
         return;
     }
-    if (g_hash_table_size(shard->redirects) > REMEMBERED_MACHINES)
+    if (g_hash_table_size(shard->redirects) > MAX_TRACKED_MACHINES)
         g_hash_table_remove_all(shard->redirects);
-    r = g_new0(struct redirect, 1);
-    g_strlcpy(r->owner, owner, sizeof r->owner);
-    r->at = now;
-    g_hash_table_replace(shard->redirects, g_strdup(host), r);
-    reply_text(replier, from, 421, codec_redirect_write(owner));
+    last_redirect = g_new0(struct redirect, 1);
+    g_strlcpy(last_redirect->owner, owner, sizeof last_redirect->owner);
+    last_redirect->at = now;
+    g_hash_table_replace(shard->redirects, g_strdup(machine_name), last_redirect);
+    reply_json(responder, from, 421, agent_redirect_encode(owner));
 }
 
-static struct host *host_of_report(struct shard *shard, const struct report *rep)
+static struct machine *machine_for_heartbeat(struct shard *shard, const struct heartbeat *heartbeat)
 {
-    struct host *host = shard_host_get(shard, rep->host.s);
-    if (!host) {
-        host = shard_host_make(shard, rep->host);
-        shard_host_sync(shard, host, -1);
-        LOG_INFO("machine_up", "machine=%s type=%s zone=%s spot=%d", host->id.s, rep->type_name,
-                 rep->zone, rep->spot);
-    } else if (host->known) {
-        return host;
+    struct machine *machine = shard_find_machine(shard, heartbeat->machine.text);
+    if (!machine) {
+        machine = shard_add_machine(shard, heartbeat->machine);
+        shard_machine_reconcile(shard, machine, -1);
+        LOG_INFO("machine_up", "machine=%s type=%s zone=%s spot=%d", machine->id.text,
+                 heartbeat->machine_type_name, heartbeat->zone, heartbeat->is_spot);
+    } else if (machine->has_reported) {
+        return machine;
     }
-    g_strlcpy(host->addr, rep->addr, sizeof host->addr);
-    g_strlcpy(host->type_name, rep->type_name, sizeof host->type_name);
-    g_strlcpy(host->zone, rep->zone, sizeof host->zone);
-    host->spot = rep->spot;
-    shard_host_typed(shard, host);
-    return host;
+    g_strlcpy(machine->address, heartbeat->address, sizeof machine->address);
+    g_strlcpy(machine->type_name, heartbeat->machine_type_name, sizeof machine->type_name);
+    g_strlcpy(machine->zone, heartbeat->zone, sizeof machine->zone);
+    machine->is_spot = heartbeat->is_spot;
+    shard_machine_update_capacity(shard, machine);
+    return machine;
 }
 
 /* Whether a report shows that its worker had our answers. A worker stays with a node as long as it
  * is answered, and counts every report: so the next one comes the same way with the next number. */
-static bool shows_hearing(const struct host *host, const struct report *rep, const char *via)
+static bool shows_reachability(const struct machine *machine, const struct heartbeat *heartbeat,
+                               const char *via)
 {
-    return (rep->session == host->session && rep->sequence == host->sequence + 1 &&
-            strcmp(via, host->via) == 0) ||
-           rep->token > host->token;
+    return (heartbeat->agent_epoch == machine->agent_epoch &&
+            heartbeat->sequence == machine->heartbeat_sequence + 1 &&
+            strcmp(via, machine->via_node) == 0) ||
+           heartbeat->fencing_token > machine->fencing_token;
 }
 
 /* A report that is the first from a machine here may be an old copy, as nothing newer is known. It
  * is heeded only if it shows a token that only we give; else its worker is asked. The answer gives
  * no orders, but a token. */
-static bool take_report(struct shard *shard, struct host *host, const struct report *rep,
-                        const char *via)
+static bool accept_heartbeat(struct shard *shard, struct machine *machine,
+                             const struct heartbeat *heartbeat, const char *via)
 {
-    bool take = host->known || rep->token >= host->owned_since.v;
-    if (take) {
-        bool hears = !host->known || shows_hearing(host, rep, via);
-        shard_host_reported(shard, host, rep);
-        if (hears)
-            shard_host_reached(shard, host);
+    bool is_accepted =
+        machine->has_reported || heartbeat->fencing_token >= machine->owner_epoch.value;
+    if (is_accepted) {
+        bool is_reachable = !machine->has_reported || shows_reachability(machine, heartbeat, via);
+        shard_machine_apply_heartbeat(shard, machine, heartbeat);
+        if (is_reachable)
+            shard_machine_reached(shard, machine);
         else
-            host->hears = false;
+            machine->is_reachable = false;
     }
-    g_strlcpy(host->via, via, sizeof host->via);
-    if (!take || !host->hears)
-        shard_probe(shard, host);
-    shard_place_soon(shard);
-    return take;
+    g_strlcpy(machine->via_node, via, sizeof machine->via_node);
+    if (!is_accepted || !machine->is_reachable)
+        shard_probe_agent(shard, machine);
+    shard_request_placement(shard);
+    return is_accepted;
 }
 
-static void report_owned(struct shard *shard, struct http_replier *replier, conn_ref from,
-                         const struct report *rep, const char *via)
+static void handle_own_heartbeat(struct shard *shard, struct http_responder *responder,
+                                 connection_ref from, const struct heartbeat *heartbeat,
+                                 const char *via)
 {
-    struct host *host = shard_host_get(shard, rep->host.s);
-    if (shard_machine_was_returned(shard, rep->host.s) || !plausible(shard, host, rep) ||
-        (host && (host->gone || (host->known && !newer(host, rep))))) {
+    struct machine *machine = shard_find_machine(shard, heartbeat->machine.text);
+    if (shard_machine_was_returned(shard, heartbeat->machine.text) ||
+        !is_consistent_heartbeat(shard, machine, heartbeat) ||
+        (machine && (machine->is_gone ||
+                     (machine->has_reported && !is_newer_heartbeat(machine, heartbeat))))) {
         /* Held back on its way: whoever sent it has long given up. Or its worker has begun anew,
          * which only its answer can tell. */
-        reply_text(replier, from, 503, g_strdup("{}"));
-        if (host && !host->gone)
-            shard_probe(shard, host);
+        reply_json(responder, from, 503, g_strdup("{}"));
+        if (machine && !machine->is_gone)
+            shard_probe_agent(shard, machine);
         return;
     }
-    host = host_of_report(shard, rep);
-    bool taken = take_report(shard, host, rep, via);
-    if (lease_has_to_end(shard, host)) {
-        reply_text(replier, from, 503, g_strdup("{}"));
+    machine = machine_for_heartbeat(shard, heartbeat);
+    bool is_accepted = accept_heartbeat(shard, machine, heartbeat, via);
+    if (must_not_renew_lease(shard, machine)) {
+        reply_json(responder, from, 503, g_strdup("{}"));
         return;
     }
-    host->answered = loop_now(shard->loop);
-    GArray *commands = taken && membership_valid(shard->members) ? host_orders(shard, host, false)
-                                                                 : halts_for(shard, rep);
-    reply_text(
-        replier, from, 200,
-        codec_commands_write(shard->epoch, 0, (struct command *)commands->data, commands->len));
+    machine->last_answered_at = loop_now(shard->loop);
+    GArray *commands = is_accepted && membership_has_valid_lease(shard->membership)
+                           ? collect_commands(shard, machine, false)
+                           : stop_commands_for_over_jobs(shard, heartbeat);
+    reply_json(responder, from, 200,
+               agent_commands_encode(shard->epoch, 0, (struct agent_command *)commands->data,
+                                     commands->len));
     g_array_unref(commands);
 }
 
-void shard_report(struct shard *shard, struct http_replier *replier, conn_ref from,
-                  const struct http_request *request)
+void shard_handle_heartbeat(struct shard *shard, struct http_responder *responder,
+                            connection_ref from, const struct http_request *request)
 {
-    struct report rep;
-    json_object *object = json_read(request->body, request->body_len);
-    bool ok = codec_report_read(object, &rep);
+    struct heartbeat heartbeat;
+    json_object *object = json_parse(request->body, request->body_bytes);
+    bool ok = heartbeat_decode(object, &heartbeat);
     json_object_put(object);
     if (!ok) {
-        LOG_ERROR("report_malformed", "bytes=%zu", request->body_len);
-        reply_text(replier, from, 400, g_strdup("{}"));
+        LOG_ERROR("report_malformed", "bytes=%zu", request->body_bytes);
+        reply_json(responder, from, 400, g_strdup("{}"));
         return;
     }
-    const char *owner = shard->view->ready ? map_owner(shard->view, rep.host.s) : NULL;
-    if (!owner || shard->epoch.v != shard->view->epoch.v || !may_keep_leases(shard) ||
-        rep.token > shard->epoch.v)
-        reply_text(replier, from, 503, g_strdup("{}"));
+    const char *owner = shard->replica->is_ready
+                            ? shard_map_get_owner(shard->replica, heartbeat.machine.text)
+                            : NULL;
+    if (!owner || shard->epoch.value != shard->replica->shard_map_epoch.value ||
+        !may_renew_leases(shard) || heartbeat.fencing_token > shard->epoch.value)
+        reply_json(responder, from, 503, g_strdup("{}"));
     else if (strcmp(owner, shard->settings->label) != 0)
-        redirect(shard, replier, from, &rep, owner, request);
+        redirect_heartbeat(shard, responder, from, &heartbeat, owner, request);
     else
-        report_owned(shard, replier, from, &rep, request->via ? request->via : "");
-    report_clear(&rep);
+        handle_own_heartbeat(shard, responder, from, &heartbeat,
+                             request->forwarded_by ? request->forwarded_by : "");
+    heartbeat_clear(&heartbeat);
 }
--- a/src/shard/machine_inventory.c
+++ b/src/shard/machine_inventory.c
@@ -5,8 +5,8 @@
 #include "log.h"
 
 enum {
-    ROLL_MS = 4000,  /* machines that come meanwhile go on the list together */
-    LOST_MS = 12000, /* those that are gone are taken off */
+    INVENTORY_INTERVAL_MS = 4000, /* machines that come meanwhile go on the list together */
+    INVENTORY_CLEANUP_MS = 12000, /* those that are gone are taken off */
     VALUE_BYTES = 32,
 };
 
@@ -16,7 +16,7 @@
     int number;
 };
 
-static struct own_inventory *inventory_at(struct shard *shard, int number)
+static struct own_inventory *get_inventory(struct shard *shard, int number)
 {
     while ((int)shard->inventories->len <= number)
         g_ptr_array_add(shard->inventories, g_new0(struct own_inventory, 1));
@@ -24,161 +24,165 @@
 }
 
 /* Makes what we hold of our lists agree with the view. */
-void shard_inventories_sync(struct shard *shard)
+void shard_inventories_reconcile(struct shard *shard)
 {
-    GHashTableIter it;
-    struct inventory *inventory;
-    struct host *host;
+    GHashTableIter iter;
+    struct machine_inventory *inventory;
+    struct machine *machine;
     for (guint i = 0; i < shard->inventories->len; i++)
-        *inventory_at(shard, (int)i) = (struct own_inventory){0};
-    g_hash_table_iter_init(&it, shard->view->inventories);
-    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&inventory)) {
+        *get_inventory(shard, (int)i) = (struct own_inventory){0};
+    g_hash_table_iter_init(&iter, shard->replica->inventories);
+    while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&inventory)) {
         if (strcmp(inventory->label, shard->settings->label) != 0)
             continue;
-        struct own_inventory *own = inventory_at(shard, inventory->number);
-        own->stamp = inventory->stamp;
-        for (guint i = 0; i < inventory->hosts->len; i++) {
-            struct host_record *rec = inventory->hosts->pdata[i];
-            own->dirty = own->dirty || !shard_host_get(shard, rec->id.s);
+        struct own_inventory *own = get_inventory(shard, inventory->number);
+        own->mod_revision = inventory->mod_revision;
+        for (guint i = 0; i < inventory->machines->len; i++) {
+            struct machine_record *machine_record = inventory->machines->pdata[i];
+            own->is_stale = own->is_stale || !shard_find_machine(shard, machine_record->id.text);
         }
     }
-    g_hash_table_iter_init(&it, shard->hosts);
-    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&host)) {
-        struct host_record *rec = view_host(shard->view, host->id.s);
-        bool own =
-            rec && rec->inventory && strcmp(rec->inventory->label, shard->settings->label) == 0;
-        host->inventory = own ? rec->inventory->number : -1;
-        host->on_inventory = false;
+    g_hash_table_iter_init(&iter, shard->machines);
+    while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&machine)) {
+        struct machine_record *machine_record =
+            replica_get_machine(shard->replica, machine->id.text);
+        bool own = machine_record && machine_record->inventory &&
+                   strcmp(machine_record->inventory->label, shard->settings->label) == 0;
+        machine->inventory_number = own ? machine_record->inventory->number : -1;
+        machine->joins_inventory = false;
     }
 }
 
-void shard_inventory_lost(struct shard *shard, const struct host *host)
+void shard_inventory_drop_machine(struct shard *shard, const struct machine *machine)
 {
-    if (host->inventory >= 0)
-        inventory_at(shard, host->inventory)->dirty = true;
+    if (machine->inventory_number >= 0)
+        get_inventory(shard, machine->inventory_number)->is_stale = true;
 }
 
-static bool to_be_listed(const struct host *host)
+static bool needs_inventory(const struct machine *machine)
 {
-    return host->inventory < 0 && !host->stamp.v && !host->gone && host->addr[0] &&
-           shard_host_has_run(host);
+    return machine->inventory_number < 0 && !machine->mod_revision.value && !machine->is_gone &&
+           machine->address[0] && shard_machine_has_runs(machine);
 }
 
 bool shard_inventory_due(struct shard *shard)
 {
-    if (shard_plain(shard) ||
-        time_ms_since(loop_now(shard->loop), shard->inventory_written_at) < ROLL_MS)
+    if (shard_uses_legacy_format(shard) ||
+        time_ms_since(loop_now(shard->loop), shard->inventory_written_at) < INVENTORY_INTERVAL_MS)
         return false;
-    int64_t lost = time_ms_since(loop_now(shard->loop), shard->inventory_written_at) - LOST_MS;
-    for (guint i = 0; lost >= 0 && i < shard->inventories->len; i++)
-        if (inventory_at(shard, (int)i)->dirty)
+    int64_t overdue_ms =
+        time_ms_since(loop_now(shard->loop), shard->inventory_written_at) - INVENTORY_CLEANUP_MS;
+    for (guint i = 0; overdue_ms >= 0 && i < shard->inventories->len; i++)
+        if (get_inventory(shard, (int)i)->is_stale)
             return true;
-    GHashTableIter it;
-    struct host *host;
-    g_hash_table_iter_init(&it, shard->hosts);
-    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&host))
-        if (to_be_listed(host))
+    GHashTableIter iter;
+    struct machine *machine;
+    g_hash_table_iter_init(&iter, shard->machines);
+    while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&machine))
+        if (needs_inventory(machine))
             return true;
     return false;
 }
 
-static gsize list_host(struct host *host, GString *text)
+static gsize append_machine(struct machine *machine, GString *text)
 {
-    char *about = machine_about(host->addr, host->type_name, host->zone, host->spot);
-    gsize before = text->len;
-    if (about)
-        page_write_about(text, host->id, about);
-    g_free(about);
-    return text->len - before;
+    char *description = machine_description_encode(machine->address, machine->type_name,
+                                                   machine->zone, machine->is_spot);
+    gsize previous_length = text->len;
+    if (description)
+        inventory_encode_machine(text, machine->id, description);
+    g_free(description);
+    return text->len - previous_length;
 }
 
-static void inventory_over(void *arg, bool ok)
+static void finish_inventory_write(void *arg, bool ok)
 {
-    struct inventory_write *x = arg;
-    shard_write_over(x->shard, x->generation, ok);
-    g_free(x);
+    struct inventory_write *write = arg;
+    shard_finish_write(write->shard, write->generation, ok);
+    g_free(write);
 }
 
-static void inventory_answered(void *arg, const struct txn_outcome *outcome)
+static void handle_inventory_outcome(void *arg, const struct txn_outcome *outcome)
 {
-    struct inventory_write *x = arg;
-    struct shard *shard = x->shard;
-    if (outcome->result == TXN_CONFLICT) {
-        view_await(shard->view, outcome->at, inventory_over, x);
-    } else if (outcome->result == TXN_UNKNOWN) {
-        view_barrier(shard->view, inventory_over, x);
-    } else if (outcome->result == TXN_DONE && x->generation == shard->generation) {
-        GHashTableIter it;
-        struct host *host;
-        g_hash_table_iter_init(&it, shard->hosts);
-        while (g_hash_table_iter_next(&it, NULL, (gpointer *)&host)) {
-            if (host->on_inventory)
-                host->inventory = x->number;
-            host->on_inventory = false;
+    struct inventory_write *write = arg;
+    struct shard *shard = write->shard;
+    if (outcome->status == TXN_CONFLICT) {
+        replica_await_revision(shard->replica, outcome->at_revision, finish_inventory_write, write);
+    } else if (outcome->status == TXN_UNKNOWN) {
+        replica_read_barrier(shard->replica, finish_inventory_write, write);
+    } else if (outcome->status == TXN_COMMITTED && write->generation == shard->generation) {
+        GHashTableIter iter;
+        struct machine *machine;
+        g_hash_table_iter_init(&iter, shard->machines);
+        while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&machine)) {
+            if (machine->joins_inventory)
+                machine->inventory_number = write->number;
+            machine->joins_inventory = false;
         }
-        inventory_at(shard, x->number)->stamp = outcome->at;
-        shard->txn_out = false;
-        shard_flush_soon(shard);
-        g_free(x);
+        get_inventory(shard, write->number)->mod_revision = outcome->at_revision;
+        shard->txn_in_flight = false;
+        shard_request_flush(shard);
+        g_free(write);
     } else {
-        inventory_over(x, false);
+        finish_inventory_write(write, false);
     }
 }
 
 /* The list to be written: one that names machines that are no longer ours, else the last one, which
  * may be new. */
-static int choose(struct shard *shard)
+static int choose_inventory(struct shard *shard)
 {
     for (guint i = 0; i < shard->inventories->len; i++)
-        if (inventory_at(shard, (int)i)->dirty)
+        if (get_inventory(shard, (int)i)->is_stale)
             return (int)i;
     return shard->inventories->len ? (int)shard->inventories->len - 1 : 0;
 }
 
 /* What stays on a list, and what may be added. */
-static void compose(struct shard *shard, int number, GString *text)
+static void write_inventory_text(struct shard *shard, int number, GString *text)
 {
-    gsize most = store_limits(shard->store)->value_bytes - VALUE_BYTES;
-    GHashTableIter it;
-    struct host *host;
+    gsize max_bytes = kv_client_limits(shard->kv)->max_value_bytes - VALUE_BYTES;
+    GHashTableIter iter;
+    struct machine *machine;
     for (int added = 0; added < 2; added++) {
-        g_hash_table_iter_init(&it, shard->hosts);
-        while (g_hash_table_iter_next(&it, NULL, (gpointer *)&host)) {
-            if (added ? !to_be_listed(host)
-                      : host->inventory != number || host->gone || host->stamp.v)
+        g_hash_table_iter_init(&iter, shard->machines);
+        while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&machine)) {
+            if (added ? !needs_inventory(machine)
+                      : machine->inventory_number != number || machine->is_gone ||
+                            machine->mod_revision.value)
                 continue;
-            gsize before = text->len;
-            host->on_inventory = list_host(host, text) > 0;
-            if (text->len <= most)
+            gsize previous_length = text->len;
+            machine->joins_inventory = append_machine(machine, text) > 0;
+            if (text->len <= max_bytes)
                 continue;
-            g_string_truncate(text, before);
-            host->on_inventory = false;
+            g_string_truncate(text, previous_length);
+            machine->joins_inventory = false;
             if (number == (int)shard->inventories->len - 1)
-                inventory_at(shard, number + 1); /* the rest goes on another one */
+                get_inventory(shard, number + 1); /* the rest goes on another one */
             return;
         }
     }
 }
 
-void shard_inventory(struct shard *shard)
+void shard_inventory_write(struct shard *shard)
 {
-    int number = choose(shard);
-    struct own_inventory *own = inventory_at(shard, number);
+    int number = choose_inventory(shard);
+    struct own_inventory *inventory = get_inventory(shard, number);
     GString *text = g_string_new(NULL);
-    compose(shard, number, text);
-    own->dirty = false;
+    write_inventory_text(shard, number, text);
+    inventory->is_stale = false;
     shard->inventory_written_at = loop_now(shard->loop);
     char *key = key_inventory(shard->settings->label, number);
     json_object *value = json_object_new_object();
     json_put_text(value, "a", text->str);
-    struct txn *txn = shard_txn(shard);
-    txn_when(txn, key, own->stamp);
-    txn_set(txn, key, value, (lease_id){0});
+    struct txn *txn = shard_txn_new(shard);
+    txn_compare(txn, key, inventory->mod_revision);
+    txn_put(txn, key, value, (lease_id){0});
     g_free(key);
     g_string_free(text, TRUE);
-    struct inventory_write *x = g_new(struct inventory_write, 1);
-    *x = (struct inventory_write){shard, shard->generation, number};
-    shard->write_level -= 1;
-    shard->txn_out = true;
-    store_txn(shard->store, LANE_URGENT, txn, inventory_answered, x);
+    struct inventory_write *request = g_new(struct inventory_write, 1);
+    *request = (struct inventory_write){shard, shard->generation, number};
+    shard->write_budget -= 1;
+    shard->txn_in_flight = true;
+    kv_client_commit(shard->kv, KV_LANE_URGENT, txn, handle_inventory_outcome, request);
 }
--- a/src/shard/page_draft.c
+++ b/src/shard/page_draft.c
@@ -3,146 +3,153 @@
 
 #include "log.h"
 
-void shard_draft_free(gpointer q)
+void page_draft_free(gpointer data)
 {
-    struct draft *draft = q;
+    struct page_draft *draft = data;
     g_array_unref(draft->records);
     g_hash_table_unref(draft->jobs);
-    g_string_free(draft->marks.text, TRUE);
+    g_string_free(draft->completions.text, TRUE);
     g_free(draft);
 }
 
-struct draft *shard_draft_of(const struct batch *batch, int number)
+struct page_draft *record_batch_find_draft(const struct record_batch *batch, int page_number)
 {
     for (guint i = 0; i < batch->drafts->len; i++) {
-        struct draft *draft = batch->drafts->pdata[i];
-        if (draft->number == number)
+        struct page_draft *draft = batch->drafts->pdata[i];
+        if (draft->number == page_number)
             return draft;
     }
     return NULL;
 }
 
-bool shard_is_drafted(const void *batch, int page)
+bool record_batch_writes_page(const void *batch, int page_number)
 {
-    return shard_draft_of(batch, page) != NULL;
+    return record_batch_find_draft(batch, page_number) != NULL;
 }
 
-struct draft *shard_draft_open(struct batch *batch, int number)
+struct page_draft *page_draft_open(struct record_batch *batch, int page_number)
 {
-    struct draft *draft = g_new0(struct draft, 1);
-    draft->number = number;
-    draft->records = g_array_new(FALSE, FALSE, sizeof(struct page_rec));
+    struct page_draft *draft = g_new0(struct page_draft, 1);
+    draft->number = page_number;
+    draft->records = g_array_new(FALSE, FALSE, sizeof(struct record_page_entry));
     draft->jobs = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    draft->marks.text = g_string_new(NULL);
-    shard_own_page(batch->shard, number);
+    draft->completions.text = g_string_new(NULL);
+    shard_get_own_page(batch->shard, page_number);
     g_ptr_array_add(batch->drafts, draft);
     return draft;
 }
 
-static void draft_add(struct draft *draft, const struct page_rec *record)
+static void draft_append(struct page_draft *draft, const struct record_page_entry *record)
 {
-    g_hash_table_add(draft->jobs, g_strdup(record->job.s));
-    g_hash_table_add(draft->jobs,
-                     g_strdup_printf("%s %" G_GUINT64_FORMAT, record->job.s, record->attempt.v));
+    g_hash_table_add(draft->jobs, g_strdup(record->job.text));
+    g_hash_table_add(draft->jobs, g_strdup_printf("%s %" G_GUINT64_FORMAT, record->job.text,
+                                                  record->attempt.value));
     g_array_append_val(draft->records, *record);
 }
 
-bool shard_draft_has_job(const struct draft *draft, job_id job)
+bool page_draft_has_job(const struct page_draft *draft, job_id job)
 {
-    return g_hash_table_contains(draft->jobs, job.s);
+    return g_hash_table_contains(draft->jobs, job.text);
 }
 
-bool shard_draft_take(struct draft *draft, const struct page_rec *record, gsize most)
+bool page_draft_try_add(struct page_draft *draft, const struct record_page_entry *record,
+                        gsize max_bytes)
 {
-    char *attempt = g_strdup_printf("%s %" G_GUINT64_FORMAT, record->job.s, record->attempt.v);
-    gsize cost = page_cost(record, shard_draft_has_job(draft, record->job),
-                           g_hash_table_contains(draft->jobs, attempt));
+    char *attempt =
+        g_strdup_printf("%s %" G_GUINT64_FORMAT, record->job.text, record->attempt.value);
+    gsize cost = record_page_entry_max_bytes(record, page_draft_has_job(draft, record->job),
+                                             g_hash_table_contains(draft->jobs, attempt));
     g_free(attempt);
-    if (draft->used + cost > most)
+    if (draft->used_bytes + cost > max_bytes)
         return false;
-    draft->used += cost;
-    draft_add(draft, record);
+    draft->used_bytes += cost;
+    draft_append(draft, record);
     return true;
 }
 
 /* Records of machines that are another node's now: it takes them off itself. */
-static void keep_leftover(struct shard *shard, struct draft *draft)
+static void keep_foreign_records(struct shard *shard, struct page_draft *draft)
 {
-    const struct own_page *page = shard_own_page(shard, draft->number);
-    for (guint i = 0; i < page->leftover->len; i++) {
-        struct page_rec record = g_array_index(page->leftover, struct page_rec, i);
-        record.about = view_about(shard->view, record.host.s);
-        draft_add(draft, &record);
+    const struct own_page *page = shard_get_own_page(shard, draft->number);
+    for (guint i = 0; i < page->foreign_records->len; i++) {
+        struct record_page_entry record =
+            g_array_index(page->foreign_records, struct record_page_entry, i);
+        record.description = replica_get_machine_description(shard->replica, record.machine.text);
+        draft_append(draft, &record);
     }
 }
 
 /* The record of a task stays, unless it is over and that is said with this transaction. */
-static void keep_run(struct batch *batch, struct draft *draft, struct host *host, struct run *run)
+static void keep_run(struct record_batch *batch, struct page_draft *draft, struct machine *machine,
+                     struct task_run *run)
 {
     run->record.next_page = -1;
-    run->record.in_txn =
-        run->phase == RUN_FREEING && shard_mark_written(batch->shard, run, shard_is_drafted, batch);
-    if (run->record.in_txn) {
-        host->in_txn = draft->changed = true;
+    run->record.is_in_txn =
+        run->phase == TASK_RUN_ENDED &&
+        shard_completion_is_written(batch->shard, run, record_batch_writes_page, batch);
+    if (run->record.is_in_txn) {
+        machine->is_in_txn = draft->is_changed = true;
         return;
     }
-    struct page_rec record = shard_record_of(host, run);
-    draft_add(draft, &record);
+    struct record_page_entry record = shard_page_record_of(machine, run);
+    draft_append(draft, &record);
 }
 
-static void keep_runs(struct batch *batch, struct draft *draft, struct host *host)
+static void keep_runs(struct record_batch *batch, struct page_draft *draft, struct machine *machine)
 {
-    for (guint i = 0; i < host->runs->len; i++) {
-        struct run *run = host->runs->pdata[i];
+    for (guint i = 0; i < machine->runs->len; i++) {
+        struct task_run *run = machine->runs->pdata[i];
         if (run->record.page == draft->number &&
-            (run->phase == RUN_RECORDED || run->phase == RUN_FREEING))
-            keep_run(batch, draft, host, run);
+            (run->phase == TASK_RUN_RECORDED || run->phase == TASK_RUN_ENDED))
+            keep_run(batch, draft, machine, run);
     }
 }
 
-void shard_draft_keep(struct batch *batch, struct draft *draft)
+void page_draft_keep_existing(struct record_batch *batch, struct page_draft *draft)
 {
     struct shard *shard = batch->shard;
-    shard_marks_write(shard, draft->number, batch->plain, &draft->marks);
-    draft->changed = draft->marks.dirty;
-    draft->used = draft->marks.text->len + draft->marks.growth;
-    keep_leftover(shard, draft);
-    GHashTableIter it;
-    struct host *host;
-    g_hash_table_iter_init(&it, shard->hosts);
-    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&host))
-        keep_runs(batch, draft, host);
-    gsize least;
-    draft->used += page_length(draft->records, batch->plain, &least);
-    draft->over = least + draft->marks.text->len > shard_text_bytes(shard);
+    shard_completions_write(shard, draft->number, batch->legacy_format, &draft->completions);
+    draft->is_changed = draft->completions.has_unwritten;
+    draft->used_bytes = draft->completions.text->len + draft->completions.reserved_bytes;
+    keep_foreign_records(shard, draft);
+    GHashTableIter iter;
+    struct machine *machine;
+    g_hash_table_iter_init(&iter, shard->machines);
+    while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&machine))
+        keep_runs(batch, draft, machine);
+    gsize min_bytes;
+    draft->used_bytes +=
+        record_page_encoded_bytes(draft->records, batch->legacy_format, &min_bytes);
+    draft->is_too_long = min_bytes + draft->completions.text->len > shard_max_page_bytes(shard);
 }
 
 /* The value of a page in the state service. */
-static json_object *page_value(const char *tasks, const char *done)
+static json_object *encode_page_value(const char *tasks, const char *completions)
 {
     json_object *object = json_object_new_object();
     json_put_text(object, "t", tasks);
-    json_put_text(object, "d", done);
+    json_put_text(object, "d", completions);
     return object;
 }
 
-void shard_page_set(struct txn *txn, const char *key, revision stamp, const char *tasks,
-                    const char *done)
+void shard_txn_set_page(struct txn *txn, const char *key, revision mod_revision, const char *tasks,
+                        const char *completions)
 {
-    txn_when(txn, key, stamp);
-    txn_set(txn, key, page_value(tasks, done), (lease_id){0});
+    txn_compare(txn, key, mod_revision);
+    txn_put(txn, key, encode_page_value(tasks, completions), (lease_id){0});
 }
 
-void shard_draft_write(struct batch *batch, struct draft *draft)
+void page_draft_write(struct record_batch *batch, struct page_draft *draft)
 {
     struct shard *shard = batch->shard;
-    struct own_page *page = shard_own_page(shard, draft->number);
-    GString *text = page_write(draft->records, batch->plain);
-    char *key = key_page(shard->settings->label, draft->number);
-    gsize bytes = text->len + draft->marks.text->len;
-    if (bytes > shard_text_bytes(shard))
+    struct own_page *page = shard_get_own_page(shard, draft->number);
+    GString *text = record_page_encode(draft->records, batch->legacy_format);
+    char *key = key_record_page(shard->settings->label, draft->number);
+    gsize bytes = text->len + draft->completions.text->len;
+    if (bytes > shard_max_page_bytes(shard))
         LOG_ERROR("page_too_long", "page=%s bytes=%zu", key, bytes);
-    shard_page_set(batch->txn, key, page->stamp, text->str, draft->marks.text->str);
+    shard_txn_set_page(batch->txn, key, page->mod_revision, text->str,
+                       draft->completions.text->str);
     page->bytes = bytes;
     g_free(key);
     g_string_free(text, TRUE);
--- a/src/shard/page_split.c
+++ b/src/shard/page_split.c
@@ -5,60 +5,61 @@
 
 #include "log.h"
 
-enum { RETRY_MS = 200 };
+enum { RETRY_DELAY_MS = 200 };
 
 /* One of the pages that a long one is split into. */
-struct piece {
-    GArray *records; /* struct page_rec */
-    GString *done;
-    gsize reserved; /* for marks, at most */
-    bool plain;
+struct split_page {
+    GArray *records; /* struct record_page_entry */
+    GString *completions;
+    gsize reserved_bytes; /* for marks, at most */
+    bool legacy_format;
 };
 
-struct split {
+struct split_request {
     struct shard *shard;
     uint64_t generation;
 };
 
-bool shard_label_long(const struct shard *shard, const char *label)
+bool shard_label_has_long_page(const struct shard *shard, const char *label)
 {
-    GHashTableIter it;
-    struct page *page;
-    g_hash_table_iter_init(&it, shard->view->pages);
-    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&page))
-        if (shard_page_long(shard, page) && strcmp(page->label, label) == 0)
+    GHashTableIter iter;
+    struct record_page *page;
+    g_hash_table_iter_init(&iter, shard->replica->pages);
+    while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&page))
+        if (shard_page_is_too_long(shard, page) && strcmp(page->label, label) == 0)
             return true;
     return false;
 }
 
-static bool node_understands(const struct shard *shard, const char *label)
+static bool node_supports_multi_page(const struct shard *shard, const char *label)
 {
-    const struct node_record *node_record = g_hash_table_lookup(shard->view->nodes, label);
-    return node_record && node_record->version >= NODE_VERSION_PIPELINES;
+    const struct node_record *node = g_hash_table_lookup(shard->replica->nodes, label);
+    return node && node->understood_version >= NODE_VERSION_JOB_DAG;
 }
 
 /* A node splits its own pages. For one that is away the first of the map does it that understands
  * what this is about. */
-static bool mine_to_split(const struct shard *shard, const struct page *page)
+static bool is_split_by_this_node(const struct shard *shard, const struct record_page *page)
 {
-    const char *first = NULL;
-    for (guint i = 0; i < shard->view->map->len; i++) {
-        const char *label = g_array_index(shard->view->map, struct map_entry, i).label;
+    const char *first_capable = NULL;
+    for (guint i = 0; i < shard->replica->shard_map->len; i++) {
+        const char *label =
+            g_array_index(shard->replica->shard_map, struct shard_map_entry, i).label;
         if (strcmp(label, page->label) == 0)
             return strcmp(label, shard->settings->label) == 0;
-        if (!first && node_understands(shard, label))
-            first = label;
+        if (!first_capable && node_supports_multi_page(shard, label))
+            first_capable = label;
     }
-    return first && strcmp(first, shard->settings->label) == 0;
+    return first_capable && strcmp(first_capable, shard->settings->label) == 0;
 }
 
-static struct page *next_long(const struct shard *shard)
+static struct record_page *next_long_page(const struct shard *shard)
 {
-    GHashTableIter it;
-    struct page *page, *found = NULL;
-    g_hash_table_iter_init(&it, shard->view->pages);
-    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&page))
-        if (shard_page_long(shard, page) && mine_to_split(shard, page) &&
+    GHashTableIter iter;
+    struct record_page *page, *found = NULL;
+    g_hash_table_iter_init(&iter, shard->replica->pages);
+    while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&page))
+        if (shard_page_is_too_long(shard, page) && is_split_by_this_node(shard, page) &&
             (!found || strcmp(page->key, found->key) < 0))
             found = page;
     return found;
@@ -66,214 +67,240 @@
 
 bool shard_split_due(struct shard *shard)
 {
-    return !time_before(loop_now(shard->loop), shard->split_at) && next_long(shard);
+    return !time_before(loop_now(shard->loop), shard->split_retry_at) && next_long_page(shard);
 }
 
-static void piece_free(gpointer q)
+static void split_page_free(gpointer data)
 {
-    struct piece *piece = q;
-    g_array_unref(piece->records);
-    g_string_free(piece->done, TRUE);
-    g_free(piece);
+    struct split_page *split_page = data;
+    g_array_unref(split_page->records);
+    g_string_free(split_page->completions, TRUE);
+    g_free(split_page);
 }
 
-static struct piece *piece_new(GPtrArray *pieces, bool plain)
+static struct split_page *split_page_new(GPtrArray *pages, bool legacy_format)
 {
-    struct piece *piece = g_new0(struct piece, 1);
-    piece->records = g_array_new(FALSE, FALSE, sizeof(struct page_rec));
-    piece->done = g_string_new(NULL);
-    piece->plain = plain;
-    g_ptr_array_add(pieces, piece);
-    return piece;
+    struct split_page *split_page = g_new0(struct split_page, 1);
+    split_page->records = g_array_new(FALSE, FALSE, sizeof(struct record_page_entry));
+    split_page->completions = g_string_new(NULL);
+    split_page->legacy_format = legacy_format;
+    g_ptr_array_add(pages, split_page);
+    return split_page;
 }
 
-static gsize piece_bytes(struct piece *piece)
+static gsize split_page_bytes(struct split_page *split_page)
 {
-    gsize least;
-    page_length(piece->records, piece->plain, &least);
-    return least + MAX(piece->reserved, piece->done->len);
+    gsize min_bytes;
+    record_page_encoded_bytes(split_page->records, split_page->legacy_format, &min_bytes);
+    return min_bytes + MAX(split_page->reserved_bytes, split_page->completions->len);
 }
 
-static gint by_host(gconstpointer a, gconstpointer b)
+static gint compare_by_machine(gconstpointer left_item, gconstpointer right_item)
 {
-    const struct page_rec *record = a, *y = b;
-    int host = strcmp(record->host.s, y->host.s), job = strcmp(record->job.s, y->job.s);
-    return host ? host : job ? job : record->index < y->index ? -1 : record->index > y->index;
+    const struct record_page_entry *left = left_item, *right = right_item;
+    int machine_order = strcmp(left->machine.text, right->machine.text),
+        job_order = strcmp(left->job.text, right->job.text);
+    return machine_order                          ? machine_order
+           : job_order                            ? job_order
+           : left->task_index < right->task_index ? -1
+                                                  : left->task_index > right->task_index;
 }
 
 /* Puts so many records together on a piece; false when they do not fit even on an empty one. */
-static bool cut_group(struct shard *shard, GPtrArray *pieces, const struct page_rec *group, guint n)
+static bool add_record_group(struct shard *shard, GPtrArray *pages,
+                             const struct record_page_entry *group, guint count)
 {
-    struct piece *piece = pieces->pdata[pieces->len - 1];
-    guint before = piece->records->len;
-    g_array_append_vals(piece->records, group, n);
-    if (piece_bytes(piece) <= shard_text_bytes(shard))
+    struct split_page *split_page = pages->pdata[pages->len - 1];
+    guint previous_count = split_page->records->len;
+    g_array_append_vals(split_page->records, group, count);
+    if (split_page_bytes(split_page) <= shard_max_page_bytes(shard))
         return true;
     /* The measure sorts them, so they are taken out again one by one. */
-    for (guint i = 0; i < piece->records->len;) {
-        bool out = false;
-        for (guint k = 0; k < n && !out; k++)
-            out = by_host(&g_array_index(piece->records, struct page_rec, i), &group[k]) == 0;
-        if (out)
-            g_array_remove_index_fast(piece->records, i);
+    for (guint i = 0; i < split_page->records->len;) {
+        bool belongs_to_group = false;
+        for (guint k = 0; k < count && !belongs_to_group; k++)
+            belongs_to_group =
+                compare_by_machine(&g_array_index(split_page->records, struct record_page_entry, i),
+                                   &group[k]) == 0;
+        if (belongs_to_group)
+            g_array_remove_index_fast(split_page->records, i);
         else
             i++;
     }
-    if (!before)
+    if (!previous_count)
         return false;
-    piece = piece_new(pieces, piece->plain);
-    g_array_append_vals(piece->records, group, n);
-    return piece_bytes(piece) <= shard_text_bytes(shard);
+    split_page = split_page_new(pages, split_page->legacy_format);
+    g_array_append_vals(split_page->records, group, count);
+    return split_page_bytes(split_page) <= shard_max_page_bytes(shard);
 }
 
 /* A node of version 0 that owns a machine now has noted, when its epoch began, on which page the
  * machine's records are, and takes them off that page only: moved to another they would stay there,
  * and be on two. So they stay where they are until it has taken them over, which is soon. */
-static bool has_to_stay(const struct shard *shard, const struct page_rec *record)
+static bool must_stay_on_page(const struct shard *shard, const struct record_page_entry *record)
 {
-    const char *owner = map_owner(shard->view, record->host.s);
-    return owner && !node_understands(shard, owner);
+    const char *owner = shard_map_get_owner(shard->replica, record->machine.text);
+    return owner && !node_supports_multi_page(shard, owner);
 }
 
 /* Machines stay whole while a node may read it that knows of one page a machine. */
-static bool cut_records(struct shard *shard, const struct page *page, bool plain, GPtrArray *pieces)
+static bool split_records(struct shard *shard, const struct record_page *page, bool legacy_format,
+                          GPtrArray *pages)
 {
-    GArray *all = g_array_new(FALSE, FALSE, sizeof(struct page_rec));
-    struct piece *first = pieces->pdata[0];
-    for (guint i = 0; i < page->tasks->len; i++) {
-        struct placed *placed = page->tasks->pdata[i];
-        struct page_rec record = {placed->host->id, placed->job->id, placed->attempt, placed->index,
-                                  view_about(shard->view, placed->host->id.s)};
-        g_array_append_val(plain && has_to_stay(shard, &record) ? first->records : all, record);
+    GArray *movable = g_array_new(FALSE, FALSE, sizeof(struct record_page_entry));
+    struct split_page *first_page = pages->pdata[0];
+    for (guint i = 0; i < page->run_records->len; i++) {
+        struct run_record *run_record = page->run_records->pdata[i];
+        struct record_page_entry record = {
+            run_record->machine->id, run_record->job->id, run_record->attempt,
+            run_record->task_index,
+            replica_get_machine_description(shard->replica, run_record->machine->id.text)};
+        g_array_append_val(legacy_format && must_stay_on_page(shard, &record) ? first_page->records
+                                                                              : movable,
+                           record);
     }
-    g_array_sort(all, by_host);
-    bool fits = piece_bytes(first) <= shard_text_bytes(shard);
-    for (guint i = 0, n; i < all->len && fits; i += n) {
-        const struct page_rec *record = &g_array_index(all, struct page_rec, i);
-        for (n = 1; plain && i + n < all->len && host_eq(record->host, record[n].host);)
-            n++;
-        fits = cut_group(shard, pieces, record, n);
+    g_array_sort(movable, compare_by_machine);
+    bool fits = split_page_bytes(first_page) <= shard_max_page_bytes(shard);
+    for (guint i = 0, group_size; i < movable->len && fits; i += group_size) {
+        const struct record_page_entry *record =
+            &g_array_index(movable, struct record_page_entry, i);
+        for (group_size = 1; legacy_format && i + group_size < movable->len &&
+                             machine_id_equal(record->machine, record[group_size].machine);)
+            group_size++;
+        fits = add_record_group(shard, pages, record, group_size);
     }
-    g_array_unref(all);
+    g_array_unref(movable);
     return fits;
 }
 
-struct cut_marks {
+struct completion_split {
     struct shard *shard;
-    GPtrArray *pieces;
-    GHashTable *said; /* "JOB UNIT" -> bits, by other pages of the node */
-    bool plain, fits;
+    GPtrArray *pages;
+    GHashTable *covered; /* "JOB UNIT" -> bits, by other pages of the node */
+    bool legacy_format, fits;
 };
 
-static void said_unit(void *ctx, job_id job, uint32_t unit, const GByteArray *bits)
+static void add_covered_unit(void *ctx, job_id job, uint32_t unit_number, const GByteArray *bits)
 {
-    struct cut_marks *marks = ctx;
-    char *key = g_strdup_printf("%s %u", job.s, unit);
-    GByteArray *all = g_hash_table_lookup(marks->said, key);
-    if (!all) {
-        all = g_byte_array_new();
-        g_hash_table_insert(marks->said, g_strdup(key), all);
+    struct completion_split *splitter = ctx;
+    char *key = g_strdup_printf("%s %u", job.text, unit_number);
+    GByteArray *covered = g_hash_table_lookup(splitter->covered, key);
+    if (!covered) {
+        covered = g_byte_array_new();
+        g_hash_table_insert(splitter->covered, g_strdup(key), covered);
     }
-    bits_merge(all, bits);
+    bitmap_merge(covered, bits);
     g_free(key);
 }
 
-static bool is_said(struct cut_marks *marks, job_id job, uint32_t unit, const GByteArray *bits)
+static bool is_covered(struct completion_split *splitter, job_id job, uint32_t unit_number,
+                       const GByteArray *bits)
 {
-    char *key = g_strdup_printf("%s %u", job.s, unit);
-    GByteArray *all = g_hash_table_lookup(marks->said, key);
-    bool said = all != NULL;
-    for (guint i = 0; i < bits->len && said; i++)
-        said = !bits->data[i] || (i < all->len && (bits->data[i] & ~all->data[i]) == 0);
+    char *key = g_strdup_printf("%s %u", job.text, unit_number);
+    GByteArray *covered = g_hash_table_lookup(splitter->covered, key);
+    bool is_complete = covered != NULL;
+    for (guint i = 0; i < bits->len && is_complete; i++)
+        is_complete =
+            !bits->data[i] || (i < covered->len && (bits->data[i] & ~covered->data[i]) == 0);
     g_free(key);
-    return said;
+    return is_complete;
 }
 
 /* Marks of jobs that are not over, with the room that they may come to take. */
-static void cut_unit(void *ctx, job_id job, uint32_t unit, const GByteArray *bits)
+static void split_completion_unit(void *ctx, job_id job, uint32_t unit_number,
+                                  const GByteArray *bits)
 {
-    struct cut_marks *marks = ctx;
-    struct job *j = shard_live_job(marks->shard, job);
-    if (!j || unit * MARK_TASKS >= j->tasks || is_said(marks, job, unit, bits))
+    struct completion_split *splitter = ctx;
+    struct job *live_job = shard_find_live_job(splitter->shard, job);
+    if (!live_job || unit_number * COMPLETION_UNIT_TASKS >= live_job->task_count ||
+        is_covered(splitter, job, unit_number, bits))
         return;
-    gsize cost = page_done_cost(job, unit, MAX(shard_unit_size(j, unit), bits->len), marks->plain);
-    struct piece *at = NULL;
-    for (guint i = 0; i < marks->pieces->len && !at; i++) {
-        struct piece *piece = marks->pieces->pdata[i];
-        if (piece_bytes(piece) + cost <= shard_text_bytes(marks->shard))
-            at = piece;
+    gsize cost = completions_max_bytes(
+        job, unit_number, MAX(shard_completion_unit_bytes(live_job, unit_number), bits->len),
+        splitter->legacy_format);
+    struct split_page *target = NULL;
+    for (guint i = 0; i < splitter->pages->len && !target; i++) {
+        struct split_page *split_page = splitter->pages->pdata[i];
+        if (split_page_bytes(split_page) + cost <= shard_max_page_bytes(splitter->shard))
+            target = split_page;
     }
-    if (!at)
-        at = piece_new(marks->pieces, marks->plain);
-    at->reserved += cost;
-    page_write_done(at->done, job, unit, bits, marks->plain);
-    marks->fits = marks->fits && piece_bytes(at) <= shard_text_bytes(marks->shard);
+    if (!target)
+        target = split_page_new(splitter->pages, splitter->legacy_format);
+    target->reserved_bytes += cost;
+    completions_encode(target->completions, job, unit_number, bits, splitter->legacy_format);
+    splitter->fits =
+        splitter->fits && split_page_bytes(target) <= shard_max_page_bytes(splitter->shard);
 }
 
 /* NULL when it cannot be done while nodes of version 0 may read it. */
-static GPtrArray *cut(struct shard *shard, const struct page *page, bool plain)
+static GPtrArray *split_contents(struct shard *shard, const struct record_page *page,
+                                 bool legacy_format)
 {
-    GPtrArray *pieces = g_ptr_array_new_with_free_func(piece_free);
-    piece_new(pieces, plain);
-    struct cut_marks marks = {shard, pieces, NULL, plain, true};
-    marks.fits = cut_records(shard, page, plain, pieces);
-    marks.said =
+    GPtrArray *pages = g_ptr_array_new_with_free_func(split_page_free);
+    split_page_new(pages, legacy_format);
+    struct completion_split splitter = {shard, pages, NULL, legacy_format, true};
+    splitter.fits = split_records(shard, page, legacy_format, pages);
+    splitter.covered =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, (GDestroyNotify)g_byte_array_unref);
-    GHashTableIter it;
-    struct page *other;
-    g_hash_table_iter_init(&it, shard->view->pages);
-    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&other))
+    GHashTableIter iter;
+    struct record_page *other;
+    g_hash_table_iter_init(&iter, shard->replica->pages);
+    while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&other))
         if (other != page && strcmp(other->label, page->label) == 0 &&
-            !shard_page_long(shard, other))
-            page_read_done(other->done ? other->done : "", said_unit, &marks);
-    if (marks.fits && page->done)
-        page_read_done(page->done, cut_unit, &marks);
-    g_hash_table_unref(marks.said);
-    if (!marks.fits)
-        g_clear_pointer(&pieces, g_ptr_array_unref);
-    return pieces;
+            !shard_page_is_too_long(shard, other))
+            completions_decode(other->completions_text ? other->completions_text : "",
+                               add_covered_unit, &splitter);
+    if (splitter.fits && page->completions_text)
+        completions_decode(page->completions_text, split_completion_unit, &splitter);
+    g_hash_table_unref(splitter.covered);
+    if (!splitter.fits)
+        g_clear_pointer(&pages, g_ptr_array_unref);
+    return pages;
 }
 
 /* ---- transactions ---- */
 
-static void split_over(void *arg, bool ok)
+static void finish_split(void *arg, bool ok)
 {
-    struct split *split = arg;
-    shard_write_over(split->shard, split->generation, ok);
-    g_free(split);
+    struct split_request *request = arg;
+    shard_finish_write(request->shard, request->generation, ok);
+    g_free(request);
 }
 
-static void split_answered(void *arg, const struct txn_outcome *outcome)
+static void handle_split_outcome(void *arg, const struct txn_outcome *outcome)
 {
-    struct split *split = arg;
-    if (outcome->result == TXN_DONE || outcome->result == TXN_CONFLICT)
-        view_await(split->shard->view, outcome->at, split_over, split);
-    else if (outcome->result == TXN_UNKNOWN)
-        view_barrier(split->shard->view, split_over, split);
+    struct split_request *request = arg;
+    if (outcome->status == TXN_COMMITTED || outcome->status == TXN_CONFLICT)
+        replica_await_revision(request->shard->replica, outcome->at_revision, finish_split,
+                               request);
+    else if (outcome->status == TXN_UNKNOWN)
+        replica_read_barrier(request->shard->replica, finish_split, request);
     else
-        split_over(split, false);
+        finish_split(request, false);
 }
 
 /* A page of the same node that does not exist. Copies go behind the long page in the order of keys,
  * in which a node reads them that has just been started: it has to find each record where it is the
  * last time that it reads it. */
-static char *unused_key(struct shard *shard, const struct page *page, int *number, bool behind)
+static char *unused_page_key(struct shard *shard, const struct record_page *page, int *page_number,
+                             bool after_page)
 {
-    for (;; ++*number) {
-        char *key = key_page(page->label, *number);
-        if (!g_hash_table_contains(shard->view->pages, key) &&
-            (!behind || strcmp(key, page->key) > 0)) {
-            ++*number;
+    for (;; ++*page_number) {
+        char *key = key_record_page(page->label, *page_number);
+        if (!g_hash_table_contains(shard->replica->pages, key) &&
+            (!after_page || strcmp(key, page->key) > 0)) {
+            ++*page_number;
             return key;
         }
         g_free(key);
     }
 }
 
-static void set_piece(struct txn *txn, const char *key, revision stamp, struct piece *piece)
+static void set_split_page(struct txn *txn, const char *key, revision mod_revision,
+                           struct split_page *split_page)
 {
-    GString *text = page_write(piece->records, piece->plain);
-    shard_page_set(txn, key, stamp, text->str, piece->done->str);
+    GString *text = record_page_encode(split_page->records, split_page->legacy_format);
+    shard_txn_set_page(txn, key, mod_revision, text->str, split_page->completions->str);
     g_string_free(text, TRUE);
 }
 
@@ -282,37 +309,37 @@
  * has been written nobody touches these copies. */
 bool shard_split(struct shard *shard)
 {
-    const struct store_limits *limits = store_limits(shard->store);
-    struct page *page = next_long(shard);
-    bool plain = shard_plain(shard);
-    GPtrArray *pieces = cut(shard, page, plain);
-    guint most = (guint)limits->txn_ops;
-    if (plain && !limits->lowered)
-        most = MAX(most, (guint)shard->settings->state.txn_ops);
-    bool copies = pieces && pieces->len > most;
-    if (!pieces || (copies && plain)) {
-        g_clear_pointer(&pieces, g_ptr_array_unref);
-        shard->split_at = time_add_ms(loop_now(shard->loop), RETRY_MS);
+    const struct kv_limits *limits = kv_client_limits(shard->kv);
+    struct record_page *page = next_long_page(shard);
+    bool legacy_format = shard_uses_legacy_format(shard);
+    GPtrArray *pages = split_contents(shard, page, legacy_format);
+    guint max_writes = (guint)limits->max_txn_operations;
+    if (legacy_format && !limits->rate_limit_lowered)
+        max_writes = MAX(max_writes, (guint)shard->settings->kv_limits.max_txn_operations);
+    bool copies_first = pages && pages->len > max_writes;
+    if (!pages || (copies_first && legacy_format)) {
+        g_clear_pointer(&pages, g_ptr_array_unref);
+        shard->split_retry_at = time_add_ms(loop_now(shard->loop), RETRY_DELAY_MS);
         return false; /* until all nodes understand it */
     }
-    struct txn *txn = shard_txn(shard);
-    int number = 0;
-    for (guint i = 1; i < MIN(pieces->len, copies ? most + 1 : most); i++) {
-        char *key = unused_key(shard, page, &number, copies);
-        set_piece(txn, key, (revision){0}, pieces->pdata[i]);
+    struct txn *txn = shard_txn_new(shard);
+    int page_number = 0;
+    for (guint i = 1; i < MIN(pages->len, copies_first ? max_writes + 1 : max_writes); i++) {
+        char *key = unused_page_key(shard, page, &page_number, copies_first);
+        set_split_page(txn, key, (revision){0}, pages->pdata[i]);
         g_free(key);
     }
-    if (copies)
-        txn_when(txn, page->key, page->stamp);
+    if (copies_first)
+        txn_compare(txn, page->key, page->mod_revision);
     else
-        set_piece(txn, page->key, page->stamp, pieces->pdata[0]);
-    LOG_INFO("page_split", "page=%s bytes=%zu pieces=%u copies=%d", page->key, page->bytes,
-             pieces->len, copies);
-    struct split *split = g_new(struct split, 1);
-    *split = (struct split){shard, shard->generation};
-    shard->write_level -= txn_writes(txn);
-    shard->txn_out = true;
-    store_txn(shard->store, LANE_URGENT, txn, split_answered, split);
-    g_ptr_array_unref(pieces);
+        set_split_page(txn, page->key, page->mod_revision, pages->pdata[0]);
+    LOG_INFO("page_split", "page=%s bytes=%zu pieces=%u copies=%d", page->key, page->size_bytes,
+             pages->len, copies_first);
+    struct split_request *request = g_new(struct split_request, 1);
+    *request = (struct split_request){shard, shard->generation};
+    shard->write_budget -= txn_write_count(txn);
+    shard->txn_in_flight = true;
+    kv_client_commit(shard->kv, KV_LANE_URGENT, txn, handle_split_outcome, request);
+    g_ptr_array_unref(pages);
     return true;
 }
--- a/src/shard/record_batch_adopt.c
+++ b/src/shard/record_batch_adopt.c
@@ -1,35 +1,42 @@
 /* Takes run records over from pages of other nodes, for machines that have come to this one. */
 #include "record_batch_internal.h"
 
-bool shard_source_fits(struct shard *shard, const struct page *page, bool plain)
+bool shard_source_page_is_usable(struct shard *shard, const struct record_page *page,
+                                 bool legacy_format)
 {
-    const struct store_limits *limits = store_limits(shard->store);
-    if (!plain && shard_label_long(shard, page->label))
+    const struct kv_limits *limits = kv_client_limits(shard->kv);
+    if (!legacy_format && shard_label_has_long_page(shard, page->label))
         return false;
-    if (!shard_page_long(shard, page))
+    if (!shard_page_is_too_long(shard, page))
         return true;
-    const struct node_record *node_record = g_hash_table_lookup(shard->view->nodes, page->label);
-    return plain && node_record && node_record->version < NODE_VERSION_PIPELINES &&
-           !limits->lowered;
+    const struct node_record *node = g_hash_table_lookup(shard->replica->nodes, page->label);
+    return legacy_format && node && node->understood_version < NODE_VERSION_JOB_DAG &&
+           !limits->rate_limit_lowered;
 }
 
-struct page *shard_source_of(struct shard *shard, const struct host *host, const struct run *run)
+struct record_page *shard_source_page_of_run(struct shard *shard, const struct machine *machine,
+                                             const struct task_run *run)
 {
-    struct job *job =
-        run->record.foreign && run->phase != RUN_GONE ? view_job(shard->view, run->job.s) : NULL;
-    struct placed *placed = job ? job_placed(job, run->index) : NULL;
-    bool there =
-        placed && placed->attempt.v == run->attempt.v && host_eq(placed->host->id, host->id);
-    return there && strcmp(placed->page->label, shard->settings->label) != 0 ? placed->page : NULL;
+    struct job *job = run->record.is_foreign && run->phase != TASK_RUN_RELEASED
+                          ? replica_get_job(shard->replica, run->job.text)
+                          : NULL;
+    struct run_record *run_record = job ? job_get_run_record(job, run->index) : NULL;
+    bool is_on_record = run_record && run_record->attempt.value == run->attempt.value &&
+                        machine_id_equal(run_record->machine->id, machine->id);
+    return is_on_record && strcmp(run_record->page->label, shard->settings->label) != 0
+               ? run_record->page
+               : NULL;
 }
 
 /* Takes the record of a task out of its draft again. */
-static void draft_withdraw(struct draft *draft, const struct host *host, const struct run *run)
+static void draft_remove_run(struct page_draft *draft, const struct machine *machine,
+                             const struct task_run *run)
 {
     for (guint i = 0; i < draft->records->len; i++) {
-        const struct page_rec *record = &g_array_index(draft->records, struct page_rec, i);
-        if (host_eq(record->host, host->id) && job_eq(record->job, run->job) &&
-            record->index == run->index) {
+        const struct record_page_entry *record =
+            &g_array_index(draft->records, struct record_page_entry, i);
+        if (machine_id_equal(record->machine, machine->id) && job_id_equal(record->job, run->job) &&
+            record->task_index == run->index) {
             g_array_remove_index(draft->records, i);
             return;
         }
@@ -37,73 +44,78 @@
 }
 
 /* None of a machine's records is taken over with this transaction. */
-static void adopt_none(struct batch *batch, struct host *host)
+static void undo_adoption(struct record_batch *batch, struct machine *machine)
 {
-    for (guint i = 0; i < host->runs->len; i++) {
-        struct run *run = host->runs->pdata[i];
-        if (!run->record.foreign)
+    for (guint i = 0; i < machine->runs->len; i++) {
+        struct task_run *run = machine->runs->pdata[i];
+        if (!run->record.is_foreign)
             continue;
-        struct draft *draft =
-            run->record.in_txn ? shard_draft_of(batch, run->record.next_page) : NULL;
+        struct page_draft *draft =
+            run->record.is_in_txn ? record_batch_find_draft(batch, run->record.next_page) : NULL;
         if (draft)
-            draft_withdraw(draft, host, run);
-        run->record.in_txn = false;
+            draft_remove_run(draft, machine, run);
+        run->record.is_in_txn = false;
     }
 }
 
 /* Takes the record of one task over; false: no page that is written has room for it. */
-static bool adopt_run(struct batch *batch, struct host *host, struct run *run)
+static bool adopt_run(struct record_batch *batch, struct machine *machine, struct task_run *run)
 {
     run->record.next_page = -1;
-    if (run->phase == RUN_FREEING &&
-        shard_mark_written(batch->shard, run, shard_is_drafted, batch)) {
-        run->record.in_txn = host->in_txn = true;
+    if (run->phase == TASK_RUN_ENDED &&
+        shard_completion_is_written(batch->shard, run, record_batch_writes_page, batch)) {
+        run->record.is_in_txn = machine->is_in_txn = true;
         return true;
     }
-    return shard_batch_put(batch, host, run, shard_text_bytes(batch->shard));
+    return record_batch_put_run(batch, machine, run, shard_max_page_bytes(batch->shard));
 }
 
-void shard_batch_adopt(struct batch *batch, struct host *host)
+void record_batch_adopt_machine(struct record_batch *batch, struct machine *machine)
 {
-    for (guint i = 0; i < host->runs->len; i++) {
-        struct run *run = host->runs->pdata[i];
-        struct page *source = shard_source_of(batch->shard, host, run);
-        if (!source || !g_ptr_array_find(batch->sources, source, NULL))
+    for (guint i = 0; i < machine->runs->len; i++) {
+        struct task_run *run = machine->runs->pdata[i];
+        struct record_page *source = shard_source_page_of_run(batch->shard, machine, run);
+        if (!source || !g_ptr_array_find(batch->source_pages, source, NULL))
             continue;
-        bool taken = adopt_run(batch, host, run);
-        batch->rest = batch->rest || !run->record.in_txn;
-        if (!taken && batch->plain) {
-            adopt_none(batch, host);
+        bool was_adopted = adopt_run(batch, machine, run);
+        batch->has_more = batch->has_more || !run->record.is_in_txn;
+        if (!was_adopted && batch->legacy_format) {
+            undo_adoption(batch, machine);
             return;
         }
     }
 }
 
 /* Whether the transaction takes the record of a task over. */
-static bool is_taken(struct shard *shard, const struct placed *placed)
+static bool is_adopted(struct shard *shard, const struct run_record *run_record)
 {
-    struct host *host = shard_host_get(shard, placed->host->id.s);
-    const struct run *run =
-        host ? shard_run_find(host, placed->job->id, placed->index, placed->attempt) : NULL;
-    return run && run->record.in_txn && run->record.foreign;
+    struct machine *machine = shard_find_machine(shard, run_record->machine->id.text);
+    const struct task_run *run = machine
+                                     ? shard_run_find(machine, run_record->job->id,
+                                                      run_record->task_index, run_record->attempt)
+                                     : NULL;
+    return run && run->record.is_in_txn && run->record.is_foreign;
 }
 
-void shard_source_write(struct batch *batch, struct page *page)
+void record_batch_write_source(struct record_batch *batch, struct record_page *page)
 {
     struct shard *shard = batch->shard;
-    GArray *left = g_array_new(FALSE, FALSE, sizeof(struct page_rec));
-    for (guint i = 0; i < page->tasks->len; i++) {
-        struct placed *placed = page->tasks->pdata[i];
-        if (is_taken(shard, placed))
+    GArray *remaining = g_array_new(FALSE, FALSE, sizeof(struct record_page_entry));
+    for (guint i = 0; i < page->run_records->len; i++) {
+        struct run_record *run_record = page->run_records->pdata[i];
+        if (is_adopted(shard, run_record))
             continue;
-        struct page_rec record = {placed->host->id, placed->job->id, placed->attempt, placed->index,
-                                  view_about(shard->view, placed->host->id.s)};
-        g_array_append_val(left, record);
+        struct record_page_entry record = {
+            run_record->machine->id, run_record->job->id, run_record->attempt,
+            run_record->task_index,
+            replica_get_machine_description(shard->replica, run_record->machine->id.text)};
+        g_array_append_val(remaining, record);
     }
-    if (left->len < page->tasks->len) {
-        GString *text = page_write(left, batch->plain);
-        shard_page_set(batch->txn, page->key, page->stamp, text->str, page->done ? page->done : "");
+    if (remaining->len < page->run_records->len) {
+        GString *text = record_page_encode(remaining, batch->legacy_format);
+        shard_txn_set_page(batch->txn, page->key, page->mod_revision, text->str,
+                           page->completions_text ? page->completions_text : "");
         g_string_free(text, TRUE);
     }
-    g_array_unref(left);
+    g_array_unref(remaining);
 }
--- a/src/shard/record_batch_machine.c
+++ b/src/shard/record_batch_machine.c
@@ -3,89 +3,96 @@
 #include "record_batch_internal.h"
 
 enum {
-    DESCRIBE_MS = 30000,              /* a machine's images are written again no sooner */
-    DESCRIBE_BYTES = BATCH_BYTES / 4, /* of a transaction, for all that it says of machines */
-    WRITES_KEPT = WRITE_BURST / 2, /* for tasks: machines are described with what is above that */
-    LIST_BYTES = 16,               /* of a value, for the list of images */
-    IMAGE_BYTES = 4,               /* for one of them besides its name */
+    DESCRIBE_INTERVAL_MS = 30000, /* a machine's images are written again no sooner */
+    MAX_DESCRIPTION_BYTES =
+        MAX_BATCH_BYTES / 4, /* of a transaction, for all that it says of machines */
+    RESERVED_WRITES =
+        MAX_WRITE_BURST / 2, /* for tasks: machines are described with what is above that */
+    IMAGE_LIST_BYTES = 16,   /* of a value, for the list of images */
+    IMAGE_ENTRY_BYTES = 4,   /* for one of them besides its name */
 };
 
 /* The value of a machine in the state service, of about so many bytes at most. */
-static json_object *host_value(const struct host *host, gsize most)
+static json_object *encode_machine_value(const struct machine *machine, gsize max_bytes)
 {
     json_object *object = json_object_new_object(), *images = json_object_new_array();
-    json_put_text(object, "a", host->addr);
-    json_put_text(object, "b", host->type_name);
-    json_put_text(object, "y", host->zone);
-    json_object_object_add(object, "l", json_object_new_boolean(host->spot));
+    json_put_text(object, "a", machine->address);
+    json_put_text(object, "b", machine->type_name);
+    json_put_text(object, "y", machine->zone);
+    json_object_object_add(object, "l", json_object_new_boolean(machine->is_spot));
     /* The newest images, as far as there is room. */
-    guint first = host->images->len;
-    for (gsize used = value_size(object) + LIST_BYTES; first > 0; first--) {
-        used += 2 * strlen(host->images->pdata[first - 1]) + IMAGE_BYTES;
-        if (used > most)
+    guint first_image = machine->image_cache->len;
+    for (gsize used_bytes = kv_value_size_bytes(object) + IMAGE_LIST_BYTES; first_image > 0;
+         first_image--) {
+        used_bytes += 2 * strlen(machine->image_cache->pdata[first_image - 1]) + IMAGE_ENTRY_BYTES;
+        if (used_bytes > max_bytes)
             break;
     }
-    for (guint i = first; i < host->images->len; i++)
-        json_object_array_add(images, json_object_new_string(host->images->pdata[i]));
+    for (guint i = first_image; i < machine->image_cache->len; i++)
+        json_object_array_add(images, json_object_new_string(machine->image_cache->pdata[i]));
     json_object_object_add(object, "i", images);
     return object;
 }
 
 /* Whether the transaction may have one more write. */
-static bool batch_spare(const struct batch *batch)
+static bool has_spare_write(const struct record_batch *batch)
 {
-    return (int)txn_writes(batch->txn) < batch->spare;
+    return (int)txn_write_count(batch->txn) < batch->spare_writes;
 }
 
-void shard_batch_describe(struct batch *batch, struct host *host)
+void record_batch_describe_machine(struct record_batch *batch, struct machine *machine)
 {
     struct shard *shard = batch->shard;
     mono_time now = loop_now(shard->loop);
-    bool due =
-        !host->stamp.v || (host->new_images && time_ms_since(now, host->stored) > DESCRIBE_MS);
-    if (host->gone || host->described || !host->addr[0] || !due || !batch_spare(batch) ||
-        txn_bytes(batch->txn) > DESCRIBE_BYTES)
+    bool is_due = !machine->mod_revision.value ||
+                  (machine->has_unrecorded_images &&
+                   time_ms_since(now, machine->described_at) > DESCRIBE_INTERVAL_MS);
+    if (machine->is_gone || machine->is_being_described || !machine->address[0] || !is_due ||
+        !has_spare_write(batch) || txn_size_bytes(batch->txn) > MAX_DESCRIPTION_BYTES)
         return;
-    bool must = !host->stamp.v && host->inventory < 0 && !shard_host_about(host);
-    if (shard->write_level - txn_writes(batch->txn) <= WRITES_KEPT && !must)
+    bool is_required = !machine->mod_revision.value && machine->inventory_number < 0 &&
+                       !shard_machine_page_description(machine);
+    if (shard->write_budget - txn_write_count(batch->txn) <= RESERVED_WRITES && !is_required)
         return;
-    char *key = key_host(host->id);
-    txn_when(batch->txn, key, host->stamp);
-    txn_set(batch->txn, key, host_value(host, store_limits(shard->store)->value_bytes),
+    char *key = key_machine(machine->id);
+    txn_compare(batch->txn, key, machine->mod_revision);
+    txn_put(batch->txn, key,
+            encode_machine_value(machine, kv_client_limits(shard->kv)->max_value_bytes),
             (lease_id){0});
     g_free(key);
-    host->described = host->in_txn = true;
-    host->new_images = false;
-    host->stored = now;
+    machine->is_being_described = machine->is_in_txn = true;
+    machine->has_unrecorded_images = false;
+    machine->described_at = now;
 }
 
 /* Takes a machine that is gone off the records. Many may go at once, in a wave of returns, so the
  * rest wait for the next transaction: one with too many writes is refused for ever. */
-static void batch_forget(struct batch *batch, struct host *host)
+static void remove_machine(struct record_batch *batch, struct machine *machine)
 {
-    if (!batch_spare(batch)) {
-        batch->rest = true;
+    if (!has_spare_write(batch)) {
+        batch->has_more = true;
         return;
     }
-    char *key = key_host(host->id);
-    txn_when(batch->txn, key, host->stamp);
-    txn_remove(batch->txn, key);
+    char *key = key_machine(machine->id);
+    txn_compare(batch->txn, key, machine->mod_revision);
+    txn_delete(batch->txn, key);
     g_free(key);
-    host->removing = host->in_txn = true;
+    machine->is_being_removed = machine->is_in_txn = true;
 }
 
-void shard_batch_finish_host(struct batch *batch, struct host *host)
+void record_batch_finish_machine(struct record_batch *batch, struct machine *machine)
 {
-    bool stays = false;
-    for (guint i = 0; i < host->runs->len; i++) {
-        const struct run *run = host->runs->pdata[i];
-        stays = stays ||
-                (run->phase != RUN_GONE &&
-                 !(run->phase == RUN_FREEING && run->record.in_txn && run->record.next_page < 0));
+    bool has_runs = false;
+    for (guint i = 0; i < machine->runs->len; i++) {
+        const struct task_run *run = machine->runs->pdata[i];
+        has_runs =
+            has_runs ||
+            (run->phase != TASK_RUN_RELEASED &&
+             !(run->phase == TASK_RUN_ENDED && run->record.is_in_txn && run->record.next_page < 0));
     }
-    if (host->gone && host->stamp.v && !stays)
-        batch_forget(batch, host);
-    host->in_txn = host->in_txn || (host->gone && !stays);
-    if (!host->gone && shard_host_has_run(host))
-        shard_batch_describe(batch, host);
+    if (machine->is_gone && machine->mod_revision.value && !has_runs)
+        remove_machine(batch, machine);
+    machine->is_in_txn = machine->is_in_txn || (machine->is_gone && !has_runs);
+    if (!machine->is_gone && shard_machine_has_runs(machine))
+        record_batch_describe_machine(batch, machine);
 }
--- a/src/shard/record_batch_outcome.c
+++ b/src/shard/record_batch_outcome.c
@@ -5,170 +5,173 @@
 #include "log.h"
 
 /* How long starts and ends wait for their records: it shows when writes are scarce. */
-static void note_wait(struct shard *shard, const struct run *run)
+static void count_write_wait(struct shard *shard, const struct task_run *run)
 {
     mono_time now = loop_now(shard->loop);
-    if (run->phase == RUN_NEW) {
-        shard->waits.starts++;
-        shard->waits.starts_ms += (double)time_ms_since(now, run->placed_at);
-    } else if (run->phase == RUN_FREEING && run->record.next_page < 0) {
-        shard->waits.ends++;
-        shard->waits.ends_ms += (double)time_ms_since(now, run->over_at);
+    if (run->phase == TASK_RUN_PLACED) {
+        shard->write_waits.starts++;
+        shard->write_waits.start_wait_ms += (double)time_ms_since(now, run->placed_at);
+    } else if (run->phase == TASK_RUN_ENDED && run->record.next_page < 0) {
+        shard->write_waits.ends++;
+        shard->write_waits.end_wait_ms += (double)time_ms_since(now, run->ended_at);
     }
 }
 
-void shard_log_waits(struct shard *shard)
+void shard_log_write_waits(struct shard *shard)
 {
-    if (log_debug_on() && shard->waits.writes)
+    if (log_debug_enabled() && shard->write_waits.writes)
         LOG_DEBUG("records", "writes=%u starts=%u wait_ms=%.0f ends=%u wait_ms=%.0f pages=%u",
-                  shard->waits.writes, shard->waits.starts,
-                  shard->waits.starts_ms / MAX(shard->waits.starts, 1), shard->waits.ends,
-                  shard->waits.ends_ms / MAX(shard->waits.ends, 1), shard->pages->len);
-    memset(&shard->waits, 0, sizeof shard->waits);
+                  shard->write_waits.writes, shard->write_waits.starts,
+                  shard->write_waits.start_wait_ms / MAX(shard->write_waits.starts, 1),
+                  shard->write_waits.ends,
+                  shard->write_waits.end_wait_ms / MAX(shard->write_waits.ends, 1),
+                  shard->pages->len);
+    memset(&shard->write_waits, 0, sizeof shard->write_waits);
 }
 
 /* The record of a task is as the transaction has it. Whether it has come off the records so. */
-static bool run_settled(struct shard *shard, struct host *host, struct run *run)
+static bool commit_run(struct shard *shard, struct machine *machine, struct task_run *run)
 {
-    run->record.in_txn = false;
+    run->record.is_in_txn = false;
     run->record.page = run->record.next_page;
-    run->record.foreign = false;
-    note_wait(shard, run);
-    if (run->phase == RUN_NEW) {
-        run->phase = RUN_RECORDED;
-        shard_run_apply_job(shard, run);
+    run->record.is_foreign = false;
+    count_write_wait(shard, run);
+    if (run->phase == TASK_RUN_PLACED) {
+        run->phase = TASK_RUN_RECORDED;
+        shard_run_stop_if_job_over(shard, run);
         return false;
     }
-    if (run->phase != RUN_FREEING || run->record.page >= 0)
+    if (run->phase != TASK_RUN_ENDED || run->record.page >= 0)
         return false;
-    shard_run_unbook(shard, host, run);
-    run->phase = RUN_GONE;
+    shard_run_release_resources(shard, machine, run);
+    run->phase = TASK_RUN_RELEASED;
     return true;
 }
 
 /* The records of a machine's tasks. What comes off them is forgotten, unless its worker still
  * reports it. */
-static void runs_settled(struct shard *shard, struct host *host)
+static void commit_runs(struct shard *shard, struct machine *machine)
 {
-    for (guint i = 0; i < host->runs->len;) {
-        struct run *run = host->runs->pdata[i];
-        bool gone = run->record.in_txn && run_settled(shard, host, run);
-        if (gone && !run->seen)
-            g_ptr_array_remove_index_fast(host->runs, i);
+    for (guint i = 0; i < machine->runs->len;) {
+        struct task_run *run = machine->runs->pdata[i];
+        bool was_released = run->record.is_in_txn && commit_run(shard, machine, run);
+        if (was_released && !run->is_reported)
+            g_ptr_array_remove_index_fast(machine->runs, i);
         else
             i++;
     }
 }
 
 /* A machine is on record as the transaction has it. Frees it when nothing of it is left. */
-static void host_settled(struct shard *shard, struct host *host, const struct txn_outcome *outcome)
+static void commit_machine(struct shard *shard, struct machine *machine,
+                           const struct txn_outcome *outcome)
 {
-    if (host->removing)
-        host->stamp = (revision){0};
-    else if (host->described)
-        host->stamp = outcome->at;
-    host->described = host->removing = false;
-    runs_settled(shard, host);
-    if (host->gone && !host->stamp.v && !shard_host_has_run(host)) {
-        g_hash_table_remove(shard->hosts, host->id.s);
-    } else if (host->gone) {
+    if (machine->is_being_removed)
+        machine->mod_revision = (revision){0};
+    else if (machine->is_being_described)
+        machine->mod_revision = outcome->at_revision;
+    machine->is_being_described = machine->is_being_removed = false;
+    commit_runs(shard, machine);
+    if (machine->is_gone && !machine->mod_revision.value && !shard_machine_has_runs(machine)) {
+        g_hash_table_remove(shard->machines, machine->id.text);
+    } else if (machine->is_gone) {
         /* It went while this was being written; what was just recorded went with it. */
-        shard_free_all_runs(shard, host, "returned");
-        shard_dirty(shard);
+        shard_end_all_runs(shard, machine, "returned");
+        shard_mark_dirty(shard);
     } else {
-        shard_push(shard, host);
+        shard_push_commands(shard, machine);
     }
 }
 
-void shard_batch_over(struct batch *batch)
+void record_batch_close(struct record_batch *batch)
 {
     struct shard *shard = batch->shard;
-    shard->txn_out = false;
-    for (guint i = 0; i < batch->hosts->len; i++) {
-        struct host *host = shard_host_get(shard, batch->hosts->pdata[i]);
-        if (host)
-            host->in_txn = false;
+    shard->txn_in_flight = false;
+    for (guint i = 0; i < batch->machine_ids->len; i++) {
+        struct machine *machine = shard_find_machine(shard, batch->machine_ids->pdata[i]);
+        if (machine)
+            machine->is_in_txn = false;
     }
 }
 
 /* The transaction was carried out. */
-static void batch_done(struct batch *batch, const struct txn_outcome *outcome)
+static void commit_batch(struct record_batch *batch, const struct txn_outcome *outcome)
 {
     struct shard *shard = batch->shard;
     for (guint i = 0; i < batch->drafts->len; i++) {
-        struct draft *draft = batch->drafts->pdata[i];
-        if (draft->changed)
-            shard_own_page(shard, draft->number)->stamp = outcome->at;
+        struct page_draft *draft = batch->drafts->pdata[i];
+        if (draft->is_changed)
+            shard_get_own_page(shard, draft->number)->mod_revision = outcome->at_revision;
     }
-    shard_marks_durable(shard, shard_is_drafted, batch);
-    shard_batch_over(batch);
-    for (guint i = 0; i < batch->hosts->len; i++) {
-        struct host *host = shard_host_get(shard, batch->hosts->pdata[i]);
-        if (host)
-            host_settled(shard, host, outcome);
+    shard_completions_mark_durable(shard, record_batch_writes_page, batch);
+    record_batch_close(batch);
+    for (guint i = 0; i < batch->machine_ids->len; i++) {
+        struct machine *machine = shard_find_machine(shard, batch->machine_ids->pdata[i]);
+        if (machine)
+            commit_machine(shard, machine, outcome);
     }
-    shard->dirty = shard->dirty || batch->rest;
-    shard_batch_free(batch);
-    shard_place_all(shard);
-    shard_flush_soon(shard);
+    shard->is_dirty = shard->is_dirty || batch->has_more;
+    record_batch_free(batch);
+    shard_place_tasks(shard);
+    shard_request_flush(shard);
 }
 
 /* Nothing of a machine counts as in a transaction any more: the view shows what came on record. */
-static void host_withdraw(struct host *host)
+static void rollback_machine(struct machine *machine)
 {
-    host->new_images = host->new_images || host->described;
-    host->described = host->removing = false;
-    for (guint i = 0; i < host->runs->len; i++)
-        ((struct run *)host->runs->pdata[i])->record.in_txn = false;
+    machine->has_unrecorded_images = machine->has_unrecorded_images || machine->is_being_described;
+    machine->is_being_described = machine->is_being_removed = false;
+    for (guint i = 0; i < machine->runs->len; i++)
+        ((struct task_run *)machine->runs->pdata[i])->record.is_in_txn = false;
 }
 
 /* The view is past the moment of the conflict, or the unknown end: take what is on record. */
-static void batch_resync(void *arg, bool ok)
+static void reconcile_batch(void *arg, bool ok)
 {
-    struct batch *batch = arg;
+    struct record_batch *batch = arg;
     struct shard *shard = batch->shard;
-    bool current = batch->generation == shard->generation;
-    shard->dirty = true;
-    shard_batch_over(batch);
-    for (guint i = 0; current && i < batch->hosts->len; i++) {
-        struct host *host = shard_host_get(shard, batch->hosts->pdata[i]);
-        if (host)
-            host_withdraw(host);
+    bool is_same_generation = batch->generation == shard->generation;
+    shard->is_dirty = true;
+    record_batch_close(batch);
+    for (guint i = 0; is_same_generation && i < batch->machine_ids->len; i++) {
+        struct machine *machine = shard_find_machine(shard, batch->machine_ids->pdata[i]);
+        if (machine)
+            rollback_machine(machine);
     }
-    if (current && ok)
-        shard_records_sync(shard);
-    for (guint i = 0; current && i < batch->hosts->len; i++) {
-        struct host *host = shard_host_get(shard, batch->hosts->pdata[i]);
-        if (host)
-            shard_push(shard, host);
+    if (is_same_generation && ok)
+        shard_records_reconcile(shard);
+    for (guint i = 0; is_same_generation && i < batch->machine_ids->len; i++) {
+        struct machine *machine = shard_find_machine(shard, batch->machine_ids->pdata[i]);
+        if (machine)
+            shard_push_commands(shard, machine);
     }
-    shard_flush_again(shard, ok);
-    shard_batch_free(batch);
+    shard_schedule_flush(shard, ok);
+    record_batch_free(batch);
 }
 
-void shard_batch_answered(void *arg, const struct txn_outcome *outcome)
+void record_batch_handle_outcome(void *arg, const struct txn_outcome *outcome)
 {
-    struct batch *batch = arg;
+    struct record_batch *batch = arg;
     struct shard *shard = batch->shard;
     if (batch->generation != shard->generation) {
         /* The map has changed meanwhile: the records were taken from the view then. */
-        batch_resync(batch, true);
+        reconcile_batch(batch, true);
         return;
     }
-    switch (outcome->result) {
-    case TXN_DONE:
-        batch_done(batch, outcome);
+    switch (outcome->status) {
+    case TXN_COMMITTED:
+        commit_batch(batch, outcome);
         return;
     case TXN_CONFLICT:
-        LOG_DEBUG("record_conflict", "hosts=%u first=%s", batch->hosts->len,
-                  outcome->failed->len ? (char *)outcome->failed->pdata[0] : "");
-        view_await(shard->view, outcome->at, batch_resync, batch);
+        LOG_DEBUG("record_conflict", "hosts=%u first=%s", batch->machine_ids->len,
+                  outcome->failed_keys->len ? (char *)outcome->failed_keys->pdata[0] : "");
+        replica_await_revision(shard->replica, outcome->at_revision, reconcile_batch, batch);
         return;
     case TXN_UNKNOWN:
-        LOG_INFO("record_unknown", "hosts=%u", batch->hosts->len);
-        view_barrier(shard->view, batch_resync, batch);
+        LOG_INFO("record_unknown", "hosts=%u", batch->machine_ids->len);
+        replica_read_barrier(shard->replica, reconcile_batch, batch);
         return;
     default:
-        batch_resync(batch, false);
+        reconcile_batch(batch, false);
     }
 }
--- a/src/shard/run_records_flush.c
+++ b/src/shard/run_records_flush.c
@@ -5,123 +5,129 @@
 #include <math.h>
 
 enum {
-    FLUSH_MS = 4,   /* after a change, for what else comes in that moment */
-    RETRY_MS = 120, /* after what could not be written */
+    FLUSH_DELAY_MS = 4,   /* after a change, for what else comes in that moment */
+    RETRY_DELAY_MS = 120, /* after what could not be written */
 };
 
 /* Of the writes that the state service allows, as much as all nodes' records may use. */
 static const double RECORDS_SHARE = 0.8;
 
-void shard_flush_soon(struct shard *shard)
+void shard_request_flush(struct shard *shard)
 {
-    if (!shard->txn_out && !shard->flush.place)
-        timer_start(shard->loop, &shard->flush, FLUSH_MS);
+    if (!shard->txn_in_flight && !shard->flush_timer.queue_position)
+        timer_start(shard->loop, &shard->flush_timer, FLUSH_DELAY_MS);
 }
 
-void shard_flush_again(struct shard *shard, bool ok)
+void shard_schedule_flush(struct shard *shard, bool ok)
 {
-    timer_start(shard->loop, &shard->flush, ok ? FLUSH_MS : RETRY_MS);
+    timer_start(shard->loop, &shard->flush_timer, ok ? FLUSH_DELAY_MS : RETRY_DELAY_MS);
 }
 
-void shard_dirty(struct shard *shard)
+void shard_mark_dirty(struct shard *shard)
 {
-    shard->dirty = true;
-    shard_flush_soon(shard);
+    shard->is_dirty = true;
+    shard_request_flush(shard);
 }
 
 /* The longer writes wait for this node's share of them, the more goes into one. */
-static bool write_due(struct shard *shard)
+static bool has_write_budget(struct shard *shard)
 {
-    const struct store_limits *limits = store_limits(shard->store);
+    const struct kv_limits *limits = kv_client_limits(shard->kv);
     /* The nodes that live share the writes, as they share the machines. */
-    double rate = limits->write_rps * RECORDS_SHARE / MAX(shard->view->map->len, 1);
+    double writes_per_s =
+        limits->rate_limit_write_rps * RECORDS_SHARE / MAX(shard->replica->shard_map->len, 1);
     mono_time now = loop_now(shard->loop);
-    shard->write_level =
-        MIN(WRITE_BURST, shard->write_level + rate * (double)(now.us - shard->write_at.us) / 1e6);
-    shard->write_at = now;
-    if (shard->write_level >= 1)
+    shard->write_budget =
+        MIN(MAX_WRITE_BURST, shard->write_budget +
+                                 writes_per_s * (double)(now.us - shard->write_budget_at.us) / 1e6);
+    shard->write_budget_at = now;
+    if (shard->write_budget >= 1)
         return true;
-    timer_start(shard->loop, &shard->flush, (int64_t)ceil((1 - shard->write_level) / rate * 1000));
+    timer_start(shard->loop, &shard->flush_timer,
+                (int64_t)ceil((1 - shard->write_budget) / writes_per_s * 1000));
     return false;
 }
 
 void shard_charge_writes(struct shard *shard, guint writes)
 {
-    shard->write_level -= writes;
+    shard->write_budget -= writes;
 }
 
-void shard_write_over(struct shard *shard, uint64_t generation, bool ok)
+void shard_finish_write(struct shard *shard, uint64_t generation, bool ok)
 {
-    shard->txn_out = false;
+    shard->txn_in_flight = false;
     if (ok && generation == shard->generation)
-        shard_records_sync(shard);
-    shard->dirty = true;
-    shard_flush_again(shard, ok);
+        shard_records_reconcile(shard);
+    shard->is_dirty = true;
+    shard_schedule_flush(shard, ok);
 }
 
-struct txn *shard_txn(struct shard *shard)
+struct txn *shard_txn_new(struct shard *shard)
 {
     struct txn *txn = txn_new();
-    char *self = key_node(shard->settings->label);
-    txn_when(txn, self, membership_stamp(shard->members));
-    txn_when(txn, KEY_MAP, shard->view->map_stamp);
-    g_free(self);
+    char *node_key = key_node(shard->settings->label);
+    txn_compare(txn, node_key, membership_get_mod_revision(shard->membership));
+    txn_compare(txn, KEY_MAP, shard->replica->shard_map_mod_revision);
+    g_free(node_key);
     return txn;
 }
 
 /* Whether this node is a member, and owns what it has by the newest map. */
 static bool may_write(const struct shard *shard)
 {
-    return membership_valid(shard->members) && shard->epoch.v == shard->view->epoch.v &&
-           map_names(shard->view, shard->settings->label, membership_incarnation(shard->members));
+    return membership_has_valid_lease(shard->membership) &&
+           shard->epoch.value == shard->replica->shard_map_epoch.value &&
+           shard_map_contains(shard->replica, shard->settings->label,
+                              membership_get_incarnation(shard->membership));
 }
 
 /* Nothing can be written as things are; a machine without records may be gone. */
-static void batch_drop(struct batch *batch)
+static void discard_batch(struct record_batch *batch)
 {
     struct shard *shard = batch->shard;
     txn_free(batch->txn);
-    shard->dirty = batch->rest;
-    shard_batch_over(batch);
-    for (guint i = 0; i < batch->hosts->len; i++) {
-        struct host *host = shard_host_get(shard, batch->hosts->pdata[i]);
-        if (host && host->gone && !host->stamp.v && !shard_host_has_run(host))
-            g_hash_table_remove(shard->hosts, host->id.s);
+    shard->is_dirty = batch->has_more;
+    record_batch_close(batch);
+    for (guint i = 0; i < batch->machine_ids->len; i++) {
+        struct machine *machine = shard_find_machine(shard, batch->machine_ids->pdata[i]);
+        if (machine && machine->is_gone && !machine->mod_revision.value &&
+            !shard_machine_has_runs(machine))
+            g_hash_table_remove(shard->machines, machine->id.text);
     }
-    shard_batch_free(batch);
-    if (shard->dirty)
-        shard_flush_again(shard, false);
+    record_batch_free(batch);
+    if (shard->is_dirty)
+        shard_schedule_flush(shard, false);
 }
 
 static void write_records(struct shard *shard)
 {
-    shard->dirty = false;
-    struct batch *batch = shard_batch_new(shard);
-    shard_batch_fill(batch);
-    guint writes = txn_writes(batch->txn);
+    shard->is_dirty = false;
+    struct record_batch *batch = record_batch_new(shard);
+    record_batch_fill(batch);
+    guint writes = txn_write_count(batch->txn);
     if (!writes) {
-        batch_drop(batch);
+        discard_batch(batch);
         return;
     }
-    shard->write_level -= writes;
-    shard->waits.writes += writes;
-    shard->txn_out = true;
-    store_txn(shard->store, LANE_URGENT, batch->txn, shard_batch_answered, batch);
+    shard->write_budget -= writes;
+    shard->write_waits.writes += writes;
+    shard->txn_in_flight = true;
+    kv_client_commit(shard->kv, KV_LANE_URGENT, batch->txn, record_batch_handle_outcome, batch);
 }
 
 void shard_flush(void *arg)
 {
     struct shard *shard = arg;
-    if (shard->txn_out || !may_write(shard))
+    if (shard->txn_in_flight || !may_write(shard))
         return;
-    bool split = shard_split_due(shard);
-    bool inventory = shard_inventory_due(shard);
-    if (!shard->dirty && !split && !inventory)
+    bool split_due = shard_split_due(shard);
+    bool inventory_due = shard_inventory_due(shard);
+    if (!shard->is_dirty && !split_due && !inventory_due)
         return;
-    if (!write_due(shard) || (split && shard_split(shard)))
+    if (!has_write_budget(shard) || (split_due && shard_split(shard)))
         return;
-    if (inventory)
-        shard_inventory(shard);
+    if (inventory_due)
+        shard_inventory_write(shard);
     else
         write_records(shard);
 }
--- a/src/shard/run_records_internal.h
+++ b/src/shard/run_records_internal.h
@@ -5,78 +5,78 @@
 
 #include "shard_internal.h"
 
-/* One of this node's pages: see page.h. */
+/* One of this node's pages: see record_page_codec.h. */
 struct own_page {
-    revision stamp;
-    gsize bytes;      /* of its texts, as they were last written or seen, and what waits for it */
-    GArray *leftover; /* struct page_rec, of machines that are another node's now */
+    revision mod_revision;
+    gsize bytes; /* of its texts, as they were last written or seen, and what waits for it */
+    GArray *foreign_records; /* struct record_page_entry, of machines that are another node's now */
 };
 
-/* shard_record_pages.c: own pages and their room */
+/* run_records_pages.c: own pages and their room */
 
 /* How long the texts of a page may be together. */
-gsize shard_text_bytes(const struct shard *shard);
+gsize shard_max_page_bytes(const struct shard *shard);
 /* Whether those of a page are longer. */
-bool shard_page_long(const struct shard *shard, const struct page *page);
+bool shard_page_is_too_long(const struct shard *shard, const struct record_page *page);
 /* Whether nodes of version 0 may come to read what is written. They know of one page a machine, and
  * of marks that begin with their chunk. */
-bool shard_plain(const struct shard *shard);
+bool shard_uses_legacy_format(const struct shard *shard);
 /* Frees a struct own_page. */
-void shard_page_free(gpointer page);
+void own_page_free(gpointer page);
 /* This node's page with that number; makes it, and all before it. */
-struct own_page *shard_own_page(struct shard *shard, int number);
+struct own_page *shard_get_own_page(struct shard *shard, int page_number);
 /* The same as the view shows it; NULL: it does not. */
-struct page *shard_page_seen(struct shard *shard, int number);
+struct record_page *shard_find_replica_page(struct shard *shard, int page_number);
 /* Whether that is a page from when more was allowed: it is split before it can be written again. */
-bool shard_own_page_long(struct shard *shard, int number);
+bool shard_own_page_is_too_long(struct shard *shard, int page_number);
 /* Whether nothing is on it, nor waits for it. */
-bool shard_own_page_empty(struct shard *shard, int number);
+bool shard_own_page_is_empty(struct shard *shard, int page_number);
 /* The page of ours that a machine's records are on; -1: none. */
-int shard_page_of_host(const struct host *host);
+int shard_page_of_machine(const struct machine *machine);
 /* What a page says of a machine that has no record of its own yet; NULL: nothing. */
-const char *shard_host_about(struct host *host);
+const char *shard_machine_page_description(struct machine *machine);
 /* The record of a task on one of our machines. */
-struct page_rec shard_record_of(struct host *host, const struct run *run);
+struct record_page_entry shard_page_record_of(struct machine *machine, const struct task_run *run);
 /* Whether one more task can be recorded on the machine. Any page will do, unless a node that knows
  * of one page a machine may come to read it. */
-bool shard_record_has_room(struct shard *shard, struct host *host, job_id job);
+bool shard_can_record_run(struct shard *shard, struct machine *machine, job_id job);
 /* One more task, which is to be recorded. */
-void shard_record_new(struct shard *shard, struct host *host, job_id job);
+void shard_reserve_record(struct shard *shard, struct machine *machine, job_id job);
 /* Room on a page, for marks that are to come as well. */
-gsize shard_page_room(struct shard *shard, int number);
+gsize shard_page_free_bytes(struct shard *shard, int page_number);
 /* Some of it is taken. */
-void shard_page_keep(struct shard *shard, int number, gsize bytes);
+void shard_page_reserve(struct shard *shard, int page_number, gsize bytes);
 
-/* shard_record_sync.c: agreement with the view */
+/* run_records_reconcile.c: agreement with the view */
 
 /* Makes all pages and machines agree with the view. */
-void shard_records_sync(struct shard *shard);
+void shard_records_reconcile(struct shard *shard);
 /* Somebody wrote a page of ours: another owner took machines over, or it was us, with an answer
  * that got lost. */
-void shard_page_changed(struct shard *shard, const char *key);
+void shard_handle_page_changed(struct shard *shard, const char *key);
 
-/* shard_record_draft.c: texts of pages */
+/* page_draft.c: texts of pages */
 
 /* Writes a page as it should be, on condition that it is as it was at the stamp. */
-void shard_page_set(struct txn *txn, const char *key, revision stamp, const char *tasks,
-                    const char *done);
+void shard_txn_set_page(struct txn *txn, const char *key, revision mod_revision, const char *tasks,
+                        const char *completions);
 
-/* shard_record_flush.c: when records are written */
+/* run_records_flush.c: when records are written */
 
 /* Looks for what there is to be written, in a moment. */
-void shard_flush_soon(struct shard *shard);
+void shard_request_flush(struct shard *shard);
 /* What is on record, or is to be, has changed. */
-void shard_dirty(struct shard *shard);
+void shard_mark_dirty(struct shard *shard);
 /* Writes what has changed, if that is due; arg: the struct shard. */
 void shard_flush(void *arg);
 /* A transaction with the conditions of all that this node writes of records. */
-struct txn *shard_txn(struct shard *shard);
+struct txn *shard_txn_new(struct shard *shard);
 /* A write of ours other than of a batch is over; ok: the view shows what became of it. */
-void shard_write_over(struct shard *shard, uint64_t generation, bool ok);
+void shard_finish_write(struct shard *shard, uint64_t generation, bool ok);
 
-/* shard_record_outcome.c: what became of them */
+/* record_batch_outcome.c: what became of them */
 
 /* Logs how long starts and ends waited for their records since it last did. */
-void shard_log_waits(struct shard *shard);
+void shard_log_write_waits(struct shard *shard);
 
 #endif
--- a/src/shard/run_records_pages.c
+++ b/src/shard/run_records_pages.c
@@ -2,119 +2,130 @@
 #include "run_records_internal.h"
 
 enum {
-    VALUE_BYTES = 32,   /* of a page's value besides its texts */
-    MOST_INDEX = 99999, /* a task's number, as long as it may get in a text */
+    VALUE_BYTES = 32,       /* of a page's value besides its texts */
+    MAX_TASK_INDEX = 99999, /* a task's number, as long as it may get in a text */
 };
 
-gsize shard_text_bytes(const struct shard *shard)
+gsize shard_max_page_bytes(const struct shard *shard)
 {
-    return store_limits(shard->store)->value_bytes - VALUE_BYTES;
+    return kv_client_limits(shard->kv)->max_value_bytes - VALUE_BYTES;
 }
 
-bool shard_page_long(const struct shard *shard, const struct page *page)
+bool shard_page_is_too_long(const struct shard *shard, const struct record_page *page)
 {
-    return page->bytes > shard_text_bytes(shard);
+    return page->size_bytes > shard_max_page_bytes(shard);
 }
 
-bool shard_plain(const struct shard *shard)
+bool shard_uses_legacy_format(const struct shard *shard)
 {
-    return !membership_all_understand(shard->members, NODE_VERSION_PIPELINES);
+    return !membership_all_nodes_support(shard->membership, NODE_VERSION_JOB_DAG);
 }
 
-void shard_page_free(gpointer q)
+void own_page_free(gpointer data)
 {
-    struct own_page *page = q;
-    g_array_unref(page->leftover);
+    struct own_page *page = data;
+    g_array_unref(page->foreign_records);
     g_free(page);
 }
 
-struct own_page *shard_own_page(struct shard *shard, int number)
+struct own_page *shard_get_own_page(struct shard *shard, int page_number)
 {
-    while ((int)shard->pages->len <= number) {
+    while ((int)shard->pages->len <= page_number) {
         struct own_page *page = g_new0(struct own_page, 1);
-        page->leftover = g_array_new(FALSE, FALSE, sizeof(struct page_rec));
+        page->foreign_records = g_array_new(FALSE, FALSE, sizeof(struct record_page_entry));
         g_ptr_array_add(shard->pages, page);
     }
-    return shard->pages->pdata[number];
+    return shard->pages->pdata[page_number];
 }
 
-struct page *shard_page_seen(struct shard *shard, int number)
+struct record_page *shard_find_replica_page(struct shard *shard, int page_number)
 {
-    char *key = key_page(shard->settings->label, number);
-    struct page *page = g_hash_table_lookup(shard->view->pages, key);
+    char *key = key_record_page(shard->settings->label, page_number);
+    struct record_page *page = g_hash_table_lookup(shard->replica->pages, key);
     g_free(key);
     return page;
 }
 
-bool shard_own_page_long(struct shard *shard, int number)
+bool shard_own_page_is_too_long(struct shard *shard, int page_number)
 {
-    struct page *page = shard_page_seen(shard, number);
-    return page && shard_page_long(shard, page);
+    struct record_page *page = shard_find_replica_page(shard, page_number);
+    return page && shard_page_is_too_long(shard, page);
 }
 
-bool shard_own_page_empty(struct shard *shard, int number)
+bool shard_own_page_is_empty(struct shard *shard, int page_number)
 {
-    return !shard_own_page(shard, number)->bytes && !shard_page_seen(shard, number) &&
-           !shard_own_page_long(shard, number);
+    return !shard_get_own_page(shard, page_number)->bytes &&
+           !shard_find_replica_page(shard, page_number) &&
+           !shard_own_page_is_too_long(shard, page_number);
 }
 
-int shard_page_of_host(const struct host *host)
+int shard_page_of_machine(const struct machine *machine)
 {
-    for (guint i = 0; i < host->runs->len; i++) {
-        const struct run *run = host->runs->pdata[i];
-        if (run->phase != RUN_GONE && run->record.page >= 0)
+    for (guint i = 0; i < machine->runs->len; i++) {
+        const struct task_run *run = machine->runs->pdata[i];
+        if (run->phase != TASK_RUN_RELEASED && run->record.page >= 0)
             return run->record.page;
     }
     return -1;
 }
 
-const char *shard_host_about(struct host *host)
+const char *shard_machine_page_description(struct machine *machine)
 {
-    if (host->stamp.v || host->described || host->inventory >= 0)
+    if (machine->mod_revision.value || machine->is_being_described ||
+        machine->inventory_number >= 0)
         return NULL;
-    if (!host->about)
-        host->about = machine_about(host->addr, host->type_name, host->zone, host->spot);
-    return host->about;
+    if (!machine->description)
+        machine->description = machine_description_encode(machine->address, machine->type_name,
+                                                          machine->zone, machine->is_spot);
+    return machine->description;
 }
 
-struct page_rec shard_record_of(struct host *host, const struct run *run)
+struct record_page_entry shard_page_record_of(struct machine *machine, const struct task_run *run)
 {
-    return (struct page_rec){host->id, run->job, run->attempt, run->index, shard_host_about(host)};
+    return (struct record_page_entry){machine->id, run->job, run->attempt, run->index,
+                                      shard_machine_page_description(machine)};
 }
 
-bool shard_record_has_room(struct shard *shard, struct host *host, job_id job)
+bool shard_can_record_run(struct shard *shard, struct machine *machine, job_id job)
 {
-    if (!shard_plain(shard))
+    if (!shard_uses_legacy_format(shard))
         return true;
-    for (guint i = 0; i < host->runs->len; i++)
-        if (((struct run *)host->runs->pdata[i])->record.foreign)
+    for (guint i = 0; i < machine->runs->len; i++)
+        if (((struct task_run *)machine->runs->pdata[i])->record.is_foreign)
             return false;
-    int page = shard_page_of_host(host);
-    if (page < 0)
+    int page_number = shard_page_of_machine(machine);
+    if (page_number < 0)
         return true;
-    struct page_rec record = {host->id, job, {UINT64_MAX}, MOST_INDEX, shard_host_about(host)};
-    return !shard_own_page_long(shard, page) &&
-           shard_own_page(shard, page)->bytes + page_cost(&record, false, false) <=
-               shard_text_bytes(shard);
+    struct record_page_entry record = {
+        machine->id, job, {UINT64_MAX}, MAX_TASK_INDEX, shard_machine_page_description(machine)};
+    return !shard_own_page_is_too_long(shard, page_number) &&
+           shard_get_own_page(shard, page_number)->bytes +
+                   record_page_entry_max_bytes(&record, false, false) <=
+               shard_max_page_bytes(shard);
 }
 
-void shard_record_new(struct shard *shard, struct host *host, job_id job)
+void shard_reserve_record(struct shard *shard, struct machine *machine, job_id job)
 {
-    int page = shard_page_of_host(host);
-    struct page_rec record = {host->id, job, {UINT64_MAX}, MOST_INDEX, shard_host_about(host)};
-    if (page >= 0)
-        shard_own_page(shard, page)->bytes += page_cost(&record, false, false);
-    shard_dirty(shard);
+    int page_number = shard_page_of_machine(machine);
+    struct record_page_entry record = {
+        machine->id, job, {UINT64_MAX}, MAX_TASK_INDEX, shard_machine_page_description(machine)};
+    if (page_number >= 0)
+        shard_get_own_page(shard, page_number)->bytes +=
+            record_page_entry_max_bytes(&record, false, false);
+    shard_mark_dirty(shard);
 }
 
-void shard_page_keep(struct shard *shard, int number, gsize bytes)
+void shard_page_reserve(struct shard *shard, int page_number, gsize bytes)
 {
-    shard_own_page(shard, number)->bytes += bytes;
+    shard_get_own_page(shard, page_number)->bytes += bytes;
 }
 
-gsize shard_page_room(struct shard *shard, int number)
+gsize shard_page_free_bytes(struct shard *shard, int page_number)
 {
-    gsize most = shard_text_bytes(shard),
-          used = shard_own_page(shard, number)->bytes + shard_marks_growth(shard, number);
-    return shard_own_page_long(shard, number) || used > most ? 0 : most - used;
+    gsize max_bytes = shard_max_page_bytes(shard),
+          used_bytes = shard_get_own_page(shard, page_number)->bytes +
+                       shard_completions_reserved_bytes(shard, page_number);
+    return shard_own_page_is_too_long(shard, page_number) || used_bytes > max_bytes
+               ? 0
+               : max_bytes - used_bytes;
 }
--- a/src/shard/run_records_reconcile.c
+++ b/src/shard/run_records_reconcile.c
@@ -3,56 +3,56 @@
 #include "run_records_internal.h"
 
 /* One page of ours as the view shows it. */
-static void page_sync(struct shard *shard, int number)
+static void reconcile_page(struct shard *shard, int page_number)
 {
-    struct own_page *page = shard_own_page(shard, number);
-    struct page *seen = shard_page_seen(shard, number);
-    page->stamp = seen ? seen->stamp : (revision){0};
-    g_array_set_size(page->leftover, 0);
-    for (guint i = 0; seen && i < seen->tasks->len; i++) {
-        struct placed *placed = seen->tasks->pdata[i];
-        if (shard_host_get(shard, placed->host->id.s))
+    struct own_page *page = shard_get_own_page(shard, page_number);
+    struct record_page *replica_page = shard_find_replica_page(shard, page_number);
+    page->mod_revision = replica_page ? replica_page->mod_revision : (revision){0};
+    g_array_set_size(page->foreign_records, 0);
+    for (guint i = 0; replica_page && i < replica_page->run_records->len; i++) {
+        struct run_record *run_record = replica_page->run_records->pdata[i];
+        if (shard_find_machine(shard, run_record->machine->id.text))
             continue;
-        struct page_rec record = {placed->host->id, placed->job->id, placed->attempt, placed->index,
-                                  NULL};
-        g_array_append_val(page->leftover, record);
+        struct record_page_entry record = {run_record->machine->id, run_record->job->id,
+                                           run_record->attempt, run_record->task_index, NULL};
+        g_array_append_val(page->foreign_records, record);
     }
-    if (seen && seen->done)
-        shard_marks_read(shard, seen->done, number);
-    page->bytes = seen ? seen->bytes : 0;
+    if (replica_page && replica_page->completions_text)
+        shard_completions_read(shard, replica_page->completions_text, page_number);
+    page->bytes = replica_page ? replica_page->size_bytes : 0;
 }
 
 /* Records of our machines as the view shows them, on one page or (-1) on all. */
-static void hosts_sync(struct shard *shard, int page)
+static void reconcile_machines(struct shard *shard, int page_number)
 {
-    GHashTableIter it;
-    struct host *host;
-    g_hash_table_iter_init(&it, shard->hosts);
-    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&host))
-        shard_host_sync(shard, host, page);
-    shard->dirty = true;
+    GHashTableIter iter;
+    struct machine *machine;
+    g_hash_table_iter_init(&iter, shard->machines);
+    while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&machine))
+        shard_machine_reconcile(shard, machine, page_number);
+    shard->is_dirty = true;
 }
 
-void shard_records_sync(struct shard *shard)
+void shard_records_reconcile(struct shard *shard)
 {
-    GHashTableIter it;
-    struct page *page;
-    g_hash_table_iter_init(&it, shard->view->pages);
-    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&page))
+    GHashTableIter iter;
+    struct record_page *page;
+    g_hash_table_iter_init(&iter, shard->replica->pages);
+    while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&page))
         if (strcmp(page->label, shard->settings->label) == 0)
-            shard_own_page(shard, page->number);
+            shard_get_own_page(shard, page->number);
     for (guint i = 0; i < shard->pages->len; i++)
-        page_sync(shard, (int)i);
-    shard_inventories_sync(shard);
-    hosts_sync(shard, -1);
+        reconcile_page(shard, (int)i);
+    shard_inventories_reconcile(shard);
+    reconcile_machines(shard, -1);
 }
 
-void shard_page_changed(struct shard *shard, const char *key)
+void shard_handle_page_changed(struct shard *shard, const char *key)
 {
-    struct page *page = g_hash_table_lookup(shard->view->pages, key);
-    if (shard->txn_out || !page || strcmp(page->label, shard->settings->label) != 0 ||
-        page->stamp.v <= shard_own_page(shard, page->number)->stamp.v)
+    struct record_page *page = g_hash_table_lookup(shard->replica->pages, key);
+    if (shard->txn_in_flight || !page || strcmp(page->label, shard->settings->label) != 0 ||
+        page->mod_revision.value <= shard_get_own_page(shard, page->number)->mod_revision.value)
         return;
-    page_sync(shard, page->number);
-    hosts_sync(shard, page->number);
+    reconcile_page(shard, page->number);
+    reconcile_machines(shard, page->number);
 }
--- a/src/shard/shard.c
+++ b/src/shard/shard.c
@@ -4,152 +4,155 @@
 
 enum {
     TICK_MS = 250,
-    DIGEST_MS = 1000,
-    LAPSED_MS = 20000,
-    WHOLE_EVERY = 15, /* digests: one that names all machines */
+    STATUS_INTERVAL_MS = 1000,
+    LEASE_EXPIRED_MARGIN_MS = 20000,
+    FULL_STATUS_INTERVAL = 15, /* digests: one that names all machines */
 };
 
-static void shard_view(struct shard *shard, const GArray *changes);
-static void apply_job_change(struct shard *shard, job_id id);
-static void digest(void *arg);
-static void tick(void *arg);
-static int on_deal(void *ctx, const char *from, const cJSON *m, cJSON **answer);
+static void handle_replica_events(struct shard *shard, const GArray *changes);
+static void stop_runs_if_job_over(struct shard *shard, job_id id);
+static void send_status(void *arg);
+static void handle_tick(void *arg);
+static int handle_dispatch_message(void *ctx, const char *from, const cJSON *message,
+                                   cJSON **answer);
 
-static void receive(struct actor *self, const struct message *message)
+static void handle_message(struct actor *self, const struct message *message)
 {
-    if (message->kind == MSG_VIEW)
-        shard_view((struct shard *)self, message->body);
+    if (message->kind == MSG_REPLICA)
+        handle_replica_events((struct shard *)self, message->body);
     if (message->kind == MSG_CANCELLED)
-        apply_job_change((struct shard *)self, *(job_id *)message->body);
+        stop_runs_if_job_over((struct shard *)self, *(job_id *)message->body);
 }
 
-static void host_free(gpointer q)
+static void machine_free(gpointer q)
 {
-    struct host *host = q;
-    g_ptr_array_unref(host->runs);
-    g_ptr_array_unref(host->images);
-    g_array_unref(host->unknown_tasks);
-    g_free(host->about);
-    g_free(host);
+    struct machine *machine = q;
+    g_ptr_array_unref(machine->runs);
+    g_ptr_array_unref(machine->image_cache);
+    g_array_unref(machine->unknown_tasks);
+    g_free(machine->description);
+    g_free(machine);
 }
 
-static void delete_json(gpointer q)
+static void free_json(gpointer data)
 {
-    cJSON_Delete(q);
+    cJSON_Delete(data);
 }
 
 struct shard *shard_new(const struct shard_setup *setup)
 {
     struct shard *shard = g_new0(struct shard, 1);
-    shard->actor = (struct actor){"part", receive};
+    shard->actor = (struct actor){"part", handle_message};
     shard->loop = setup->loop;
     shard->net = setup->net;
-    shard->store = setup->store;
-    shard->view = setup->view;
-    shard->members = setup->members;
-    shard->bus = setup->bus;
+    shard->kv = setup->store;
+    shard->replica = setup->view;
+    shard->membership = setup->members;
+    shard->node_rpc = setup->bus;
     shard->peers = setup->peers;
     shard->settings = setup->settings;
     shard->redirects = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     shard->returned_machines = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    shard->returned_machines_before = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    shard->closed_for_return = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    shard->hosts = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, host_free);
+    shard->older_returned_machines = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    shard->cordoned_for_return = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    shard->machines = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, machine_free);
     for (int i = 0; i <= ARQ_CLASSES; i++)
         g_queue_init(&shard->queues[i]);
-    shard->back = g_array_new(FALSE, FALSE, sizeof(struct dealt));
-    shard->events = g_ptr_array_new_with_free_func(delete_json);
-    shard->pages = g_ptr_array_new_with_free_func(shard_page_free);
+    shard->rejected_dispatches = g_array_new(FALSE, FALSE, sizeof(struct dispatch));
+    shard->leader_events = g_ptr_array_new_with_free_func(free_json);
+    shard->pages = g_ptr_array_new_with_free_func(own_page_free);
     shard->inventories = g_ptr_array_new_with_free_func(g_free);
-    shard->done = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, shard_done_free);
-    shard->roomy = g_ptr_array_new();
-    shard->nones = g_array_new(FALSE, FALSE, sizeof(struct lack));
-    shard->write_at = loop_now(shard->loop);
-    timer_init(&shard->tick, tick, shard);
-    timer_init(&shard->flush, shard_flush, shard);
-    timer_init(&shard->digest, digest, shard);
-    timer_init(&shard->place, shard_place_all, shard);
-    view_listen(shard->view, &shard->actor);
-    peers_listen(shard->peers, &shard->actor);
-    bus_handle(shard->bus, "deal", on_deal, shard);
+    shard->completion_units =
+        g_hash_table_new_full(g_str_hash, g_str_equal, g_free, shard_completion_units_free);
+    shard->available_machines = g_ptr_array_new();
+    shard->unschedulable = g_array_new(FALSE, FALSE, sizeof(struct unschedulable));
+    shard->write_budget_at = loop_now(shard->loop);
+    timer_init(&shard->tick_timer, handle_tick, shard);
+    timer_init(&shard->flush_timer, shard_flush, shard);
+    timer_init(&shard->status_timer, send_status, shard);
+    timer_init(&shard->placement_timer, shard_place_tasks, shard);
+    replica_add_listener(shard->replica, &shard->actor);
+    cancel_broadcast_set_listener(shard->peers, &shard->actor);
+    node_rpc_register(shard->node_rpc, "deal", handle_dispatch_message, shard);
     return shard;
 }
 
-static void drop_queues(struct shard *shard)
+static void clear_queues(struct shard *shard)
 {
     for (int i = 0; i <= ARQ_CLASSES; i++)
         while (shard->queues[i].head)
             g_free(g_queue_pop_head(&shard->queues[i]));
-    g_array_set_size(shard->back, 0);
+    g_array_set_size(shard->rejected_dispatches, 0);
 }
 
 void shard_free(struct shard *shard)
 {
-    timer_stop(shard->loop, &shard->tick);
-    timer_stop(shard->loop, &shard->flush);
-    timer_stop(shard->loop, &shard->digest);
-    timer_stop(shard->loop, &shard->place);
-    drop_queues(shard);
-    g_hash_table_unref(shard->hosts);
-    g_hash_table_unref(shard->done);
+    timer_stop(shard->loop, &shard->tick_timer);
+    timer_stop(shard->loop, &shard->flush_timer);
+    timer_stop(shard->loop, &shard->status_timer);
+    timer_stop(shard->loop, &shard->placement_timer);
+    clear_queues(shard);
+    g_hash_table_unref(shard->machines);
+    g_hash_table_unref(shard->completion_units);
     g_ptr_array_unref(shard->pages);
     g_ptr_array_unref(shard->inventories);
     g_hash_table_unref(shard->redirects);
     g_hash_table_unref(shard->returned_machines);
-    g_hash_table_unref(shard->returned_machines_before);
-    g_hash_table_unref(shard->closed_for_return);
-    g_array_unref(shard->back);
-    g_ptr_array_unref(shard->events);
-    g_ptr_array_unref(shard->roomy);
-    g_array_unref(shard->nones);
+    g_hash_table_unref(shard->older_returned_machines);
+    g_hash_table_unref(shard->cordoned_for_return);
+    g_array_unref(shard->rejected_dispatches);
+    g_ptr_array_unref(shard->leader_events);
+    g_ptr_array_unref(shard->available_machines);
+    g_array_unref(shard->unschedulable);
     g_free(shard);
 }
 
 void shard_start(struct shard *shard)
 {
-    timer_start(shard->loop, &shard->tick, TICK_MS);
-    timer_start(shard->loop, &shard->digest, DIGEST_MS);
+    timer_start(shard->loop, &shard->tick_timer, TICK_MS);
+    timer_start(shard->loop, &shard->status_timer, STATUS_INTERVAL_MS);
 }
 
-void shard_digest_soon(struct shard *shard)
+void shard_request_status(struct shard *shard)
 {
-    shard->digest_soon = true;
-    if (!shard->digest_out)
-        timer_start(shard->loop, &shard->digest, 15);
+    shard->status_requested = true;
+    if (!shard->status_in_flight)
+        timer_start(shard->loop, &shard->status_timer, 15);
 }
 
 /* ---- the leader ---- */
 
-static void deal_one(struct shard *shard, const cJSON *x)
+static void enqueue_dispatch(struct shard *shard, const cJSON *item)
 {
-    const char *zone = bus_text(x, "y"), *at = bus_text(x, "h");
-    struct dealt dealt = {0};
-    if (!bus_task_read(x, &dealt.job, &dealt.index, &dealt.attempt)) {
-        LOG_ERROR("deal_malformed", "at=%s", at ? at : "");
+    const char *zone = node_rpc_get_text(item, "y"), *bound_machine = node_rpc_get_text(item, "h");
+    struct dispatch dispatch = {0};
+    if (!node_rpc_decode_task(item, &dispatch.job, &dispatch.index, &dispatch.attempt)) {
+        LOG_ERROR("deal_malformed", "at=%s", bound_machine ? bound_machine : "");
         return;
     }
-    bus_u64(x, "n", &dealt.number);
-    g_strlcpy(dealt.zone, zone ? zone : "", sizeof dealt.zone);
-    g_strlcpy(dealt.at, at ? at : "", sizeof dealt.at);
-    dealt.since = dealt.queue_since = loop_now(shard->loop);
-    shard->room_changed = true;
-    g_queue_push_tail(&shard->queues[0], g_memdup2(&dealt, sizeof dealt));
+    node_rpc_get_u64(item, "n", &dispatch.number);
+    g_strlcpy(dispatch.zone, zone ? zone : "", sizeof dispatch.zone);
+    g_strlcpy(dispatch.bound_machine, bound_machine ? bound_machine : "",
+              sizeof dispatch.bound_machine);
+    dispatch.dispatched_at = dispatch.queued_at = loop_now(shard->loop);
+    shard->capacity_changed = true;
+    g_queue_push_tail(&shard->queues[0], g_memdup2(&dispatch, sizeof dispatch));
 }
 
-static void halt_one(struct shard *shard, const cJSON *x)
+static void stop_task(struct shard *shard, const cJSON *item)
 {
-    const char *host = bus_text(x, "h");
-    const cJSON *grace = cJSON_GetObjectItemCaseSensitive(x, "g");
+    const char *machine_name = node_rpc_get_text(item, "h");
+    const cJSON *grace = cJSON_GetObjectItemCaseSensitive(item, "g");
     job_id job;
     uint32_t index;
     attempt_no attempt;
-    struct host *h = host ? shard_host_get(shard, host) : NULL;
-    if (!h || !bus_task_read(x, &job, &index, &attempt))
+    struct machine *machine = machine_name ? shard_find_machine(shard, machine_name) : NULL;
+    if (!machine || !node_rpc_decode_task(item, &job, &index, &attempt))
         return;
-    struct run *run = shard_run_find(h, job, index, attempt);
+    struct task_run *run = shard_run_find(machine, job, index, attempt);
     if (run) {
         shard_run_stop(run, cJSON_IsNumber(grace) ? grace->valuedouble : 0);
-        shard_push(shard, h);
+        shard_push_commands(shard, machine);
     }
 }
 
@@ -157,72 +160,76 @@
  * the leader, which would take it for dealt for ever. If it may be recorded by a transaction that
  * nobody knows the end of, only a new epoch settles it; keep_tried: it stays until that is known.
  */
-static void drop_news(struct shard *shard, struct host *host, bool keep_tried)
+static void reject_unrecorded_runs(struct shard *shard, struct machine *machine,
+                                   bool keep_undecided)
 {
-    for (guint i = 0; i < host->runs->len;) {
-        struct run *run = host->runs->pdata[i];
-        if (run->phase != RUN_NEW || run->record.in_txn || (keep_tried && run->record.tried)) {
+    for (guint i = 0; i < machine->runs->len;) {
+        struct task_run *run = machine->runs->pdata[i];
+        if (run->phase != TASK_RUN_PLACED || run->record.is_in_txn ||
+            (keep_undecided && run->record.may_be_recorded)) {
             i++;
             continue;
         }
-        struct dealt dealt = {
-            .job = run->job, .index = run->index, .attempt = run->attempt, .number = run->deal};
-        if (run->record.tried)
-            shard->want_raise = true;
+        struct dispatch dispatch = {.job = run->job,
+                                    .index = run->index,
+                                    .attempt = run->attempt,
+                                    .number = run->dispatch_number};
+        if (run->record.may_be_recorded)
+            shard->wants_epoch_raise = true;
         else
-            shard_give_back(shard, &dealt);
-        shard_run_remove(shard, host, i);
+            shard_reject_dispatch(shard, &dispatch);
+        shard_run_remove(shard, machine, i);
     }
 }
 
 /* Late copies of its reports must not make it a machine again. The oldest of very many are
  * forgotten. */
-static void bury(struct shard *shard, const char *id)
+static void remember_returned_machine(struct shard *shard, const char *machine_name)
 {
-    if (g_hash_table_size(shard->returned_machines) >= REMEMBERED_MACHINES) {
-        GHashTable *older = shard->returned_machines_before;
-        shard->returned_machines_before = shard->returned_machines;
-        shard->returned_machines = older;
+    if (g_hash_table_size(shard->returned_machines) >= MAX_TRACKED_MACHINES) {
+        GHashTable *recycled = shard->older_returned_machines;
+        shard->older_returned_machines = shard->returned_machines;
+        shard->returned_machines = recycled;
         g_hash_table_remove_all(shard->returned_machines);
     }
-    g_hash_table_add(shard->returned_machines, g_strdup(id));
+    g_hash_table_add(shard->returned_machines, g_strdup(machine_name));
 }
 
-bool shard_machine_was_returned(const struct shard *shard, const char *id)
+bool shard_machine_was_returned(const struct shard *shard, const char *machine_name)
 {
-    return g_hash_table_contains(shard->returned_machines, id) ||
-           g_hash_table_contains(shard->returned_machines_before, id);
+    return g_hash_table_contains(shard->returned_machines, machine_name) ||
+           g_hash_table_contains(shard->older_returned_machines, machine_name);
 }
 
-static void host_is_gone(struct shard *shard, const char *id)
+static void handle_machine_gone(struct shard *shard, const char *machine_name)
 {
-    struct host *host = shard_host_get(shard, id);
-    bury(shard, id);
-    if (!host || host->gone)
+    struct machine *machine = shard_find_machine(shard, machine_name);
+    remember_returned_machine(shard, machine_name);
+    if (!machine || machine->is_gone)
         return;
-    LOG_INFO("machine_gone", "machine=%s", id);
-    host->gone = true;
-    shard_inventory_lost(shard, host);
-    drop_news(shard, host, false);
-    shard_free_all_runs(shard, host, "returned");
-    if (host->stamp.v || host->in_txn || shard_host_has_run(host)) {
-        shard_dirty(shard);
+    LOG_INFO("machine_gone", "machine=%s", machine_name);
+    machine->is_gone = true;
+    shard_inventory_drop_machine(shard, machine);
+    reject_unrecorded_runs(shard, machine, false);
+    shard_end_all_runs(shard, machine, "returned");
+    if (machine->mod_revision.value || machine->is_in_txn || shard_machine_has_runs(machine)) {
+        shard_mark_dirty(shard);
     } else {
-        g_hash_table_remove(shard->hosts, id);
+        g_hash_table_remove(shard->machines, machine_name);
     }
 }
 
 /* Whether a machine is to be returned: nothing is placed on it any more. */
-bool shard_machine_returning(const struct shard *shard, const char *id)
+bool shard_machine_is_returning(const struct shard *shard, const char *machine_name)
 {
-    return g_hash_table_contains(shard->closed_for_return, id) ||
-           duty_table_returning(shard->view->duties, id);
+    return g_hash_table_contains(shard->cordoned_for_return, machine_name) ||
+           role_records_is_scaling_in(shard->replica->singleton_roles, machine_name);
 }
 
-static bool has_unrecorded_run(const struct host *host)
+static bool has_unrecorded_run(const struct machine *machine)
 {
-    for (guint i = 0; i < host->runs->len; i++)
-        if (((const struct run *)host->runs->pdata[i])->phase == RUN_NEW)
+    for (guint i = 0; i < machine->runs->len; i++)
+        if (((const struct task_run *)machine->runs->pdata[i])->phase == TASK_RUN_PLACED)
             return true;
     return false;
 }
@@ -231,355 +238,366 @@
  * nothing more there, nothing may: what was placed and is not on record goes back to the leader,
  * or, if a transaction may record it, is waited for, and the leader asks again. A later owner sees
  * the intent in its view before it owns the machine, as that is conditioned on the map. */
-static void close_for_return(struct shard *shard, const char *id, cJSON *closed)
+static void cordon_for_return(struct shard *shard, const char *machine_name, cJSON *confirmed)
 {
-    g_hash_table_add(shard->closed_for_return, g_strdup(id));
-    struct host *host = shard_host_get(shard, id);
-    if (host) {
-        host->returning = true;
-        drop_news(shard, host, true);
+    g_hash_table_add(shard->cordoned_for_return, g_strdup(machine_name));
+    struct machine *machine = shard_find_machine(shard, machine_name);
+    if (machine) {
+        machine->is_returning = true;
+        reject_unrecorded_runs(shard, machine, true);
     }
-    if (!host || !has_unrecorded_run(host))
-        cJSON_AddItemToArray(closed, cJSON_CreateString(id));
+    if (!machine || !has_unrecorded_run(machine))
+        cJSON_AddItemToArray(confirmed, cJSON_CreateString(machine_name));
 }
 
 /* Messages come in an order, counted within an epoch. A copy that was held back must not deal a
  * task once more after it was given back. */
-static int on_deal(void *ctx, const char *from, const cJSON *m, cJSON **answer)
+static int handle_dispatch_message(void *ctx, const char *from, const cJSON *message,
+                                   cJSON **answer)
 {
     struct shard *shard = ctx;
-    uint64_t epoch, seq;
-    if (!bus_u64(m, "e", &epoch) || !bus_u64(m, "s", &seq))
+    uint64_t epoch, sequence;
+    if (!node_rpc_get_u64(message, "e", &epoch) || !node_rpc_get_u64(message, "s", &sequence))
         return 400;
-    if (epoch != shard->epoch.v || !membership_valid(shard->members) || !shard->view->leader ||
-        strcmp(shard->view->leader, from) != 0)
+    if (epoch != shard->epoch.value || !membership_has_valid_lease(shard->membership) ||
+        !shard->replica->leader_label || strcmp(shard->replica->leader_label, from) != 0)
         return 409;
-    if (seq <= shard->last_deal)
+    if (sequence <= shard->last_dispatch_sequence)
         return 200;
-    shard->last_deal = seq;
-    const cJSON *x, *close = cJSON_GetObjectItemCaseSensitive(m, "close");
-    if (close) {
+    shard->last_dispatch_sequence = sequence;
+    const cJSON *item, *to_cordon = cJSON_GetObjectItemCaseSensitive(message, "close");
+    if (to_cordon) {
         *answer = cJSON_CreateObject();
-        cJSON *closed = cJSON_AddArrayToObject(*answer, "closed");
-        cJSON_ArrayForEach(x, close)
+        cJSON *confirmed = cJSON_AddArrayToObject(*answer, "closed");
+        cJSON_ArrayForEach(item, to_cordon)
         {
-            if (cJSON_IsString(x))
-                close_for_return(shard, x->valuestring, closed);
+            if (cJSON_IsString(item))
+                cordon_for_return(shard, item->valuestring, confirmed);
         }
     }
-    cJSON_ArrayForEach(x, cJSON_GetObjectItemCaseSensitive(m, "gone"))
+    cJSON_ArrayForEach(item, cJSON_GetObjectItemCaseSensitive(message, "gone"))
     {
-        if (cJSON_IsString(x))
-            host_is_gone(shard, x->valuestring);
+        if (cJSON_IsString(item))
+            handle_machine_gone(shard, item->valuestring);
     }
-    cJSON_ArrayForEach(x, cJSON_GetObjectItemCaseSensitive(m, "halt")) halt_one(shard, x);
-    cJSON_ArrayForEach(x, cJSON_GetObjectItemCaseSensitive(m, "deal")) deal_one(shard, x);
-    shard_place_all(shard);
+    cJSON_ArrayForEach(item, cJSON_GetObjectItemCaseSensitive(message, "halt"))
+        stop_task(shard, item);
+    cJSON_ArrayForEach(item, cJSON_GetObjectItemCaseSensitive(message, "deal"))
+        enqueue_dispatch(shard, item);
+    shard_place_tasks(shard);
     return 200;
 }
 
-struct digest_sent {
+struct status_request {
     struct shard *shard;
     uint64_t generation;
-    guint back, events;
+    guint rejected_count, event_count;
 };
 
 /* The leader names the machines that are to get nothing more. */
-static void apply_closed_machines(struct shard *shard, const cJSON *names)
+static void apply_cordoned_machines(struct shard *shard, const cJSON *names)
 {
-    GHashTableIter it;
-    struct host *host;
-    g_hash_table_iter_init(&it, shard->hosts);
-    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&host))
-        host->closed = false;
-    const cJSON *x;
-    cJSON_ArrayForEach(x, names)
+    GHashTableIter iter;
+    struct machine *machine;
+    g_hash_table_iter_init(&iter, shard->machines);
+    while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&machine))
+        machine->is_cordoned = false;
+    const cJSON *item;
+    cJSON_ArrayForEach(item, names)
     {
-        host = cJSON_IsString(x) ? shard_host_get(shard, x->valuestring) : NULL;
-        if (host)
-            host->closed = true;
+        machine = cJSON_IsString(item) ? shard_find_machine(shard, item->valuestring) : NULL;
+        if (machine)
+            machine->is_cordoned = true;
     }
-    shard->room_changed = true;
+    shard->capacity_changed = true;
 }
 
-static void digest_answered(void *arg, int status, const cJSON *answer)
+static void handle_status_answer(void *arg, int status, const cJSON *answer)
 {
-    struct digest_sent *sent = arg;
-    struct shard *shard = sent->shard;
-    shard->digest_out = false;
-    if (status == 200 && sent->generation == shard->generation) {
-        g_array_remove_range(shard->back, 0, sent->back);
-        g_ptr_array_remove_range(shard->events, 0, sent->events);
-        shard->want_raise = false;
-        apply_closed_machines(shard, cJSON_GetObjectItemCaseSensitive(answer, "shut"));
+    struct status_request *request = arg;
+    struct shard *shard = request->shard;
+    shard->status_in_flight = false;
+    if (status == 200 && request->generation == shard->generation) {
+        g_array_remove_range(shard->rejected_dispatches, 0, request->rejected_count);
+        g_ptr_array_remove_range(shard->leader_events, 0, request->event_count);
+        shard->wants_epoch_raise = false;
+        apply_cordoned_machines(shard, cJSON_GetObjectItemCaseSensitive(answer, "shut"));
     } else {
-        shard->digest_whole = true;
+        shard->next_status_is_full = true;
     }
-    timer_start(shard->loop, &shard->digest,
-                shard->digest_soon ? 15
-                : status == 200    ? DIGEST_MS
-                                   : 250);
-    g_free(sent);
+    timer_start(shard->loop, &shard->status_timer,
+                shard->status_requested ? 15
+                : status == 200         ? STATUS_INTERVAL_MS
+                                        : 250);
+    g_free(request);
 }
 
-static int host_flags(struct shard *shard, struct host *host)
+static int machine_flags(struct shard *shard, struct machine *machine)
 {
-    int64_t age = time_ms_since(loop_now(shard->loop), host->reached);
-    int f = 0;
-    if (host->known)
-        f |= HOST_KNOWN;
-    if (host->reclaimed)
-        f |= HOST_RECLAIMED;
-    if (!shard_host_open(shard, host))
-        f |= HOST_QUIET;
-    if (host->probe_fails >= 2 && age > (int64_t)(shard->settings->report_s * 2500))
-        f |= HOST_LOST;
-    if ((f & HOST_LOST) && age > (int64_t)(shard->settings->lease_s * 1000) + LAPSED_MS &&
-        (time_ms_since(loop_now(shard->loop), host->heard) <
+    int64_t unreached_ms = time_ms_since(loop_now(shard->loop), machine->last_reached_at);
+    int flags = 0;
+    if (machine->has_reported)
+        flags |= MACHINE_KNOWN;
+    if (machine->is_reclaimed)
+        flags |= MACHINE_RECLAIMED;
+    if (!shard_machine_is_available(shard, machine))
+        flags |= MACHINE_UNAVAILABLE;
+    if (machine->probe_failures >= 2 &&
+        unreached_ms > (int64_t)(shard->settings->heartbeat_interval_s * 2500))
+        flags |= MACHINE_UNREACHABLE;
+    if ((flags & MACHINE_UNREACHABLE) &&
+        unreached_ms > (int64_t)(shard->settings->lease_s * 1000) + LEASE_EXPIRED_MARGIN_MS &&
+        (time_ms_since(loop_now(shard->loop), machine->last_heartbeat_at) <
              (int64_t)(shard->settings->lease_s * 1000) ||
-         shard_lease_surely_over(shard, host))) /* else another node may keep it */
-        f |= HOST_LAPSED;
-    return f;
+         shard_lease_has_expired(shard, machine))) /* else another node may keep it */
+        flags |= MACHINE_LEASE_EXPIRED;
+    return flags;
 }
 
 /* [name, type, zone, spot, flags, images]; images only when they changed. */
-static cJSON *digest_host(struct host *host, int flags, bool whole)
+static cJSON *encode_machine_status(struct machine *machine, int flags, bool is_full)
 {
-    cJSON *x = cJSON_CreateArray();
-    cJSON_AddItemToArray(x, cJSON_CreateString(host->id.s));
-    cJSON_AddItemToArray(x, cJSON_CreateString(host->type_name));
-    cJSON_AddItemToArray(x, cJSON_CreateString(host->zone));
-    cJSON_AddItemToArray(x, cJSON_CreateBool(host->spot));
-    cJSON_AddItemToArray(x, cJSON_CreateNumber(flags));
-    if (whole || !host->told_images) {
+    cJSON *item = cJSON_CreateArray();
+    cJSON_AddItemToArray(item, cJSON_CreateString(machine->id.text));
+    cJSON_AddItemToArray(item, cJSON_CreateString(machine->type_name));
+    cJSON_AddItemToArray(item, cJSON_CreateString(machine->zone));
+    cJSON_AddItemToArray(item, cJSON_CreateBool(machine->is_spot));
+    cJSON_AddItemToArray(item, cJSON_CreateNumber(flags));
+    if (is_full || !machine->has_sent_images) {
         cJSON *images = cJSON_CreateArray();
-        for (guint i = 0; i < host->images->len; i++)
-            cJSON_AddItemToArray(images, cJSON_CreateString(host->images->pdata[i]));
-        cJSON_AddItemToArray(x, images);
+        for (guint i = 0; i < machine->image_cache->len; i++)
+            cJSON_AddItemToArray(images, cJSON_CreateString(machine->image_cache->pdata[i]));
+        cJSON_AddItemToArray(item, images);
     }
-    host->told_flags = flags;
-    host->told_images = true;
-    return x;
+    machine->sent_status_flags = flags;
+    machine->has_sent_images = true;
+    return item;
 }
 
-static void digest_hosts(struct shard *shard, cJSON *message)
+static void encode_machine_statuses(struct shard *shard, cJSON *message)
 {
-    bool whole = shard->digest_whole || shard->digests++ % WHOLE_EVERY == 0;
-    if (whole)
-        shard_log_waits(shard);
-    cJSON *hosts = cJSON_AddArrayToObject(message, "hosts");
-    if (whole)
+    bool is_full = shard->next_status_is_full || shard->status_count++ % FULL_STATUS_INTERVAL == 0;
+    if (is_full)
+        shard_log_write_waits(shard);
+    cJSON *statuses = cJSON_AddArrayToObject(message, "hosts");
+    if (is_full)
         cJSON_AddTrueToObject(message, "whole");
-    shard->digest_whole = false;
-    GHashTableIter it;
-    struct host *host;
-    g_hash_table_iter_init(&it, shard->hosts);
-    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&host)) {
-        int flags = host_flags(shard, host);
-        if (!host->gone && host->type_name[0] &&
-            (whole || flags != host->told_flags || !host->told_images))
-            cJSON_AddItemToArray(hosts, digest_host(host, flags, whole));
+    shard->next_status_is_full = false;
+    GHashTableIter iter;
+    struct machine *machine;
+    g_hash_table_iter_init(&iter, shard->machines);
+    while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&machine)) {
+        int flags = machine_flags(shard, machine);
+        if (!machine->is_gone && machine->type_name[0] &&
+            (is_full || flags != machine->sent_status_flags || !machine->has_sent_images))
+            cJSON_AddItemToArray(statuses, encode_machine_status(machine, flags, is_full));
     }
 }
 
-static void digest(void *arg)
+static void send_status(void *arg)
 {
     struct shard *shard = arg;
-    shard->digest_soon = false;
-    if (!shard->view->leader || !membership_valid(shard->members) ||
-        shard->epoch.v != shard->view->epoch.v) {
-        timer_start(shard->loop, &shard->digest, 250);
+    shard->status_requested = false;
+    if (!shard->replica->leader_label || !membership_has_valid_lease(shard->membership) ||
+        shard->epoch.value != shard->replica->shard_map_epoch.value) {
+        timer_start(shard->loop, &shard->status_timer, 250);
         return;
     }
-    cJSON *m = cJSON_CreateObject();
-    bus_put_u64(m, "e", shard->epoch.v);
-    bus_put_u64(m, "s", ++shard->digest_seq);
-    digest_hosts(shard, m);
-    cJSON *back = cJSON_AddArrayToObject(m, "back");
-    for (guint i = 0; i < shard->back->len; i++) {
-        struct dealt *dealt = &g_array_index(shard->back, struct dealt, i);
-        cJSON *x = bus_task(dealt->job, dealt->index, dealt->attempt);
-        bus_put_u64(x, "n", dealt->number);
-        cJSON_AddItemToArray(back, x);
+    cJSON *message = cJSON_CreateObject();
+    node_rpc_put_u64(message, "e", shard->epoch.value);
+    node_rpc_put_u64(message, "s", ++shard->status_sequence);
+    encode_machine_statuses(shard, message);
+    cJSON *rejected = cJSON_AddArrayToObject(message, "back");
+    for (guint i = 0; i < shard->rejected_dispatches->len; i++) {
+        struct dispatch *dispatch = &g_array_index(shard->rejected_dispatches, struct dispatch, i);
+        cJSON *item = node_rpc_encode_task(dispatch->job, dispatch->index, dispatch->attempt);
+        node_rpc_put_u64(item, "n", dispatch->number);
+        cJSON_AddItemToArray(rejected, item);
     }
-    cJSON *events = cJSON_AddArrayToObject(m, "news");
-    for (guint i = 0; i < shard->events->len; i++)
-        cJSON_AddItemToArray(events, cJSON_Duplicate(shard->events->pdata[i], true));
-    if (shard->want_raise)
-        cJSON_AddBoolToObject(m, "raise", true);
-    struct digest_sent *sent = g_new(struct digest_sent, 1);
-    *sent = (struct digest_sent){shard, shard->generation, shard->back->len, shard->events->len};
-    shard->digest_out = true;
-    bus_send(shard->bus, shard->view->leader, "digest", m, 2000, digest_answered, sent);
+    cJSON *events = cJSON_AddArrayToObject(message, "news");
+    for (guint i = 0; i < shard->leader_events->len; i++)
+        cJSON_AddItemToArray(events, cJSON_Duplicate(shard->leader_events->pdata[i], true));
+    if (shard->wants_epoch_raise)
+        cJSON_AddBoolToObject(message, "raise", true);
+    struct status_request *request = g_new(struct status_request, 1);
+    *request = (struct status_request){shard, shard->generation, shard->rejected_dispatches->len,
+                                       shard->leader_events->len};
+    shard->status_in_flight = true;
+    node_rpc_call(shard->node_rpc, shard->replica->leader_label, "digest", message, 2000,
+                  handle_status_answer, request);
 }
 
 /* ---- the view ---- */
 
-static bool owns(struct shard *shard, const char *host)
+static bool owns_machine(struct shard *shard, const char *machine_name)
 {
-    const char *owner = map_owner(shard->view, host);
+    const char *owner = shard_map_get_owner(shard->replica, machine_name);
     return owner && strcmp(owner, shard->settings->label) == 0 &&
-           map_names(shard->view, shard->settings->label, membership_incarnation(shard->members));
+           shard_map_contains(shard->replica, shard->settings->label,
+                              membership_get_incarnation(shard->membership));
 }
 
 /* A new epoch: what was dealt under the last one and is not on record is void, and machines may
  * have changed hands. Nothing that was written under the last epoch can come after the map. */
-static void new_epoch(struct shard *shard)
+static void begin_epoch(struct shard *shard)
 {
     /* If the view shows several new epochs at once, a machine may have had another owner in
      * between, whose commands may still be on their way: it is as if it were taken over only now.
      */
-    bool skipped = shard->view->epoch.v != shard->epoch.v + 1;
-    shard->epoch = shard->view->epoch;
+    bool skipped = shard->replica->shard_map_epoch.value != shard->epoch.value + 1;
+    shard->epoch = shard->replica->shard_map_epoch;
     shard->generation++;
-    shard->last_deal = 0;
-    shard->digest_whole = true;
-    shard->want_raise = false;
-    drop_queues(shard);
-    g_hash_table_remove_all(shard->closed_for_return);
-    GHashTableIter it;
-    struct host *host;
-    g_hash_table_iter_init(&it, shard->hosts);
-    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&host)) {
-        if (!owns(shard, host->id.s)) {
-            g_hash_table_iter_remove(&it);
+    shard->last_dispatch_sequence = 0;
+    shard->next_status_is_full = true;
+    shard->wants_epoch_raise = false;
+    clear_queues(shard);
+    g_hash_table_remove_all(shard->cordoned_for_return);
+    GHashTableIter iter;
+    struct machine *machine;
+    g_hash_table_iter_init(&iter, shard->machines);
+    while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&machine)) {
+        if (!owns_machine(shard, machine->id.text)) {
+            g_hash_table_iter_remove(&iter);
             continue;
         }
-        host->returning = shard_machine_returning(shard, host->id.s);
+        machine->is_returning = shard_machine_is_returning(shard, machine->id.text);
         if (skipped) {
-            host->owned_since = shard->epoch;
-            host->owned_at = loop_now(shard->loop);
+            machine->owner_epoch = shard->epoch;
+            machine->owned_at = loop_now(shard->loop);
         }
-        for (guint i = 0; i < host->runs->len; i++) {
-            struct run *run = host->runs->pdata[i];
-            run->record.in_txn = false;
+        for (guint i = 0; i < machine->runs->len; i++) {
+            struct task_run *run = machine->runs->pdata[i];
+            run->record.is_in_txn = false;
             if (skipped)
-                run->sent_token.v = shard->epoch.v - 1;
-            if (run->phase == RUN_FREEING)
-                run->phase = RUN_RECORDED; /* proven again by the next report */
+                run->sent_fencing_token.value = shard->epoch.value - 1;
+            if (run->phase == TASK_RUN_ENDED)
+                run->phase = TASK_RUN_RECORDED; /* proven again by the next report */
         }
-        host->in_txn = host->described = host->removing = false;
+        machine->is_in_txn = machine->is_being_described = machine->is_being_removed = false;
     }
-    struct host_record *rec;
-    g_hash_table_iter_init(&it, shard->view->hosts);
-    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&rec)) {
-        if (!owns(shard, rec->id.s) || shard_host_get(shard, rec->id.s))
+    struct machine_record *machine_record;
+    g_hash_table_iter_init(&iter, shard->replica->machines);
+    while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&machine_record)) {
+        if (!owns_machine(shard, machine_record->id.text) ||
+            shard_find_machine(shard, machine_record->id.text))
             continue;
-        shard_host_make(shard, rec->id);
+        shard_add_machine(shard, machine_record->id);
     }
-    shard_records_sync(shard);
-    GPtrArray *gone = g_ptr_array_new_with_free_func(g_free);
-    g_hash_table_iter_init(&it, shard->hosts);
-    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&host)) {
-        drop_news(shard, host, false);
-        shard->want_raise = false; /* the epoch is new */
-        if (host->gone)
-            g_ptr_array_add(gone, g_strdup(host->id.s));
-        else if (!host->known)
-            shard_probe(shard, host); /* its answer shows what runs there */
+    shard_records_reconcile(shard);
+    GPtrArray *gone_machines = g_ptr_array_new_with_free_func(g_free);
+    g_hash_table_iter_init(&iter, shard->machines);
+    while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&machine)) {
+        reject_unrecorded_runs(shard, machine, false);
+        shard->wants_epoch_raise = false; /* the epoch is new */
+        if (machine->is_gone)
+            g_ptr_array_add(gone_machines, g_strdup(machine->id.text));
+        else if (!machine->has_reported)
+            shard_probe_agent(shard, machine); /* its answer shows what runs there */
     }
-    for (guint i = 0; i < gone->len; i++) {
-        shard_host_get(shard, gone->pdata[i])->gone = false;
-        host_is_gone(shard, gone->pdata[i]);
+    for (guint i = 0; i < gone_machines->len; i++) {
+        shard_find_machine(shard, gone_machines->pdata[i])->is_gone = false;
+        handle_machine_gone(shard, gone_machines->pdata[i]);
     }
-    g_ptr_array_unref(gone);
-    g_array_set_size(shard->back, 0);
-    shard_digest_soon(shard);
+    g_ptr_array_unref(gone_machines);
+    g_array_set_size(shard->rejected_dispatches, 0);
+    shard_request_status(shard);
 }
 
-static void apply_job_change(struct shard *shard, job_id id)
+static void stop_runs_if_job_over(struct shard *shard, job_id id)
 {
-    if (!shard_job_over(shard, id))
+    if (!shard_job_is_over(shard, id))
         return;
-    GHashTableIter it;
-    struct host *host;
-    g_hash_table_iter_init(&it, shard->hosts);
-    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&host)) {
-        bool any = false;
-        for (guint i = 0; i < host->runs->len; i++) {
-            struct run *run = host->runs->pdata[i];
-            if (job_eq(run->job, id) && run->phase != RUN_GONE) {
-                shard_run_apply_job(shard, run);
-                any = true;
+    GHashTableIter iter;
+    struct machine *machine;
+    g_hash_table_iter_init(&iter, shard->machines);
+    while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&machine)) {
+        bool has_run = false;
+        for (guint i = 0; i < machine->runs->len; i++) {
+            struct task_run *run = machine->runs->pdata[i];
+            if (job_id_equal(run->job, id) && run->phase != TASK_RUN_RELEASED) {
+                shard_run_stop_if_job_over(shard, run);
+                has_run = true;
             }
         }
-        if (any)
-            shard_push(shard, host);
+        if (has_run)
+            shard_push_commands(shard, machine);
     }
 }
 
-static void shard_view(struct shard *shard, const GArray *changes)
+static void handle_replica_events(struct shard *shard, const GArray *changes)
 {
-    if (shard->epoch.v != shard->view->epoch.v)
-        new_epoch(shard);
+    if (shard->epoch.value != shard->replica->shard_map_epoch.value)
+        begin_epoch(shard);
     for (guint i = 0; i < changes->len; i++) {
-        const struct change *change = &g_array_index(changes, struct change, i);
-        struct host *host;
-        struct host_record *rec;
-        switch (change->kind) {
-        case CHANGE_JOB:
-            apply_job_change(shard, change->job);
-            shard->room_changed = shard->room_changed || shard->queues[0].length;
+        const struct replica_event *event = &g_array_index(changes, struct replica_event, i);
+        struct machine *machine;
+        struct machine_record *machine_record;
+        switch (event->kind) {
+        case REPLICA_EVENT_JOB:
+            stop_runs_if_job_over(shard, event->job);
+            shard->capacity_changed = shard->capacity_changed || shard->queues[0].length;
             break;
-        case CHANGE_HOST:
-            host = shard_host_get(shard, change->host.s);
-            rec = view_host(shard->view, change->host.s);
-            if (host && !host->in_txn && rec && rec->stamp.v > host->stamp.v)
-                host->stamp = rec->stamp;
+        case REPLICA_EVENT_MACHINE:
+            machine = shard_find_machine(shard, event->machine.text);
+            machine_record = replica_get_machine(shard->replica, event->machine.text);
+            if (machine && !machine->is_in_txn && machine_record &&
+                machine_record->mod_revision.value > machine->mod_revision.value)
+                machine->mod_revision = machine_record->mod_revision;
             break;
-        case CHANGE_RETURNING:
-            host = shard_host_get(shard, change->host.s);
-            if (host)
-                host->returning = shard_machine_returning(shard, host->id.s);
+        case REPLICA_EVENT_MACHINE_RETURN:
+            machine = shard_find_machine(shard, event->machine.text);
+            if (machine)
+                machine->is_returning = shard_machine_is_returning(shard, machine->id.text);
             break;
-        case CHANGE_PAGE:
-            shard_page_changed(shard, change->page);
+        case REPLICA_EVENT_PAGE:
+            shard_handle_page_changed(shard, event->page_key);
             break;
-        case CHANGE_TYPES: {
-            GHashTableIter it;
-            g_hash_table_iter_init(&it, shard->hosts);
-            while (g_hash_table_iter_next(&it, NULL, (gpointer *)&host))
-                shard_host_typed(shard, host);
+        case REPLICA_EVENT_MACHINE_TYPES: {
+            GHashTableIter iter;
+            g_hash_table_iter_init(&iter, shard->machines);
+            while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&machine))
+                shard_machine_update_capacity(shard, machine);
             break;
         }
         default:
             break;
         }
     }
-    shard_place_all(shard);
-    shard_flush_soon(shard);
+    shard_place_tasks(shard);
+    shard_request_flush(shard);
 }
 
-static void tick(void *arg)
+static void handle_tick(void *arg)
 {
     struct shard *shard = arg;
-    timer_start(shard->loop, &shard->tick, TICK_MS);
+    timer_start(shard->loop, &shard->tick_timer, TICK_MS);
     mono_time now = loop_now(shard->loop);
-    bool valid = membership_valid(shard->members);
+    bool valid = membership_has_valid_lease(shard->membership);
     GHashTableIter it;
-    struct host *host;
-    g_hash_table_iter_init(&it, shard->hosts);
-    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&host)) {
-        int64_t age = time_ms_since(now, host->heard);
-        if (host->gone || !valid)
+    struct machine *machine;
+    g_hash_table_iter_init(&it, shard->machines);
+    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&machine)) {
+        int64_t age = time_ms_since(now, machine->last_heartbeat_at);
+        if (machine->is_gone || !valid)
             continue;
-        if (!host->known || !host->hears ||
-            age > (int64_t)(shard->settings->report_s * 1250) + 1000)
-            shard_probe(shard, host);
-        if (age > (int64_t)(shard->settings->lease_s * 1000) && shard_host_has_run(host) &&
-            shard_lease_surely_over(shard, host))
-            shard_free_all_runs(shard, host, "lease");
-        for (guint i = 0; i < host->runs->len; i++) {
-            struct run *run = host->runs->pdata[i];
-            if (run->phase == RUN_RECORDED && !run->sent_at.us && !run->seen && !run->stop) {
-                shard_push(shard, host);
+        if (!machine->has_reported || !machine->is_reachable ||
+            age > (int64_t)(shard->settings->heartbeat_interval_s * 1250) + 1000)
+            shard_probe_agent(shard, machine);
+        if (age > (int64_t)(shard->settings->lease_s * 1000) && shard_machine_has_runs(machine) &&
+            shard_lease_has_expired(shard, machine))
+            shard_end_all_runs(shard, machine, "lease");
+        for (guint i = 0; i < machine->runs->len; i++) {
+            struct task_run *run = machine->runs->pdata[i];
+            if (run->phase == TASK_RUN_RECORDED && !run->run_sent_at.us && !run->is_reported &&
+                !run->is_stopping) {
+                shard_push_commands(shard, machine);
                 break;
             }
         }
     }
-    if (shard->want_raise)
-        shard_digest_soon(shard);
-    shard->room_changed = true; /* what has waited for too long is given back */
-    shard_place_all(shard);
-    shard_flush_soon(shard);
+    if (shard->wants_epoch_raise)
+        shard_request_status(shard);
+    shard->capacity_changed = true; /* what has waited for too long is given back */
+    shard_place_tasks(shard);
+    shard_request_flush(shard);
 }
--- a/src/shard/shard.h
+++ b/src/shard/shard.h
@@ -13,11 +13,11 @@
 /* What it works with; all of it outlives the shard. */
 struct shard_setup {
     struct loop *loop;
-    struct net *net;
-    struct store *store;
-    struct view *view;
+    struct http_client *net;
+    struct kv_client *store;
+    struct replica *view;
     struct membership *members;
-    struct bus *bus;
+    struct node_rpc *bus;
     struct peers *peers;
     const struct settings *settings;
 };
@@ -30,16 +30,16 @@
 void shard_charge_writes(struct shard *shard, guint writes);
 
 /* POST /agent/beat */
-void shard_report(struct shard *shard, struct http_replier *replier, conn_ref from,
-                  const struct http_request *request);
+void shard_handle_heartbeat(struct shard *shard, struct http_responder *responder,
+                            connection_ref from, const struct http_request *request);
 
 /* What a machine's flags say in the digest that a part sends to the leader. */
-enum host_flag {
-    HOST_KNOWN = 1,     /* its worker has reported to this owner */
-    HOST_LOST = 2,      /* silent, and it does not answer either */
-    HOST_RECLAIMED = 4, /* the cloud takes it back */
-    HOST_QUIET = 8,     /* not heard of for longer than usual */
-    HOST_LAPSED = 16,   /* lost for so long that its lease has run out well before */
+enum machine_flag {
+    MACHINE_KNOWN = 1,          /* its worker has reported to this owner */
+    MACHINE_UNREACHABLE = 2,    /* silent, and it does not answer either */
+    MACHINE_RECLAIMED = 4,      /* the cloud takes it back */
+    MACHINE_UNAVAILABLE = 8,    /* not heard of for longer than usual */
+    MACHINE_LEASE_EXPIRED = 16, /* lost for so long that its lease has run out well before */
 };
 
 #endif
