--- a/tests/test_upgrade.c
+++ b/tests/test_upgrade.c
@@ -61,11 +61,11 @@
     return NULL;
 }
 
-static void run_task(void *ctx, const struct page_rec *record)
+static void run_task(void *ctx, const struct record_page_entry *record)
 {
-    struct worker *worker = worker_named(ctx, record->host.s);
+    struct worker *worker = worker_named(ctx, record->machine.text);
     if (worker) {
-        worker_has(worker, record->job.s, record->index, record->attempt.v);
+        worker_has(worker, record->job.text, record->task_index, record->attempt.value);
         worker->token = 1;
     }
 }
@@ -75,8 +75,8 @@
 {
     json_object *object = json_tokener_parse(value);
     const char *text;
-    assert_true(json_text(object, "t", &text));
-    page_read(text, run_task, world);
+    assert_true(json_get_text(object, "t", &text));
+    record_page_decode(text, run_task, world);
     json_object_put(object);
     world_put(world, key, value);
 }
@@ -84,11 +84,11 @@
 static int recorded(struct world *world, int node)
 {
     GHashTableIter it;
-    struct page *page;
+    struct record_page *page;
     int n = 0;
-    g_hash_table_iter_init(&it, world->nodes[node]->view->pages);
+    g_hash_table_iter_init(&it, world->nodes[node]->replica->pages);
     while (g_hash_table_iter_next(&it, NULL, (gpointer *)&page))
-        n += (int)page->tasks->len;
+        n += (int)page->run_records->len;
     return n;
 }
 
@@ -96,11 +96,11 @@
 static void expect_short_pages(struct world *world, int node)
 {
     GHashTableIter it;
-    struct page *page;
-    g_hash_table_iter_init(&it, world->nodes[node]->view->pages);
+    struct record_page *page;
+    g_hash_table_iter_init(&it, world->nodes[node]->replica->pages);
     while (g_hash_table_iter_next(&it, NULL, (gpointer *)&page))
-        if (page->bytes > (gsize)(world->plan.next_value_kb * 1024))
-            fail_msg("%s: %zu", page->key, page->bytes);
+        if (page->size_bytes > (gsize)(world->plan.next_value_kb * 1024))
+            fail_msg("%s: %zu", page->key, page->size_bytes);
 }
 
 static struct world *production_world(struct world_plan plan, int machines)
@@ -186,7 +186,7 @@
     for (int i = 0; i < world->plan.workers; i++) {
         struct worker *worker = &world->workers[i];
         for (guint t = 0; worker->up && t < worker->tasks->len; t++)
-            worker_exit(worker, g_array_index(worker->tasks, struct wtask, t).job.s,
+            worker_exit(worker, g_array_index(worker->tasks, struct wtask, t).job.text,
                         g_array_index(worker->tasks, struct wtask, t).index, "done");
     }
     world_run(world, 25000);
@@ -244,7 +244,7 @@
         for (guint t = 0; worker->up && t < worker->tasks->len; t++) {
             struct wtask *wtask = &g_array_index(worker->tasks, struct wtask, t);
             if (strcmp(wtask->stage, "running") == 0 && g_rand_int_range(luck, 0, 3) == 0)
-                worker_exit(worker, wtask->job.s, wtask->index, "done");
+                worker_exit(worker, wtask->job.text, wtask->index, "done");
         }
     }
 }
@@ -284,7 +284,7 @@
                 world_start(world, i);
             }
         if (s == 45) {
-            assert_false(shard_plain(world->nodes[0]->shard));
+            assert_false(shard_uses_legacy_format(world->nodes[0]->shard));
             world_limits_fall(world);
         }
         char id[48];
@@ -342,20 +342,20 @@
     world_start(world, 0);
     world_start(world, 1);
     world_run(world, 6000);
-    struct view *view = world->nodes[0]->view;
-    assert_true(shard_plain(world->nodes[0]->shard));
+    struct replica *replica = world->nodes[0]->replica;
+    assert_true(shard_uses_legacy_format(world->nodes[0]->shard));
     GHashTableIter it;
-    struct host_record *record;
+    struct machine_record *machine;
     int old = 0;
-    g_hash_table_iter_init(&it, view->hosts);
-    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&record)) {
-        struct page *page = NULL;
-        for (guint i = 0; i < record->tasks->len; i++) { /* one page a machine */
-            struct placed *placed = record->tasks->pdata[i];
-            assert_true(!page || page == placed->page);
-            page = placed->page;
+    g_hash_table_iter_init(&it, replica->machines);
+    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&machine)) {
+        struct record_page *page = NULL;
+        for (guint i = 0; i < machine->run_records->len; i++) { /* one page a machine */
+            struct run_record *run_record = machine->run_records->pdata[i];
+            assert_true(!page || page == run_record->page);
+            page = run_record->page;
         }
-        if (strcmp(map_owner(view, record->id.s), "mast-2") != 0)
+        if (strcmp(shard_map_get_owner(replica, machine->id.text), "mast-2") != 0)
             continue;
         old++;
         assert_true(page && (strcmp(page->key, "ll/p/mast-0/0") == 0 ||
@@ -368,7 +368,7 @@
     world_start(world, 2);
     world_limits_fall(world);
     world_run(world, 9000);
-    assert_false(shard_plain(world->nodes[0]->shard));
+    assert_false(shard_uses_legacy_format(world->nodes[0]->shard));
     expect_short_pages(world, 2);
     assert_int_equal(recorded(world, 2), LONG_JOBS);
     assert_int_equal(world_starts(world), 0);
@@ -376,7 +376,8 @@
     world_end(world);
 }
 
-static enum fate slow_split(struct world *world, int node, const struct net_request *request)
+static enum fate slow_split(struct world *world, int node,
+                            const struct http_client_request *request)
 {
     (void)world;
     (void)node;
@@ -463,8 +464,8 @@
         world_start(world, i);
     world_run(world, 5000);
     for (int i = 0; i < WORLD_NODES; i++) {
-        assert_non_null(world->nodes[i]->view->types);
-        assert_int_equal(world->nodes[i]->view->types->len, 12);
+        assert_non_null(world->nodes[i]->replica->machine_types);
+        assert_int_equal(world->nodes[i]->replica->machine_types->len, 12);
     }
     assert_non_null(world_key(world, "ll/types/1"));
     world_kill(world, 1); /* and so does one that reads everything anew */
@@ -479,7 +480,8 @@
 
 static int refusals;
 
-static enum fate fewer_writes(struct world *world, int node, const struct net_request *request)
+static enum fate fewer_writes(struct world *world, int node,
+                              const struct http_client_request *request)
 {
     (void)world;
     (void)node;
@@ -498,7 +500,7 @@
     world->fate = fewer_writes;
     refusals = 1;
     assert_int_equal(world_submit(world, 0, "wk-1", "sweep", 6).status, 201);
-    assert_true(store_limits(world->nodes[0]->store)->write_rps > 150);
+    assert_true(kv_client_limits(world->nodes[0]->kv)->rate_limit_write_rps > 150);
     refusals = 6;
     assert_int_equal(world_submit(world, 0, "wk-2", "sweep", 6).status, 201);
     world_run(world, 4000);
@@ -506,7 +508,7 @@
     assert_int_equal(world_on_machines(world, "wk-2"), 6);
     bool slowed = false;
     for (int i = 0; i < WORLD_NODES; i++)
-        slowed = slowed || store_limits(world->nodes[i]->store)->write_rps <= 100;
+        slowed = slowed || kv_client_limits(world->nodes[i]->kv)->rate_limit_write_rps <= 100;
     assert_true(slowed);
     world_end(world);
 }
@@ -518,14 +520,14 @@
     (void)state;
     GByteArray *bits = g_byte_array_new();
     GString *text = g_string_new(NULL);
-    bits_grow(bits, 1);
+    bitmap_grow(bits, 1);
     bits->data[0] = 5;
     job_id job;
-    assert_true(job_id_from(&job, "wk-1"));
-    page_write_done(text, job, 7, bits, false);
+    assert_true(job_id_parse(&job, "wk-1"));
+    completions_encode(text, job, 7, bits, false);
     assert_string_equal(text->str, "#wk-1 0+896:05 ");
     g_string_truncate(text, 0);
-    page_write_done(text, job, 9, bits, true);
+    completions_encode(text, job, 9, bits, true);
     assert_int_equal(text->len, strlen("#wk-1 1:") + (size_t)2 * 128 + strlen("05 "));
     g_string_free(text, TRUE);
     g_byte_array_unref(bits);
--- a/tests/test_world.c
+++ b/tests/test_world.c
@@ -95,7 +95,8 @@
     assert_int_equal(world_on_machines(world, "wk-1"), 0);
 }
 
-static enum fate lose_commands(struct world *world, int node, const struct net_request *request)
+static enum fate lose_commands(struct world *world, int node,
+                               const struct http_client_request *request)
 {
     (void)world;
     (void)node;
@@ -121,7 +122,8 @@
 
 /* Cancelled while the only copy of the command hangs in a cut: its record stays, and counts, until
  * the epoch has been raised and no worker would heed it any more. */
-static enum fate hold_starts(struct world *world, int node, const struct net_request *request)
+static enum fate hold_starts(struct world *world, int node,
+                             const struct http_client_request *request)
 {
     (void)world;
     (void)node;
@@ -152,7 +154,7 @@
 /* The node dies between writing the record and sending the command: whoever takes its machines over
  * finds the record and sends it. */
 static enum fate no_commands_from_leader(struct world *world, int node,
-                                         const struct net_request *request)
+                                         const struct http_client_request *request)
 {
     (void)node;
     (void)world;
@@ -167,10 +169,12 @@
     world_run(world, 3000);
     world->fate = no_commands_from_leader;
     world_submit(world, 0, "wk-1", "sweep", 1);
-    struct view *view = world->nodes[0]->view;
-    for (int i = 0; i < 300 && !(view_job(view, "wk-1") && view_job(view, "wk-1")->placed); i++)
+    struct replica *replica = world->nodes[0]->replica;
+    for (int i = 0; i < 300 && !(replica_get_job(replica, "wk-1") &&
+                                 replica_get_job(replica, "wk-1")->run_records);
+         i++)
         world_run(world, 10);
-    const char *owner = map_owner(view, world->workers[7].id);
+    const char *owner = shard_map_get_owner(replica, world->workers[7].id);
     world_kill(world, owner[5] - '0');
     world->fate = NULL;
     world_run(world, 12000);
@@ -267,7 +271,8 @@
 }
 
 static int lose_next;
-static enum fate lose_txn_answers(struct world *world, int node, const struct net_request *request)
+static enum fate lose_txn_answers(struct world *world, int node,
+                                  const struct http_client_request *request)
 {
     (void)world;
     (void)node;
@@ -293,11 +298,12 @@
 }
 
 static int cut_node = -1;
-static enum fate cut_from_state(struct world *world, int node, const struct net_request *request)
+static enum fate cut_from_state(struct world *world, int node,
+                                const struct http_client_request *request)
 {
     (void)world;
-    return node == cut_node && strcmp(request->addr, "10.2.0.1:2379") == 0 ? FATE_LOST
-                                                                           : FATE_NORMAL;
+    return node == cut_node && strcmp(request->address, "10.2.0.1:2379") == 0 ? FATE_LOST
+                                                                              : FATE_NORMAL;
 }
 
 /* A node cut off from the state service: others take its machines over, and it neither writes nor
@@ -366,7 +372,8 @@
 /* A cancellation is told, and then all lose the state service before the owners have heard of it:
  * somebody knows that it was told, so the leases run out in time. */
 static int watchers_cut;
-static enum fate cut_watches(struct world *world, int node, const struct net_request *request)
+static enum fate cut_watches(struct world *world, int node,
+                             const struct http_client_request *request)
 {
     (void)world;
     return node != watchers_cut && g_str_has_prefix(request->path, "/watch") ? FATE_LOST
@@ -415,7 +422,7 @@
     struct world *world = *state;
     world_submit(world, 0, "wk-1", "sweep", 4);
     world_run(world, 8000);
-    uint64_t epoch = world->nodes[0]->view->epoch.v;
+    uint64_t epoch = world->nodes[0]->replica->shard_map_epoch.value;
     world->too_old = 6;
     for (int i = 0; i < 4; i++) {
         char id[16];
@@ -425,7 +432,7 @@
     }
     world_run(world, 12000);
     assert_int_equal(world->too_old, 0);
-    assert_true(world->nodes[0]->view->epoch.v > epoch);
+    assert_true(world->nodes[0]->replica->shard_map_epoch.value > epoch);
     assert_int_equal(world_on_machines(world, "wk-1"), 4);
     for (int i = 0; i < 4; i++) {
         char id[16];
--- a/tests/trouble_fixtures.c
+++ b/tests/trouble_fixtures.c
@@ -13,8 +13,9 @@
 /* Tasks on record on a machine, as any live node sees them. */
 guint recorded(struct world *world, const struct worker *worker)
 {
-    struct host_record *rec = view_host(world_leader(world)->view, worker->id);
-    return rec ? rec->tasks->len : 0;
+    struct machine_record *machine_record =
+        replica_get_machine(world_leader(world)->replica, worker->id);
+    return machine_record ? machine_record->run_records->len : 0;
 }
 
 void two_ordinary_machines(struct world *world)
--- a/tests/world.c
+++ b/tests/world.c
@@ -135,9 +135,9 @@
     world->policy = policy_default();
     world->features = feature_set_default();
     /* The suites are played once with duties and once without. */
-    world->features.duties.enabled = plan->duties || g_getenv("LL_TEST_DUTIES");
+    world->features.singleton_roles.is_enabled = plan->duties || g_getenv("LL_TEST_DUTIES");
     world->deaf_node = -1;
-    world->replier.reply = world_reply;
+    world->replier.respond = world_reply;
     for (int i = 0; i < plan->workers; i++) {
         world->workers[i].tasks = g_array_new(FALSE, TRUE, sizeof(struct wtask));
         world->workers[i].said = g_ptr_array_new_with_free_func(g_free);
@@ -152,8 +152,8 @@
         world->nets[i] = (struct wnet){{net_request_fn}, world, i};
     }
     world->rules = rules_new(world->settings[0]);
-    world->state_value_kb = world->settings[0]->state.value_kb;
-    world->state_txn_ops = world->settings[0]->state.txn_ops;
+    world->state_value_kb = world->settings[0]->kv_limits.max_value_kb;
+    world->state_txn_ops = world->settings[0]->kv_limits.max_txn_operations;
     timer_init(&world->tick, world_tick, world);
     world_tick(world);
     return world;
@@ -190,8 +190,8 @@
 /* The node's clock stands where the world's is. */
 static void catch_up(struct world *world, int node)
 {
-    loop_skip(world->node_loops[node],
-              time_ms_since(loop_now(world->loop), loop_now(world->node_loops[node])));
+    loop_stall(world->node_loops[node],
+               time_ms_since(loop_now(world->loop), loop_now(world->node_loops[node])));
 }
 
 static GPtrArray *take_inbox(struct world *world, int node)
@@ -300,7 +300,7 @@
                              const char *body)
 {
     struct user_answer answer = {0};
-    conn_ref ref;
+    connection_ref ref;
     struct wconn *wconn = conn_new(world, &ref);
     wconn->answer = &answer;
     wconn->method = method;
@@ -316,7 +316,7 @@
     node_receives(world, node, "user", ref, &request);
     for (int i = 0; i < 500 && !answer.status; i++)
         world_run(world, 10);
-    g_hash_table_remove(world->answers, &ref.v);
+    g_hash_table_remove(world->answers, &ref.value);
     return answer;
 }
 
@@ -364,7 +364,7 @@
     for (int i = 0; i < world->plan.workers; i++)
         for (guint k = 0; world->workers[i].up && k < world->workers[i].tasks->len; k++) {
             struct wtask *wtask = &g_array_index(world->workers[i].tasks, struct wtask, k);
-            n += strcmp(wtask->job.s, job) == 0 && strcmp(wtask->stage, "exited") != 0;
+            n += strcmp(wtask->job.text, job) == 0 && strcmp(wtask->stage, "exited") != 0;
         }
     return n;
 }
@@ -378,7 +378,7 @@
 struct node *world_leader(struct world *world)
 {
     for (int i = 0; i < world->plan.nodes; i++)
-        if (world->nodes[i] && membership_leads(world->nodes[i]->members))
+        if (world->nodes[i] && membership_is_leader(world->nodes[i]->membership))
             return world->nodes[i];
     return NULL;
 }
@@ -399,13 +399,14 @@
     return status;
 }
 
-enum fate world_only_workers(struct world *world, int node, const struct net_request *request)
+enum fate world_only_workers(struct world *world, int node,
+                             const struct http_client_request *request)
 {
-    bool state = strcmp(request->addr, "10.2.0.1:2379") == 0,
-         back = g_str_has_suffix(request->addr, ":8081");
+    bool state = strcmp(request->address, "10.2.0.1:2379") == 0,
+         back = g_str_has_suffix(request->address, ":8081");
     char lone[32];
     g_snprintf(lone, sizeof lone, "10.0.0.%d:8081", world->lone + 1);
-    return (node == world->lone && (state || back)) || strcmp(request->addr, lone) == 0
+    return (node == world->lone && (state || back)) || strcmp(request->address, lone) == 0
                ? FATE_LOST
                : FATE_NORMAL;
 }
--- a/tests/world.h
+++ b/tests/world.h
@@ -26,7 +26,8 @@
 };
 
 struct world;
-typedef enum fate (*fate_fn)(struct world *world, int node, const struct net_request *request);
+typedef enum fate (*fate_fn)(struct world *world, int node,
+                             const struct http_client_request *request);
 
 /* Of the world that most tests play in. */
 enum { WORLD_NODES = 3, WORLD_WORKERS = 8, WORLD_MOST_NODES = 5 };
@@ -54,7 +55,7 @@
 };
 
 struct wnet {
-    struct net net;
+    struct http_client net;
     struct world *world;
     int node;
 };
@@ -144,7 +145,7 @@
     GHashTable *gangs;        /* job -> struct wgang, of those submitted since */
     /* replies to what the test asked */
     struct rules *rules;
-    struct http_replier replier;
+    struct http_responder replier;
     GHashTable *answers;
     uint64_t next_conn;
 };
@@ -183,7 +184,8 @@
 
 /* A request from outside, by a real process, to the state service or the cloud; done may be called
  * later. */
-void world_serve(struct world *world, const struct net_request *request, net_done done, void *arg);
+void world_serve(struct world *world, const struct http_client_request *request,
+                 http_response_callback done, void *arg);
 
 /* A user's request at a node; runs the world until it is answered, for five seconds at most. */
 struct user_answer world_ask(struct world *world, int node, const char *method, const char *path,
@@ -217,7 +219,8 @@
 /* Cancels a job at a node; the status that its user gets. */
 int world_cancel(struct world *world, int node, const char *job);
 /* A fate: the node w->lone and the others do not reach one another, nor it the state service. */
-enum fate world_only_workers(struct world *world, int node, const struct net_request *request);
+enum fate world_only_workers(struct world *world, int node,
+                             const struct http_client_request *request);
 void world_expect_stage(struct world *world, int node, const char *job, const char *stage);
 
 /* A look whether a job waits in vain: every second, and only while there are no troubles. */
--- a/tests/world_cloud.c
+++ b/tests/world_cloud.c
@@ -10,7 +10,7 @@
 
 static void cloud_return(struct world *world, json_object *body)
 {
-    json_object *list = json_list(body, "Masts");
+    json_object *list = json_get_array(body, "Masts");
     for (size_t i = 0; i < json_object_array_length(list); i++)
         for (int k = 0; k < world->plan.workers; k++) {
             struct worker *worker = &world->workers[k];
@@ -31,9 +31,10 @@
     const char *charter, *type_name, *zone;
     bool spot;
     uint64_t number = 0;
-    assert_true(json_text(body, "Charter", &charter) && json_text(body, "Build", &type_name) &&
-                json_text(body, "Yard", &zone) && json_flag(body, "Loaners", &spot) &&
-                json_u64(body, "Number", &number) && number <= 50);
+    assert_true(json_get_text(body, "Charter", &charter) &&
+                json_get_text(body, "Build", &type_name) && json_get_text(body, "Yard", &zone) &&
+                json_get_bool(body, "Loaners", &spot) && json_get_u64(body, "Number", &number) &&
+                number <= 50);
     for (guint i = 0; i < world->charters->len; i += 2)
         if (strcmp(world->charters->pdata[i], charter) == 0)
             return json_tokener_parse(world->charters->pdata[i + 1]);
@@ -99,7 +100,7 @@
 void serve_cloud(struct flight *flight)
 {
     struct world *world = flight->world;
-    json_object *body = *flight->body ? json_read(flight->body, strlen(flight->body)) : NULL,
+    json_object *body = *flight->body ? json_parse(flight->body, strlen(flight->body)) : NULL,
                 *o = NULL;
     int status = 200;
     if (world->cloud_down) {
--- a/tests/world_gang.c
+++ b/tests/world_gang.c
@@ -44,16 +44,16 @@
 /* A submission, of which workers fetch the description. */
 void gang_submitted(struct world *world, const char *body)
 {
-    json_object *object = json_read(body, strlen(body));
+    json_object *object = json_parse(body, strlen(body));
     const char *id, *form;
     uint64_t tasks;
-    if (object && json_text(object, "Id", &id) && json_text(object, "Form", &form) &&
-        strcmp(form, "gang") == 0 && json_u64(object, "Pieces", &tasks) &&
+    if (object && json_get_text(object, "Id", &id) && json_get_text(object, "Form", &form) &&
+        strcmp(form, "gang") == 0 && json_get_u64(object, "Pieces", &tasks) &&
         !g_hash_table_contains(world->gangs, id)) {
         struct wgang *wgang = g_new0(struct wgang, 1);
         wgang->tasks = (guint)tasks;
-        json_number(object, "StowS", &wgang->save_s);
-        json_number(object, "MarkEveryS", &wgang->mark_s);
+        json_get_number(object, "StowS", &wgang->save_s);
+        json_get_number(object, "MarkEveryS", &wgang->mark_s);
         wgang->attempts = g_array_new(FALSE, TRUE, sizeof(struct wattempt));
         g_array_set_clear_func(wgang->attempts, attempt_clear);
         g_hash_table_insert(world->gangs, g_strdup(id), wgang);
@@ -87,7 +87,7 @@
 /* A halt comes to a task: whether it saves, and exits later. */
 bool gang_saves(struct world *world, struct wtask *wtask, double grace_s)
 {
-    struct wgang *wgang = gang_of(world, wtask->job.s);
+    struct wgang *wgang = gang_of(world, wtask->job.text);
     if (!wgang || wgang->mark_s <= 0 || grace_s < wgang->save_s)
         return false;
     if (strcmp(wtask->stage, "flushing") == 0)
@@ -110,7 +110,7 @@
         struct worker *worker = wattempt->where->pdata[i];
         if (worker->silent) /* it hangs, and notices when it goes on */
             continue;
-        worker_exit(worker, wtask->job.s, wtask->index, cause);
+        worker_exit(worker, wtask->job.text, wtask->index, cause);
         wtask->stored = stored;
     }
 }
@@ -118,8 +118,8 @@
 static void attempt_step(struct world *world, struct wgang *wgang, struct wattempt *wattempt)
 {
     mono_time now = loop_now(world->loop);
-    int64_t peer_ms = (int64_t)(world->settings[0]->gang_peer_s * 1000),
-            wait_ms = (int64_t)(world->settings[0]->gang_wait_s * 1000);
+    int64_t peer_ms = (int64_t)(world->settings[0]->gang_peer_timeout_s * 1000),
+            wait_ms = (int64_t)(world->settings[0]->gang_wait_timeout_s * 1000);
     bool whole = wattempt->on->len == wgang->tasks && !wattempt->torn;
     if (wgang->done) {
         attempt_exits(wattempt, "done", false);
@@ -139,7 +139,7 @@
         struct worker *worker = wattempt->where->pdata[i];
         if (strcmp(wtask->stage, "gathering") == 0 && !worker->silent &&
             time_ms_since(now, wtask->since) >= wait_ms)
-            worker_exit(worker, wtask->job.s, wtask->index, "incomplete");
+            worker_exit(worker, wtask->job.text, wtask->index, "incomplete");
     }
     if (!wattempt->begun || !wattempt->on->len)
         return;
@@ -180,7 +180,7 @@
         struct worker *worker = &world->workers[i];
         for (guint n = 0; worker->up && n < worker->tasks->len; n++) {
             struct wtask *wtask = &g_array_index(worker->tasks, struct wtask, n);
-            wgang = gang_of(world, wtask->job.s);
+            wgang = gang_of(world, wtask->job.text);
             if (!wgang)
                 continue;
             struct wattempt *wattempt = attempt_of(wgang, wtask->attempt);
--- a/tests/world_internal.h
+++ b/tests/world_internal.h
@@ -29,7 +29,7 @@
     int process; /* of the node that asked; 0: nobody waits */
     mono_time sent;
     char *addr, *method, *path, *body;
-    net_done done;
+    http_response_callback done;
     void *arg;
     struct timer timer;
     bool outside; /* a real process waits for the answer */
@@ -60,7 +60,8 @@
 /* Timer's callback: the request is at the other side; what becomes of it is its fate. */
 void arrived(void *arg);
 /* net.request of a node of the world. */
-void net_request_fn(struct net *net, const struct net_request *request, net_done done, void *arg);
+void net_request_fn(struct http_client *http_client, const struct http_client_request *request,
+                    http_response_callback done, void *arg);
 /* Answers with a text, as its fate has it. */
 void flight_text(struct flight *flight, int status, const char *text);
 /* The same with an object, which it takes. */
@@ -92,12 +93,12 @@
 /* A worker serves a command. */
 void serve_worker(struct flight *flight, struct worker *worker);
 /* Makes a connection of a user or a worker to a node. */
-struct wconn *conn_new(struct world *world, conn_ref *ref);
+struct wconn *conn_new(struct world *world, connection_ref *ref);
 /* A request of a user or a worker arrives at a node. */
-void node_receives(struct world *world, int node, const char *from, conn_ref ref,
+void node_receives(struct world *world, int node, const char *from, connection_ref ref,
                    const struct http_request *request);
-/* http_replier.reply of the world. */
-void world_reply(struct http_replier *self, conn_ref to, int status, const char *fields,
+/* http_responder.reply of the world. */
+void world_reply(struct http_responder *self, connection_ref to, int status, const char *fields,
                  const char *body, size_t len);
 /* Whether a task was ever on two machines at once. */
 extern bool world_task_twice;
--- a/tests/world_net.c
+++ b/tests/world_net.c
@@ -51,13 +51,13 @@
         return;
     }
     if (alive && flight->done)
-        flight->done(flight->arg, &(struct net_answer){status, body, strlen(body), 0});
+        flight->done(flight->arg, &(struct http_response){status, body, strlen(body), 0});
     flight_free(flight);
 }
 
 static void timed_out(void *arg)
 {
-    flight_answer(arg, NET_NO_ANSWER, "");
+    flight_answer(arg, HTTP_NO_RESPONSE, "");
 }
 
 /* The same request, on the answer to which nobody waits. */
@@ -97,33 +97,35 @@
     }
 }
 
-static struct flight *flight_new(struct world *world, const struct net_request *request,
-                                 net_done done, void *arg)
+static struct flight *flight_new(struct world *world, const struct http_client_request *request,
+                                 http_response_callback done, void *arg)
 {
     struct flight *flight = g_new0(struct flight, 1);
-    *flight = (struct flight){.world = world,
-                              .sent = loop_now(world->loop),
-                              .addr = g_strdup(request->addr),
-                              .method = g_strdup(request->method),
-                              .path = g_strdup(request->path),
-                              .body = g_strndup(request->body ? request->body : "", request->len),
-                              .done = done,
-                              .arg = arg,
-                              .timeout_ms = request->timeout_ms};
+    *flight =
+        (struct flight){.world = world,
+                        .sent = loop_now(world->loop),
+                        .addr = g_strdup(request->address),
+                        .method = g_strdup(request->method),
+                        .path = g_strdup(request->path),
+                        .body = g_strndup(request->body ? request->body : "", request->body_bytes),
+                        .done = done,
+                        .arg = arg,
+                        .timeout_ms = request->timeout_ms};
     timer_init(&flight->timer, arrived, flight);
     return flight;
 }
 
-void net_request_fn(struct net *net, const struct net_request *request, net_done done, void *arg)
+void net_request_fn(struct http_client *http_client, const struct http_client_request *request,
+                    http_response_callback done, void *arg)
 {
-    struct wnet *wnet = (struct wnet *)net;
+    struct wnet *wnet = (struct wnet *)http_client;
     struct flight *flight = flight_new(wnet->world, request, done, arg);
     flight->node = wnet->node;
     flight->process = wnet->world->process[wnet->node];
     flight->fate =
         wnet->world->fate ? wnet->world->fate(wnet->world, wnet->node, request) : FATE_NORMAL;
     note_flight(flight, false, 0, flight->body);
-    if (wnet->world->lost && g_str_has_suffix(request->addr, ":8081") &&
+    if (wnet->world->lost && g_str_has_suffix(request->address, ":8081") &&
         g_str_has_suffix(request->path, wnet->world->lost))
         flight->fate = FATE_LOST;
     if (wnet->world->paused[wnet->node]) {
@@ -137,7 +139,8 @@
     wnet->world->pause_after_send[wnet->node] = false;
 }
 
-void world_serve(struct world *world, const struct net_request *request, net_done done, void *arg)
+void world_serve(struct world *world, const struct http_client_request *request,
+                 http_response_callback done, void *arg)
 {
     struct flight *flight = flight_new(world, request, done, arg);
     flight->outside = true;
@@ -174,12 +177,12 @@
 }
 
 struct bus_reply {
-    struct http_replier replier;
+    struct http_responder replier;
     struct flight *flight;
 };
 
-static void bus_replied(struct http_replier *self, conn_ref to, int status, const char *fields,
-                        const char *body, size_t len)
+static void bus_replied(struct http_responder *self, connection_ref to, int status,
+                        const char *fields, const char *body, size_t len)
 {
     (void)to;
     (void)fields;
@@ -216,7 +219,7 @@
     }
     int to = flight->addr[7] - '1';
     if (to < 0 || to >= world->plan.nodes || !world->nodes[to]) {
-        flight_answer(flight, NET_NOT_SENT, "");
+        flight_answer(flight, HTTP_NOT_SENT, "");
         return;
     }
     if (world
@@ -232,5 +235,5 @@
     *reply = (struct bus_reply){{bus_replied}, flight};
     struct http_request request = {flight->method, flight->path,         "",
                                    flight->body,   strlen(flight->body), NULL};
-    bus_serve(world->nodes[to]->bus, &reply->replier, (conn_ref){1}, &request);
+    node_rpc_serve(world->nodes[to]->rpc, &reply->replier, (connection_ref){1}, &request);
 }
--- a/tests/world_state.c
+++ b/tests/world_state.c
@@ -82,13 +82,13 @@
 static void txn(struct flight *flight, json_object *body)
 {
     struct world *world = flight->world;
-    json_object *when = json_list(body, "When"), *writes = json_list(body, "Writes");
+    json_object *when = json_get_array(body, "When"), *writes = json_get_array(body, "Writes");
     json_object *failed = json_object_new_array();
     for (size_t i = 0; i < json_object_array_length(when); i++) {
         json_object *x = json_object_array_get_idx(when, i);
         const char *key;
         uint64_t stamp = 0;
-        assert_true(json_text(x, "K", &key) && json_u64(x, "Stamp", &stamp));
+        assert_true(json_get_text(x, "K", &key) && json_get_u64(x, "Stamp", &stamp));
         if (stamp_of(world, key) != stamp)
             json_object_array_add(failed, json_object_new_string(key));
     }
@@ -98,7 +98,7 @@
     assert_true(json_object_array_length(when) <= 4 * (size_t)world->state_txn_ops);
     for (size_t i = 0; i < n; i++) {
         uint64_t lease = 0;
-        if (json_u64(json_object_array_get_idx(writes, i), "Mooring", &lease) &&
+        if (json_get_u64(json_object_array_get_idx(writes, i), "Mooring", &lease) &&
             !g_hash_table_contains(world->leases, &lease)) {
             json_object_put(failed);
             json_object *o = json_object_new_object();
@@ -118,7 +118,7 @@
     for (size_t i = 0; i < n; i++) {
         json_object *x = json_object_array_get_idx(writes, i), *v = NULL;
         const char *key;
-        if (json_text(x, "Set", &key)) {
+        if (json_get_text(x, "Set", &key)) {
             json_object_object_get_ex(x, "V", &v);
             if (world->old[flight->node] && g_str_has_prefix(key, "ll/v/"))
                 continue;
@@ -129,10 +129,10 @@
             if (strlen(wkey->text) > world->state_value_kb * 1024)
                 fail_msg("%s is too long: %zu: %s", key, strlen(wkey->text), wkey->text);
             wkey->stamp = world->ledger;
-            json_u64(x, "Mooring", &wkey->lease);
+            json_get_u64(x, "Mooring", &wkey->lease);
             g_tree_replace(world->keys, g_strdup(key), wkey);
             event(world, key, wkey->text);
-        } else if (json_text(x, "Remove", &key) && g_tree_lookup(world->keys, key)) {
+        } else if (json_get_text(x, "Remove", &key) && g_tree_lookup(world->keys, key)) {
             event(world, key, NULL);
             g_tree_remove(world->keys, key);
         }
@@ -208,7 +208,7 @@
     struct world *world = flight->world;
     struct wlease *wlease = g_new0(struct wlease, 1);
     uint64_t ttl = 0;
-    json_u64(body, "TtlMs", &ttl);
+    json_get_u64(body, "TtlMs", &ttl);
     *wlease = (struct wlease){++world->next_lease, (int64_t)ttl,
                               time_add_ms(loop_now(world->loop), (int64_t)ttl)};
     g_hash_table_replace(world->leases, &wlease->id, wlease);
@@ -227,7 +227,7 @@
 void serve_state(struct flight *flight)
 {
     struct world *world = flight->world;
-    json_object *body = *flight->body ? json_read(flight->body, strlen(flight->body)) : NULL;
+    json_object *body = *flight->body ? json_parse(flight->body, strlen(flight->body)) : NULL;
     if (g_str_has_prefix(flight->path, "/watch")) {
         const char *from = strstr(flight->path, "From="), *block = strstr(flight->path, "BlockMs=");
         flight->from = g_ascii_strtoull(from + 5, NULL, 10);
--- a/tests/world_worker.c
+++ b/tests/world_worker.c
@@ -9,7 +9,7 @@
 {
     for (guint i = 0; i < worker->tasks->len; i++) {
         struct wtask *wtask = &g_array_index(worker->tasks, struct wtask, i);
-        if (wtask->index == index && strcmp(wtask->job.s, job) == 0)
+        if (wtask->index == index && strcmp(wtask->job.text, job) == 0)
             return wtask;
     }
     return NULL;
@@ -33,7 +33,7 @@
         struct wtask *wtask = &g_array_index(worker->tasks, struct wtask, i);
         json_object *x = json_object_new_object();
         char name[64];
-        g_snprintf(name, sizeof name, "%s/%u", wtask->job.s, wtask->index);
+        g_snprintf(name, sizeof name, "%s/%u", wtask->job.text, wtask->index);
         json_put_text(x, "Piece", name);
         json_put_u64(x, "Try", wtask->attempt);
         json_put_text(x, "Stage", wtask->stage);
@@ -61,7 +61,7 @@
         struct wtask *wtask = &g_array_index(worker->tasks, struct wtask, i);
         if (strcmp(wtask->stage, "exited") != 0)
             rules_left(worker->world->rules, loop_now(worker->world->loop), worker->id,
-                       wtask->job.s, wtask->index);
+                       wtask->job.text, wtask->index);
     }
     g_array_set_size(worker->tasks, 0);
 }
@@ -73,32 +73,32 @@
     job_id job;
     uint32_t index = 0;
     uint64_t attempt = 0;
-    assert_true(json_text(object, "Verb", &verb) && json_text(object, "Piece", &name) &&
-                task_name_read(name, &job, &index) && json_u64(object, "Try", &attempt));
-    struct wtask *t = worker_task(worker, job.s, index);
+    assert_true(json_get_text(object, "Verb", &verb) && json_get_text(object, "Piece", &name) &&
+                task_name_parse(name, &job, &index) && json_get_u64(object, "Try", &attempt));
+    struct wtask *t = worker_task(worker, job.text, index);
     if (strcmp(verb, "run") == 0) {
         if (t && t->attempt == attempt)
             return;
         assert_null(t); /* the service does not start a task where its worker still shows it */
         struct wtask n = {job, index, attempt, "running", "", loop_now(worker->world->loop), false};
-        if (gang_of(worker->world, job.s))
+        if (gang_of(worker->world, job.text))
             strcpy(n.stage, "gathering");
         struct worker *other = g_hash_table_lookup(worker->world->last_on, name);
         struct wtask *x =
-            other && other->up && other != worker ? worker_task(other, job.s, index) : NULL;
+            other && other->up && other != worker ? worker_task(other, job.text, index) : NULL;
         world_task_twice = world_task_twice || (x && strcmp(x->stage, "exited") != 0);
         g_hash_table_replace(worker->world->last_on, g_strdup(name), worker);
         g_array_append_val(worker->tasks, n);
         struct rules_machine machine = machine_of(worker);
-        rules_started(worker->world->rules, loop_now(worker->world->loop), sent, &machine, job.s,
+        rules_started(worker->world->rules, loop_now(worker->world->loop), sent, &machine, job.text,
                       index);
         worker->starts++;
     } else if (strcmp(verb, "halt") == 0) {
         double grace_s = 0;
-        json_number(object, "WindDownS", &grace_s);
+        json_get_number(object, "WindDownS", &grace_s);
         if (t && t->attempt == attempt && strcmp(t->stage, "exited") != 0 &&
             !gang_saves(worker->world, t, grace_s))
-            worker_exit(worker, job.s, index, "halted");
+            worker_exit(worker, job.text, index, "halted");
     } else if (t && t->attempt == attempt && strcmp(t->stage, "exited") == 0) {
         g_array_remove_index(worker->tasks, (guint)(t - (struct wtask *)worker->tasks->data));
     }
@@ -106,7 +106,7 @@
 
 static void worker_orders(struct worker *worker, json_object *object, mono_time sent)
 {
-    json_object *list = json_list(object, "Orders");
+    json_object *list = json_get_array(object, "Orders");
     for (size_t i = 0; list && i < json_object_array_length(list); i++)
         worker_order(worker, json_object_array_get_idx(list, i), sent);
 }
@@ -123,9 +123,9 @@
         flight_result(flight, 200, worker_state(worker));
         return;
     }
-    json_object *object = json_read(flight->body, strlen(flight->body));
+    json_object *object = json_parse(flight->body, strlen(flight->body));
     uint64_t token = 0, session = 0;
-    assert_true(json_u64(object, "Helm", &token) && json_u64(object, "Shift", &session));
+    assert_true(json_get_u64(object, "Helm", &token) && json_get_u64(object, "Shift", &session));
     bool ok = token >= worker->token && session == worker->session;
     worker->token = MAX(worker->token, token);
     if (ok)
@@ -137,7 +137,7 @@
 void worker_has(struct worker *worker, const char *job, uint32_t index, uint64_t attempt)
 {
     struct wtask wtask = {.index = index, .attempt = attempt, .stage = "running"};
-    assert_true(job_id_from(&wtask.job, job));
+    assert_true(job_id_parse(&wtask.job, job));
     wtask.since = loop_now(worker->world->loop);
     g_array_append_val(worker->tasks, wtask);
     char *name = g_strdup_printf("%s/%u", job, index);
@@ -165,7 +165,7 @@
         struct worker *worker = &world->workers[i];
         for (guint n = 0; worker->up && n < worker->tasks->len; n++) {
             struct wtask *wtask = &g_array_index(worker->tasks, struct wtask, n);
-            if (strcmp(wtask->job.s, job) == 0 && strcmp(wtask->stage, "exited") != 0)
+            if (strcmp(wtask->job.text, job) == 0 && strcmp(wtask->stage, "exited") != 0)
                 worker_exit(worker, job, wtask->index, cause);
         }
     }
@@ -197,23 +197,23 @@
         worker_new_session(worker, false);
 }
 
-struct wconn *conn_new(struct world *world, conn_ref *ref)
+struct wconn *conn_new(struct world *world, connection_ref *ref)
 {
     struct wconn *wconn = g_new0(struct wconn, 1);
-    ref->v = ++world->next_conn;
+    ref->value = ++world->next_conn;
     wconn->sent = loop_now(world->loop);
-    g_hash_table_insert(world->answers, g_memdup2(&ref->v, sizeof ref->v), wconn);
+    g_hash_table_insert(world->answers, g_memdup2(&ref->value, sizeof ref->value), wconn);
     return wconn;
 }
 
-void node_receives(struct world *world, int node, const char *from, conn_ref ref,
+void node_receives(struct world *world, int node, const char *from, connection_ref ref,
                    const struct http_request *request)
 {
     char to[16], message[256];
     g_snprintf(to, sizeof to, "node-%d", node);
     g_snprintf(message, sizeof message, "%s %s", request->method, request->path);
     transcript_write(loop_now(world->loop), from, to, message, request->body);
-    frontend_serve(world->nodes[node]->frontend, &world->replier, ref, request);
+    api_serve(world->nodes[node]->api, &world->replier, ref, request);
 }
 
 void worker_report(struct worker *worker)
@@ -230,7 +230,7 @@
         return;
     }
     int served_by = worker->node;
-    conn_ref ref;
+    connection_ref ref;
     struct wconn *wconn = conn_new(world, &ref);
     wconn->worker = worker;
     wconn->session = worker->session;
@@ -250,7 +250,7 @@
 void world_say_again(struct world *world, int node, const char *report)
 {
     struct http_request request = {"POST", "/agent/beat", "", report, strlen(report), NULL};
-    node_receives(world, node, "copy", (conn_ref){UINT64_MAX}, &request);
+    node_receives(world, node, "copy", (connection_ref){UINT64_MAX}, &request);
 }
 
 int world_starts(struct world *world)
@@ -264,14 +264,14 @@
 static void worker_answered(struct worker *worker, struct wconn *wconn, int status,
                             const char *body, size_t len)
 {
-    json_object *object = json_read(body, len);
+    json_object *object = json_parse(body, len);
     const char *to = NULL;
     uint64_t token = 0;
-    if (status == 421 && json_text(object, "Harbour", &to)) {
+    if (status == 421 && json_get_text(object, "Harbour", &to)) {
         worker->node = to[strlen(to) - 1] - '0';
     } else if (status != 200) {
         worker->node = (worker->node + 1) % worker->world->plan.nodes;
-    } else if (json_u64(object, "Helm", &token) && token >= worker->token &&
+    } else if (json_get_u64(object, "Helm", &token) && token >= worker->token &&
                wconn->session == worker->session) {
         worker->token = token;
         worker->lease_from = wconn->sent;
@@ -280,11 +280,11 @@
     json_object_put(object);
 }
 
-void world_reply(struct http_replier *self, conn_ref to, int status, const char *fields,
+void world_reply(struct http_responder *self, connection_ref to, int status, const char *fields,
                  const char *body, size_t len)
 {
     struct world *world = (struct world *)((char *)self - offsetof(struct world, replier));
-    struct wconn *wconn = g_hash_table_lookup(world->answers, &to.v);
+    struct wconn *wconn = g_hash_table_lookup(world->answers, &to.value);
     if (!wconn)
         return;
     char message[32];
@@ -304,7 +304,7 @@
         rules_answered(world->rules, loop_now(world->loop), wconn->sent, wconn->method, wconn->path,
                        wconn->body, status, wconn->answer->body);
     }
-    g_hash_table_remove(world->answers, &to.v);
+    g_hash_table_remove(world->answers, &to.value);
 }
 
 struct worker *world_worker(struct world *world, int i, const char *zone, bool spot)
