--- a/tests/test_upgrade.c
+++ b/tests/test_upgrade.c
@@ -2,11 +2,12 @@
  * data, and limits of the state service that fall. The values below were written by that version,
  * in this world, and are what a node of it leaves behind. */
 #include "run_records_internal.h"
+#include "stored_fixtures.h"
 #include "world.h"
 
 #include <string.h>
 
-static const char *const production[][2] = {
+static const struct stored_key production[] = {
     {"ll/h/host-000001", "{\"a\":\"10.1.0.1:9000\",\"b\":\"g8\",\"y\":\"a\",\"l\":true,\"i\":[]}"},
     {"ll/h/host-000002", "{\"a\":\"10.1.0.2:9000\",\"b\":\"g8\",\"y\":\"a\",\"l\":true,\"i\":[]}"},
     {"ll/h/host-000003", "{\"a\":\"10.1.0.3:9000\",\"b\":\"g8\",\"y\":\"a\",\"l\":true,\"i\":[]}"},
@@ -53,34 +54,6 @@
     return plan;
 }
 
-static struct worker *worker_named(struct world *world, const char *id)
-{
-    for (int i = 0; i < world->plan.workers; i++)
-        if (world->workers[i].up && strcmp(world->workers[i].id, id) == 0)
-            return &world->workers[i];
-    return NULL;
-}
-
-static void run_task(void *ctx, const struct record_page_entry *record)
-{
-    struct worker *worker = worker_named(ctx, record->machine.text);
-    if (worker) {
-        worker_has(worker, record->job.text, record->task_index, record->attempt.value);
-        worker->token = 1;
-    }
-}
-
-/* A page as production wrote it; what it says runs on its machines. */
-static void page_stands(struct world *world, const char *key, const char *value)
-{
-    json_object *object = json_tokener_parse(value);
-    const char *text;
-    assert_true(json_get_text(object, "t", &text));
-    record_page_decode(text, run_task, world);
-    json_object_put(object);
-    world_put(world, key, value);
-}
-
 static int recorded(struct world *world, int node)
 {
     GHashTableIter it;
@@ -117,14 +90,7 @@
 {
     (void)state;
     struct world *world = production_world(plan_to_fall(2, 5), 6);
-    for (guint i = 0; i < G_N_ELEMENTS(production); i++) { /* jobs come before their tasks */
-        if (g_str_has_prefix(production[i][0], "ll/p/"))
-            page_stands(world, production[i][0], production[i][1]);
-        else if (g_str_has_prefix(production[i][0], "ll/j/"))
-            world_put_job(world, production[i][0] + strlen("ll/j/"), production[i][1]);
-        else
-            world_put(world, production[i][0], production[i][1]);
-    }
+    stored_put_all(world, production, G_N_ELEMENTS(production));
     rules_done(world->rules, "wk-000001", 1); /* as the pages say */
     rules_done(world->rules, "wk-000003", 7);
     for (int i = 0; i < WORLD_NODES; i++)
@@ -152,7 +118,7 @@
 /* Pages of production at their longest: jobs of one task each, with long names, on six machines. */
 static void long_pages_stand(struct world *world, const char *first, const char *second)
 {
-    world_put(world, "ll/types", production[G_N_ELEMENTS(production) - 1][1]);
+    world_put(world, "ll/types", production[G_N_ELEMENTS(production) - 1].value);
     world_put(world, "ll/map", "{\"e\":1,\"n\":[{\"n\":\"mast-0\",\"i\":901}]}");
     GString *text[2] = {g_string_new("{\"t\":\""), g_string_new("{\"t\":\"")};
     for (int i = 0; i < LONG_JOBS; i++) {
@@ -176,7 +142,7 @@
             g_string_append_printf(text[k], "#wk-%06d 0:ff ", i);
         g_string_append(text[k], "\"}");
         assert_in_range(text[k]->len, 4000, 8192);
-        page_stands(world, k ? second : first, text[k]->str);
+        stored_put_page(world, k ? second : first, text[k]->str);
         g_string_free(text[k], TRUE);
     }
 }
