--- a/tests/duty_history.c
+++ b/tests/duty_history.c
@@ -47,15 +47,15 @@
 }
 
 static void record_changed(struct duty_history *history, enum singleton_role role, const char *text,
-                           uint64_t revision)
+                           uint64_t mod_revision)
 {
-    history->current[role] = text ? revision : 0;
+    history->current[role] = text ? mod_revision : 0;
     if (!text)
         return;
-    if (revision <= history->highest[role])
+    if (mod_revision <= history->highest[role])
         note_wrong(history, "the token of %s fell to %" G_GUINT64_FORMAT, singleton_role_name(role),
-                   revision);
-    history->highest[role] = revision;
+                   mod_revision);
+    history->highest[role] = mod_revision;
     history->holders++;
 }
 
@@ -103,13 +103,13 @@
     json_object_put(value);
 }
 
-void duty_history_key(void *ctx, const char *key, const char *text, uint64_t revision)
+void duty_history_key(void *ctx, const char *key, const char *text, uint64_t mod_revision)
 {
     struct duty_history *history = ctx;
     enum singleton_role role;
     int page;
     if (key_role_parse(key, &role))
-        record_changed(history, role, text, revision);
+        record_changed(history, role, text, mod_revision);
     else if (text && key_intent_page_parse(key, &role, &page))
         intents_changed(history, role, text);
     else if (text && g_str_has_prefix(key, "ll/p/"))
--- a/tests/duty_history.h
+++ b/tests/duty_history.h
@@ -15,7 +15,7 @@
 void duty_history_free(struct duty_history *history);
 
 /* A key has a new value (text NULL: it was removed). */
-void duty_history_key(void *history, const char *key, const char *text, uint64_t revision);
+void duty_history_key(void *history, const char *key, const char *text, uint64_t mod_revision);
 /* The cloud has rented a machine for a request; it has taken one back. */
 void duty_history_rented(void *history, const char *request, const char *machine);
 void duty_history_returned(void *history, const char *machine);
--- a/tests/test_duties.c
+++ b/tests/test_duties.c
@@ -123,12 +123,12 @@
     json_object_put(value);
 }
 
-static void key_changed(void *ctx, const char *key, const char *text, uint64_t revision)
+static void key_changed(void *ctx, const char *key, const char *text, uint64_t mod_revision)
 {
     struct play *play = ctx;
     if (text && g_str_has_prefix(key, KEY_INTENT_PREFIX))
         expect_closed(play, text);
-    duty_history_key(play->history, key, text, revision);
+    duty_history_key(play->history, key, text, mod_revision);
 }
 
 static void rented(void *ctx, const char *request, const char *machine)
--- a/tests/transcript.c
+++ b/tests/transcript.c
@@ -22,7 +22,7 @@
                       const char *body)
 {
     FILE *file = transcript_file();
-    if (file)
-        fprintf(file, "%" G_GINT64_FORMAT " %s > %s %s %s\n", now.us, from, to, message,
-                body ? body : "");
+    if (file && fprintf(file, "%" G_GINT64_FORMAT " %s > %s %s %s\n", now.us, from, to, message,
+                        body ? body : "") < 0)
+        g_error("the transcript cannot be written");
 }
--- a/tests/world.h
+++ b/tests/world.h
@@ -49,7 +49,7 @@
 /* Who is told what the state service and the cloud carry out. */
 struct world_observer {
     void *ctx;
-    void (*key_changed)(void *ctx, const char *key, const char *text, uint64_t revision);
+    void (*key_changed)(void *ctx, const char *key, const char *text, uint64_t mod_revision);
     void (*rented)(void *ctx, const char *request, const char *machine);
     void (*returned)(void *ctx, const char *machine);
 };
