--- a/src/scheduler/autoscaler_scale_in.c
+++ b/src/scheduler/autoscaler_scale_in.c
@@ -1,29 +1,33 @@
 #include "autoscaler_scale_in.h"
 
+#include "autoscaler.h"
 #include "autoscaler_scale_out.h"
+#include "machine_health.h"
 #include "placement.h"
 #include "quota_ledger.h"
+#include "scheduling_policy.h"
 #include "shard.h"
+#include "shard_dispatcher.h"
 
 bool autoscaler_is_machine_idle(const struct ledger_machine *machine)
 {
-    return !machine->allocated.cpus.milli && !machine->allocated.memory.milli &&
-           !machine->dispatched.cpus.milli && !machine->dispatched.memory.milli &&
-           !machine->reserved.cpus.milli && !machine->reserved.memory.milli &&
-           !machine->is_wanted_by_gang;
+    return !machine->usage.allocated.cpus.milli && !machine->usage.allocated.memory.milli &&
+           !machine->usage.dispatched.cpus.milli && !machine->usage.dispatched.memory.milli &&
+           !machine->usage.reserved.cpus.milli && !machine->usage.reserved.memory.milli &&
+           !machine->usage.is_wanted_by_gang;
 }
 
 /* Whether the next services would miss the machine. */
 static bool is_kept_for_services(struct leader *leader, struct ledger_machine *machine)
 {
-    if (machine->is_spot || !leader->has_services || machine->zone_index < 0)
+    if (machine->is_spot || !leader->autoscaler.has_services || machine->zone_index < 0)
         return false;
     int64_t service_tasks =
-        resources_fit_count(resources_remaining(machine->capacity, machine->service_resources),
-                            leader->mean_service_request);
-    if (leader->service_shortfall_tasks[machine->zone_index] + service_tasks > 0)
+        resources_fit_count(resources_remaining(machine->capacity, machine->usage.services),
+                            leader->autoscaler.mean_service_request);
+    if (leader->autoscaler.service_shortfall_tasks[machine->zone_index] + service_tasks > 0)
         return true;
-    leader->service_shortfall_tasks[machine->zone_index] += service_tasks;
+    leader->autoscaler.service_shortfall_tasks[machine->zone_index] += service_tasks;
     return false;
 }
 
@@ -34,7 +38,7 @@
                         scheduling_policy_spare_cpus(leader);
     GHashTableIter it;
     struct ledger_machine *machine;
-    g_hash_table_iter_init(&it, leader->machines);
+    g_hash_table_iter_init(&it, leader->ledger.machines);
     while (g_hash_table_iter_next(&it, NULL, (gpointer *)&machine)) {
         double cpus = (double)machine->capacity.cpus.milli / 1000;
         if (!placement_is_schedulable(leader, machine) || !autoscaler_is_machine_idle(machine) ||
@@ -53,7 +57,7 @@
     mono_time now = loop_now(leader->loop);
     GHashTableIter it;
     struct ledger_machine *machine;
-    g_hash_table_iter_init(&it, leader->machines);
+    g_hash_table_iter_init(&it, leader->ledger.machines);
     while (g_hash_table_iter_next(&it, NULL, (gpointer *)&machine)) {
         if (!machine->is_reported)
             continue;
@@ -63,7 +67,7 @@
             (machine->is_spot || (machine->flags & MACHINE_LEASE_EXPIRED)))
             cloud_provider_scale_in(leader->cloud, machine->id, "lost");
         /* What fails is what starts there; services that run on it already are well. */
-        else if (time_before(now, machine->quarantined_until) &&
+        else if (time_before(now, machine->health.quarantined_until) &&
                  autoscaler_is_machine_idle(machine))
             cloud_provider_scale_in(leader->cloud, machine->id, "sick");
         else if ((machine->flags & MACHINE_RECLAIMED) && autoscaler_is_machine_idle(machine))
@@ -94,7 +98,7 @@
 {
     GHashTableIter it;
     struct ledger_machine *machine;
-    g_hash_table_iter_init(&it, leader->machines);
+    g_hash_table_iter_init(&it, leader->ledger.machines);
     while (g_hash_table_iter_next(&it, NULL, (gpointer *)&machine)) {
         if (!cloud_provider_is_gone(leader->cloud, machine->id.text))
             continue;
--- a/src/scheduler/autoscaler_scale_out.c
+++ b/src/scheduler/autoscaler_scale_out.c
@@ -3,6 +3,7 @@
 #include "job_queue.h"
 #include "placement.h"
 #include "quota_ledger.h"
+#include "scheduling_policy.h"
 #include "shard.h"
 
 #include <math.h>
@@ -93,7 +94,7 @@
     int lost_count = 0, heard_count = 0;
     GHashTableIter it;
     struct ledger_machine *machine;
-    g_hash_table_iter_init(&it, leader->machines);
+    g_hash_table_iter_init(&it, leader->ledger.machines);
     while (g_hash_table_iter_next(&it, NULL, (gpointer *)&machine)) {
         if (!machine->is_reported || strcmp(machine->zone, zone) != 0)
             continue;
@@ -111,14 +112,14 @@
     mono_time now = loop_now(leader->loop);
     for (guint i = 0; i < leader->settings->zones->len; i++)
         if (is_zone_silent(leader, leader->settings->zones->pdata[i]))
-            leader->zone_silent_until[i] = time_add_ms(now, SILENT_ZONE_MS);
+            leader->autoscaler.zone_silent_until[i] = time_add_ms(now, SILENT_ZONE_MS);
 }
 
 static bool is_zone_avoided(struct leader *leader, const char *zone)
 {
     for (guint i = 0; i < leader->settings->zones->len; i++)
         if (strcmp(leader->settings->zones->pdata[i], zone) == 0)
-            return time_before(loop_now(leader->loop), leader->zone_silent_until[i]);
+            return time_before(loop_now(leader->loop), leader->autoscaler.zone_silent_until[i]);
     return false;
 }
 
@@ -213,7 +214,7 @@
 static int64_t count_requested_tasks(struct leader *leader, struct ledger_job *job,
                                      struct job *job_record)
 {
-    struct ledger_team *team = &leader->teams[job->team_index];
+    struct ledger_team *team = &leader->ledger.teams[job->team_index];
     struct resources remaining =
         resources_remaining(quota_ledger_remaining_limit(team), team->demand);
     int64_t task_count = MIN(quota_ledger_count_allowed_tasks(leader, job, job_record),
@@ -263,7 +264,7 @@
     struct resources sum = {0};
     GHashTableIter it;
     struct ledger_machine *machine;
-    g_hash_table_iter_init(&it, leader->machines);
+    g_hash_table_iter_init(&it, leader->ledger.machines);
     while (g_hash_table_iter_next(&it, NULL, (gpointer *)&machine))
         if (placement_is_schedulable(leader, machine))
             resources_add(&sum, placement_free_resources(machine));
@@ -276,11 +277,11 @@
     double cpus = 1;
     GHashTableIter it;
     struct ledger_machine *machine;
-    g_hash_table_iter_init(&it, leader->machines);
+    g_hash_table_iter_init(&it, leader->ledger.machines);
     while (g_hash_table_iter_next(&it, NULL, (gpointer *)&machine))
         if (machine->is_reported && (machine->flags & MACHINE_KNOWN))
-            cpus += (double)(machine->capacity.cpus.milli - machine->service_resources.cpus.milli) /
-                    1000;
+            cpus +=
+                (double)(machine->capacity.cpus.milli - machine->usage.services.cpus.milli) / 1000;
     for (guint i = 0; i < pending->len; i++) {
         struct pending_capacity *capacity = &g_array_index(pending, struct pending_capacity, i);
         cpus += (double)capacity->available.cpus.milli / 1000;
@@ -299,7 +300,7 @@
     wall_time now = loop_wall_time(leader->loop);
     GHashTableIter it;
     struct ledger_job *job;
-    g_hash_table_iter_init(&it, leader->jobs);
+    g_hash_table_iter_init(&it, leader->ledger.jobs);
     while (g_hash_table_iter_next(&it, NULL, (gpointer *)&job)) {
         struct job *job_record = replica_get_job(leader->replica, job->id.text);
         if (!job->is_service || !job_record || !job_record->is_known)
@@ -319,12 +320,13 @@
         busiest_slot = MAX(busiest_slot, slots[i]);
     }
     if (task_count)
-        leader->mean_service_request = (struct resources){{total.cpus.milli / task_count},
-                                                          {total.gpus.milli / task_count},
-                                                          {total.memory.milli / task_count}};
-    leader->service_tasks_per_s =
+        leader->autoscaler.mean_service_request =
+            (struct resources){{total.cpus.milli / task_count},
+                               {total.gpus.milli / task_count},
+                               {total.memory.milli / task_count}};
+    leader->autoscaler.service_tasks_per_s =
         (double)(slot_sum - busiest_slot) * 1000 / (double)((observed_slots - 1) * RATE_SLOT_MS);
-    leader->has_services = task_count > 0;
+    leader->autoscaler.has_services = task_count > 0;
 }
 
 /* How many more tasks of services a zone's ordinary machines could hold. */
@@ -334,12 +336,12 @@
     int64_t task_count = 0;
     GHashTableIter it;
     struct ledger_machine *machine;
-    g_hash_table_iter_init(&it, leader->machines);
+    g_hash_table_iter_init(&it, leader->ledger.machines);
     while (g_hash_table_iter_next(&it, NULL, (gpointer *)&machine))
         if (!machine->is_spot && placement_is_schedulable(leader, machine) &&
             strcmp(machine->zone, zone) == 0)
             task_count += resources_fit_count(
-                resources_remaining(machine->capacity, machine->service_resources), request);
+                resources_remaining(machine->capacity, machine->usage.services), request);
     return task_count;
 }
 
@@ -347,34 +349,35 @@
  * idle: arrays use it and are preempted. */
 static void request_for_services(struct leader *leader, GArray *pending, GArray *orders)
 {
-    if (!leader->has_services)
+    if (!leader->autoscaler.has_services)
         return;
-    struct resources request = leader->mean_service_request;
+    struct resources request = leader->autoscaler.mean_service_request;
     struct policy_value inputs[POLICY_INPUTS] = {0};
     scheduling_policy_set_load_inputs(leader, inputs);
     struct job_spec any_service = {.form = FORM_SERVICE};
     guint zone_count = leader->settings->zones->len;
-    int64_t tasks_per_zone =
-        (int64_t)round(leader->service_tasks_per_s * scheduling_policy_slowest_boot_s(leader) *
-                       policy_number(leader->policy, POLICY_SERVICE_SPARE, inputs) / zone_count);
+    int64_t tasks_per_zone = (int64_t)round(
+        leader->autoscaler.service_tasks_per_s * scheduling_policy_slowest_boot_s(leader) *
+        policy_number(leader->policy, POLICY_SERVICE_SPARE, inputs) / zone_count);
     int64_t unmet_tasks = 0;
     for (guint i = 0; i < zone_count; i++) {
         const char *zone = leader->settings->zones->pdata[i];
-        leader->service_shortfall_tasks[i] =
+        leader->autoscaler.service_shortfall_tasks[i] =
             tasks_per_zone - count_service_capacity(leader, request, zone);
-        if (leader->service_shortfall_tasks[i] > 0)
-            unmet_tasks += request_capacity(leader, pending, orders, &any_service, request,
-                                            leader->service_shortfall_tasks[i], zone, false);
+        if (leader->autoscaler.service_shortfall_tasks[i] > 0)
+            unmet_tasks +=
+                request_capacity(leader, pending, orders, &any_service, request,
+                                 leader->autoscaler.service_shortfall_tasks[i], zone, false);
     }
     /* A zone that has no more machines to give is helped by room in another, where replicas that
      * are free to go are moved to. */
     for (guint i = 0; i < zone_count && unmet_tasks > 0; i++) {
-        leader->service_shortfall_tasks[i] += unmet_tasks;
-        if (leader->service_shortfall_tasks[i] > 0 &&
-            leader->service_shortfall_tasks[i] <= unmet_tasks)
+        leader->autoscaler.service_shortfall_tasks[i] += unmet_tasks;
+        if (leader->autoscaler.service_shortfall_tasks[i] > 0 &&
+            leader->autoscaler.service_shortfall_tasks[i] <= unmet_tasks)
             request_capacity(leader, pending, orders, &any_service, request,
-                             leader->service_shortfall_tasks[i], leader->settings->zones->pdata[i],
-                             false);
+                             leader->autoscaler.service_shortfall_tasks[i],
+                             leader->settings->zones->pdata[i], false);
     }
 }
 
@@ -387,8 +390,8 @@
     GArray *orders = g_array_new(FALSE, FALSE, sizeof(struct machine_offer));
     cloud_provider_drop_unsent(leader->cloud);
     update_silent_zones(leader);
-    for (int i = 0; i < leader->team_count; i++)
-        leader->teams[i].demand = (struct resources){0};
+    for (int i = 0; i < leader->ledger.team_count; i++)
+        leader->ledger.teams[i].demand = (struct resources){0};
     autoscaler_list_pending_capacity(leader, pending);
     /* Ordinary machines are rented for work that spot machines could do only when these would not
      * get to it in time, behind all that goes before it. */
@@ -396,10 +399,10 @@
     for (int rank = 0; rank < RANK_COUNT; rank++) {
         if (rank == 1)
             request_for_services(leader, pending, orders);
-        for (int i = 0; i < leader->team_count; i++)
-            for (guint k = 0; k < leader->teams[i].ready_jobs->len; k++) {
-                struct ledger_job *job = leader->teams[i].ready_jobs->pdata[k];
-                struct job *job_record = job->job_record;
+        for (int i = 0; i < leader->ledger.team_count; i++)
+            for (guint k = 0; k < leader->ledger.teams[i].ready_jobs->len; k++) {
+                struct ledger_job *job = leader->ledger.teams[i].ready_jobs->pdata[k];
+                struct job *job_record = job->queue.job_record;
                 if (job_queue_rank(leader, job) != rank)
                     continue;
                 backlog_cpu_s += (double)quota_ledger_count_allowed_tasks(leader, job, job_record) *
--- a/src/scheduler/dispatch_timeout.c
+++ b/src/scheduler/dispatch_timeout.c
@@ -18,7 +18,7 @@
     GHashTableIter it, dispatch_iter;
     struct ledger_job *job;
     struct pending_dispatch *dispatch;
-    g_hash_table_iter_init(&it, leader->jobs);
+    g_hash_table_iter_init(&it, leader->ledger.jobs);
     while (g_hash_table_iter_next(&it, NULL, (gpointer *)&job)) {
         struct job *job_record = replica_get_job(leader->replica, job->id.text);
         /* The switch rule may keep a task back for a twentieth of its time. */
--- a/src/scheduler/gang_scheduler.c
+++ b/src/scheduler/gang_scheduler.c
@@ -4,6 +4,7 @@
 #include "placement.h"
 #include "preemption.h"
 #include "quota_ledger.h"
+#include "scheduling_policy.h"
 #include "shard_dispatcher.h"
 
 enum {
@@ -35,7 +36,7 @@
             g_ptr_array_add(machines, machine);
             if (machine->zone_index >= 0 &&
                 spec->needs_separate_zones) /* one zone is for the caller to settle */
-                leader->zone_task_counts[machine->zone_index]++;
+                leader->pass.zone_task_counts[machine->zone_index]++;
         }
     }
     return machines;
@@ -53,7 +54,7 @@
         GPtrArray *zone_machines =
             pick_machines(leader, job, spec, candidates, max_tasks, (int)zone);
         bool is_preempting_here =
-            job->pending_preemptions && (int)zone == job->gang.preemption_zone_index;
+            job->preemption.pending_count && (int)zone == job->gang.preemption_zone_index;
         guint score = zone_machines->len == max_tasks
                           ? 2 * max_tasks
                           : zone_machines->len + (is_preempting_here ? max_tasks : 0);
@@ -150,7 +151,7 @@
 static int64_t machine_task_capacity(const struct ledger_machine *machine,
                                      const struct ledger_job *job)
 {
-    return resources_fit_count(resources_remaining(machine->capacity, machine->service_resources),
+    return resources_fit_count(resources_remaining(machine->capacity, machine->usage.services),
                                job->task_resources);
 }
 
@@ -159,9 +160,9 @@
                                   const struct job_spec *spec, int zone_index)
 {
     int64_t task_count = 0;
-    loop_add_work(leader->loop, leader->schedulable_machines->len);
-    for (guint i = 0; i < leader->schedulable_machines->len; i++) {
-        struct ledger_machine *machine = leader->schedulable_machines->pdata[i];
+    loop_add_work(leader->loop, leader->pass.schedulable_machines->len);
+    for (guint i = 0; i < leader->pass.schedulable_machines->len; i++) {
+        struct ledger_machine *machine = leader->pass.schedulable_machines->pdata[i];
         if (placement_is_machine_allowed(leader, job, spec, machine) &&
             (zone_index == ANY_ZONE || machine->zone_index == zone_index))
             task_count += machine_task_capacity(machine, job);
@@ -194,12 +195,12 @@
                                        const struct job_spec *spec, int zone_index)
 {
     GArray *machines = g_array_new(FALSE, FALSE, sizeof(struct placement_candidate));
-    loop_add_work(leader->loop, leader->schedulable_machines->len);
+    loop_add_work(leader->loop, leader->pass.schedulable_machines->len);
     placement_count_zone_tasks(leader, job, spec);
-    for (guint i = 0; i < leader->schedulable_machines->len; i++) {
-        struct ledger_machine *machine = leader->schedulable_machines->pdata[i];
+    for (guint i = 0; i < leader->pass.schedulable_machines->len; i++) {
+        struct ledger_machine *machine = leader->pass.schedulable_machines->pdata[i];
         struct placement_candidate candidate = {
-            machine, -resources_dominant_share(machine->allocated, machine->capacity)};
+            machine, -resources_dominant_share(machine->usage.allocated, machine->capacity)};
         if (machine_task_capacity(machine, job) &&
             placement_is_machine_allowed(leader, job, spec, machine) &&
             (zone_index == ANY_ZONE || machine->zone_index == zone_index))
@@ -224,7 +225,7 @@
         int64_t additional_tasks = machine_task_capacity(machine, job);
         for (guint k = 0; k < reserved_machines->len; k++)
             additional_tasks -= reserved_machines->pdata[k] == machine;
-        resources_add(&machine->reserved, placement_free_resources(machine));
+        resources_add(&machine->usage.reserved, placement_free_resources(machine));
         missing_tasks -= additional_tasks;
     }
     g_array_unref(machines);
@@ -274,25 +275,26 @@
     job->gang.reserved_task_count = machines->len;
     job->gang.reserved_zone_index =
         machines->len ? ((struct ledger_machine *)machines->pdata[0])->zone_index : ANY_ZONE;
-    job->is_blocked = true;
+    job->queue.is_blocked = true;
     bool may_reserve = may_wait_for_machines(leader, job);
-    bool may_drain = job->is_aged && leader->reserving_gang_count < MAX_RESERVING_GANGS;
+    bool may_drain = job->queue.wait_stage >= WAIT_AGED &&
+                     leader->pass.reserving_gang_count < MAX_RESERVING_GANGS;
     int zone_index = ANY_ZONE;
     bool could_fit = (!may_reserve || may_drain) &&
                      could_fit_whole_gang(leader, job, spec, needed_tasks, &zone_index);
     may_reserve = may_reserve || could_fit;
     for (guint i = 0; i < machines->len; i++) {
         struct ledger_machine *machine = machines->pdata[i];
-        machine->is_wanted_by_gang = true;
+        machine->usage.is_wanted_by_gang = true;
         if (may_reserve)
-            resources_add(&machine->reserved, job->task_resources);
+            resources_add(&machine->usage.reserved, job->task_resources);
     }
     if (may_reserve || !machines->len)
         placement_add_unschedulable(leader, spec);
     if (may_reserve)
         preemption_free_resources(leader, job, job_record, false);
     if (could_fit && may_drain) {
-        leader->reserving_gang_count++;
+        leader->pass.reserving_gang_count++;
         reserve_draining_machines(leader, job, spec, machines,
                                   (int64_t)needed_tasks - machines->len, zone_index);
     }
@@ -306,7 +308,7 @@
         repair_gang(leader, job, job_record);
         return false;
     }
-    struct ledger_team *team = &leader->teams[job->team_index];
+    struct ledger_team *team = &leader->ledger.teams[job->team_index];
     uint32_t needed_tasks = job_record->task_count - job_record->completed_count;
     struct resources total_request = {{job->task_resources.cpus.milli * needed_tasks},
                                       {job->task_resources.gpus.milli * needed_tasks},
--- a/src/scheduler/job_queue.c
+++ b/src/scheduler/job_queue.c
@@ -31,20 +31,21 @@
  * team's whole limit busy: small jobs pass large ones, but none passes for ever. */
 static const double JOB_SIZE_WEIGHT = 4;
 
-/* Whether what the job's class is expected to do can still be done. One that has waited for very
- * long has its place back, so that none waits for ever. */
-static bool update_waiting_state(struct leader *leader, struct ledger_job *job,
-                                 const struct job *job_record)
+/** How the job's waiting time compares with its objective now. */
+static enum wait_stage find_wait_stage(struct leader *leader, const struct ledger_job *job,
+                                       const struct job *job_record)
 {
     double waited_s = (double)(loop_wall_time(leader->loop).ms - job_record->eligible_at.ms) / 1000;
-    job->is_aged = waited_s > AGED_S;
-    job->is_overdue = waited_s > OVERDUE_S;
-    return waited_s < job->patience_s || job->is_aged;
+    if (waited_s > OVERDUE_S)
+        return WAIT_OVERDUE;
+    if (waited_s > AGED_S)
+        return WAIT_AGED;
+    return waited_s < job->patience_s ? WAIT_TIMELY : WAIT_LATE;
 }
 
 int job_queue_rank(struct leader *leader, struct ledger_job *job)
 {
-    struct ledger_team *team = &leader->teams[job->team_index];
+    struct ledger_team *team = &leader->ledger.teams[job->team_index];
     if (job->priority == PRIORITY_PROD)
         return RANK_SERVICE;
     if (quota_ledger_is_within_limits(team->used, job->task_resources, team->quota->cpus,
@@ -52,9 +53,10 @@
         return job->priority;
     /* What is overdue goes before all that is borrowed, or urgent work would hold it back for ever.
      */
-    if (job->is_overdue)
+    if (job->queue.wait_stage == WAIT_OVERDUE)
         return RANK_BORROWED;
-    return (job->can_meet_objective ? RANK_BORROWED : RANK_BORROWED_LATE) + job->priority;
+    return (job->queue.wait_stage != WAIT_LATE ? RANK_BORROWED : RANK_BORROWED_LATE) +
+           job->priority;
 }
 
 /* Deals so many tasks at most to one machine; tells how many. */
@@ -72,7 +74,7 @@
         quota_ledger_add_dispatch(leader, job, index, attempt, machine);
         shard_dispatcher_queue_dispatch(leader, job, index, false);
         if (machine->zone_index >= 0)
-            leader->zone_task_counts[machine->zone_index]++;
+            leader->pass.zone_task_counts[machine->zone_index]++;
         dispatched_tasks++;
     }
     return dispatched_tasks;
@@ -112,7 +114,7 @@
     bool needs_image = preemption_waits_for_image(leader, job, job_record);
     int dispatched_tasks = dispatch_to_best(leader, job, job_record, allowed_tasks, needs_image);
     if (!dispatched_tasks) {
-        job->is_blocked = true;
+        job->queue.is_blocked = true;
         preemption_free_resources(leader, job, job_record, needs_image);
     }
     return dispatched_tasks;
@@ -127,7 +129,7 @@
 static double limit_busy_time_s(struct leader *leader, const struct ledger_job *job,
                                 const struct job *job_record)
 {
-    const struct team *quota = leader->teams[job->team_index].quota;
+    const struct team *quota = leader->ledger.teams[job->team_index].quota;
     double cpus = (double)job->task_resources.cpus.milli * job_record->task_count;
     double gpus = (double)job->task_resources.gpus.milli * job_record->task_count;
     double share = MAX(fraction(cpus, (double)quota->cpus_max.milli),
@@ -135,18 +137,26 @@
     return share * job_record->spec->expected_run_s;
 }
 
+/** Jobs that are aged or overdue come first, then those in time, then those that are late. */
+static int queue_order(enum wait_stage stage)
+{
+    if (stage >= WAIT_AGED)
+        return 0;
+    return stage == WAIT_TIMELY ? 1 : 2;
+}
+
 /* By arrival and size; but jobs that are late whatever is done now stand behind those that may
  * still be in time. */
 static gint compare_queue_position(gconstpointer a, gconstpointer b)
 {
     const struct ledger_job *first = *(struct ledger_job *const *)a;
     const struct ledger_job *second = *(struct ledger_job *const *)b;
-    if (first->can_meet_objective != second->can_meet_objective)
-        return first->can_meet_objective ? -1 : 1;
-    if (first->is_aged != second->is_aged)
-        return first->is_aged ? -1 : 1;
-    if (first->queue_position_ms != second->queue_position_ms)
-        return first->queue_position_ms < second->queue_position_ms ? -1 : 1;
+    int first_order = queue_order(first->queue.wait_stage);
+    int second_order = queue_order(second->queue.wait_stage);
+    if (first_order != second_order)
+        return first_order < second_order ? -1 : 1;
+    if (first->queue.position_ms != second->queue.position_ms)
+        return first->queue.position_ms < second->queue.position_ms ? -1 : 1;
     return strcmp(first->id.text, second->id.text);
 }
 
@@ -157,8 +167,8 @@
     guint aged_count = 0, timely_count = 0;
     for (guint i = 0; i < ready_jobs->len; i++) {
         struct ledger_job *job = ready_jobs->pdata[i];
-        aged_count += job->is_aged;
-        timely_count += !job->is_aged && job->can_meet_objective;
+        aged_count += job->queue.wait_stage >= WAIT_AGED;
+        timely_count += job->queue.wait_stage == WAIT_TIMELY;
     }
     if (!aged_count || !timely_count)
         return;
@@ -180,8 +190,8 @@
 {
     while (team->next_ready_index < team->ready_jobs->len && *dispatched_tasks < budget) {
         struct ledger_job *job = team->ready_jobs->pdata[team->next_ready_index];
-        struct job *job_record = job->job_record;
-        if (job->is_blocked ||
+        struct job *job_record = job->queue.job_record;
+        if (job->queue.is_blocked ||
             quota_ledger_next_waiting_task(job, job_record) >= job_record->task_count ||
             job_queue_rank(leader, job) != rank) {
             team->next_ready_index++;
@@ -208,13 +218,14 @@
 {
     int dispatched_tasks = 0;
     bool has_remaining = true;
-    for (int i = 0; i < leader->team_count; i++)
-        leader->teams[i].next_ready_index = 0;
+    for (int i = 0; i < leader->ledger.team_count; i++)
+        leader->ledger.teams[i].next_ready_index = 0;
     while (has_remaining && dispatched_tasks < budget) {
         has_remaining = false;
-        for (int i = 0; i < leader->team_count && dispatched_tasks < budget; i++) {
+        for (int i = 0; i < leader->ledger.team_count && dispatched_tasks < budget; i++) {
             struct ledger_team *team =
-                &leader->teams[(leader->first_team_index + i) % leader->team_count];
+                &leader->ledger
+                     .teams[(leader->pass.first_team_index + i) % leader->ledger.team_count];
             if (team->next_ready_index >= team->ready_jobs->len)
                 continue;
             team->deficit_milli_cpus =
@@ -234,7 +245,7 @@
     /* What it needs is done once that is durable and seen here, whoever led when it was. */
     if (!job_record || !job_record->is_known || job_record->state != JOB_ACTIVE ||
         !job_record->spec || job_record->has_pending_dependencies ||
-        time_before(loop_now(leader->loop), job->retry_at))
+        time_before(loop_now(leader->loop), job->failures.retry_at))
         return false;
     return job_record->spec->form == FORM_GANG ||
            quota_ledger_next_waiting_task(job, job_record) < job_record->task_count;
@@ -243,34 +254,34 @@
 /* Adds the job to its team's queue. */
 static void enqueue(struct leader *leader, struct ledger_job *job, struct job *job_record)
 {
-    job->can_meet_objective = update_waiting_state(leader, job, job_record);
-    job->job_record = job_record;
-    job->queue_position_ms =
+    job->queue.wait_stage = find_wait_stage(leader, job, job_record);
+    job->queue.job_record = job_record;
+    job->queue.position_ms =
         job_record->eligible_at.ms +
         (int64_t)(JOB_SIZE_WEIGHT * 1000 * limit_busy_time_s(leader, job, job_record));
-    g_ptr_array_add(leader->teams[job->team_index].ready_jobs, job);
+    g_ptr_array_add(leader->ledger.teams[job->team_index].ready_jobs, job);
 }
 
 bool job_queue_collect_ready(struct leader *leader)
 {
     bool has_ready_jobs = false;
-    for (int i = 0; i < leader->team_count; i++)
-        g_ptr_array_set_size(leader->teams[i].ready_jobs, 0);
+    for (int i = 0; i < leader->ledger.team_count; i++)
+        g_ptr_array_set_size(leader->ledger.teams[i].ready_jobs, 0);
     GHashTableIter it;
     struct ledger_job *job;
-    g_hash_table_iter_init(&it, leader->jobs);
+    g_hash_table_iter_init(&it, leader->ledger.jobs);
     while (g_hash_table_iter_next(&it, NULL, (gpointer *)&job)) {
         struct job *job_record = replica_get_job(leader->replica, job->id.text);
-        job->is_blocked = false;
+        job->queue.is_blocked = false;
         job->gang.reserved_task_count = 0;
         if (!is_ready(leader, job, job_record))
             continue;
         enqueue(leader, job, job_record);
         has_ready_jobs = true;
     }
-    for (int i = 0; i < leader->team_count; i++) {
-        g_ptr_array_sort(leader->teams[i].ready_jobs, compare_queue_position);
-        interleave_aged_jobs(leader->teams[i].ready_jobs);
+    for (int i = 0; i < leader->ledger.team_count; i++) {
+        g_ptr_array_sort(leader->ledger.teams[i].ready_jobs, compare_queue_position);
+        interleave_aged_jobs(leader->ledger.teams[i].ready_jobs);
     }
     return has_ready_jobs;
 }
--- a/src/scheduler/leader.c
+++ b/src/scheduler/leader.c
@@ -1,5 +1,6 @@
 #include "job_queue.h"
 
+#include "autoscaler.h"
 #include "dispatch_timeout.h"
 #include "feature_switch.h"
 #include "job_completion.h"
@@ -61,20 +62,20 @@
                                             .listener = &leader->actor};
     leader->cloud = cloud_provider_new(&fleet_setup);
     quota_ledger_init(leader);
-    leader->job_run_times = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    leader->run_times.by_job = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     shard_dispatcher_init(leader);
-    leader->service_shortfall_tasks = g_new0(int64_t, settings->zones->len);
-    leader->zone_cpus = g_new0(double, settings->zones->len);
-    leader->zone_silent_until = g_new0(mono_time, settings->zones->len);
-    leader->zone_task_counts = g_new0(uint32_t, settings->zones->len);
-    leader->move_backoffs = g_new0(struct relocation_backoff, settings->zones->len);
-    leader->schedulable_machines = g_ptr_array_new();
-    leader->unschedulable_requests = g_array_new(FALSE, FALSE, sizeof(struct unschedulable));
-    leader->team_count = (int)settings->teams->len;
-    leader->teams = g_new0(struct ledger_team, leader->team_count);
-    for (int i = 0; i < leader->team_count; i++) {
-        leader->teams[i].quota = &g_array_index(settings->teams, struct team, i);
-        leader->teams[i].ready_jobs = g_ptr_array_new();
+    leader->autoscaler.service_shortfall_tasks = g_new0(int64_t, settings->zones->len);
+    leader->pass.zone_cpus = g_new0(double, settings->zones->len);
+    leader->autoscaler.zone_silent_until = g_new0(mono_time, settings->zones->len);
+    leader->pass.zone_task_counts = g_new0(uint32_t, settings->zones->len);
+    leader->relocation_backoffs = g_new0(struct relocation_backoff, settings->zones->len);
+    leader->pass.schedulable_machines = g_ptr_array_new();
+    leader->pass.unschedulable_requests = g_array_new(FALSE, FALSE, sizeof(struct unschedulable));
+    leader->ledger.team_count = (int)settings->teams->len;
+    leader->ledger.teams = g_new0(struct ledger_team, leader->ledger.team_count);
+    for (int i = 0; i < leader->ledger.team_count; i++) {
+        leader->ledger.teams[i].quota = &g_array_index(settings->teams, struct team, i);
+        leader->ledger.teams[i].ready_jobs = g_ptr_array_new();
     }
     timer_init(&leader->tick_timer, on_tick, leader);
     timer_init(&leader->pass_timer, run_scheduling_pass, leader);
@@ -88,20 +89,20 @@
     timer_stop(leader->loop, &leader->tick_timer);
     timer_stop(leader->loop, &leader->pass_timer);
     cloud_provider_free(leader->cloud);
-    g_hash_table_unref(leader->jobs);
-    g_hash_table_unref(leader->machines);
+    g_hash_table_unref(leader->ledger.jobs);
+    g_hash_table_unref(leader->ledger.machines);
     g_hash_table_unref(leader->shard_channels);
-    g_hash_table_unref(leader->job_run_times);
-    for (int i = 0; i < leader->team_count; i++)
-        g_ptr_array_unref(leader->teams[i].ready_jobs);
-    g_free(leader->teams);
-    g_free(leader->service_shortfall_tasks);
-    g_free(leader->zone_cpus);
-    g_free(leader->zone_silent_until);
-    g_free(leader->zone_task_counts);
-    g_free(leader->move_backoffs);
-    g_ptr_array_unref(leader->schedulable_machines);
-    g_array_unref(leader->unschedulable_requests);
+    g_hash_table_unref(leader->run_times.by_job);
+    for (int i = 0; i < leader->ledger.team_count; i++)
+        g_ptr_array_unref(leader->ledger.teams[i].ready_jobs);
+    g_free(leader->ledger.teams);
+    g_free(leader->autoscaler.service_shortfall_tasks);
+    g_free(leader->pass.zone_cpus);
+    g_free(leader->autoscaler.zone_silent_until);
+    g_free(leader->pass.zone_task_counts);
+    g_free(leader->relocation_backoffs);
+    g_ptr_array_unref(leader->pass.schedulable_machines);
+    g_array_unref(leader->pass.unschedulable_requests);
     g_free(leader);
 }
 
@@ -136,7 +137,7 @@
     if (!is_ready_to_dispatch(leader))
         return;
     int budget = MAX_DISPATCHES_PER_PASS;
-    leader->first_team_index = (leader->first_team_index + 1) % leader->team_count;
+    leader->pass.first_team_index = (leader->pass.first_team_index + 1) % leader->ledger.team_count;
     placement_begin_pass(leader);
     if (job_queue_collect_ready(leader))
         for (int rank = 0; rank < RANK_COUNT && budget > 0; rank++)
@@ -163,9 +164,9 @@
 static void start_leading(struct leader *leader)
 {
     leader->is_leading = true;
-    g_hash_table_remove_all(leader->machines);
+    g_hash_table_remove_all(leader->ledger.machines);
     cloud_provider_reset(leader->cloud);
-    leader->peak_cpus = 0;
+    leader->autoscaler.peak_cpus = 0;
 }
 
 /* Takes a change of the view over into the ledger. */
@@ -207,7 +208,7 @@
     job_completion_check(leader, job);
     job_id id = job->id;
     if (job_completion_is_over(leader, job))
-        g_hash_table_remove(leader->jobs, id.text);
+        g_hash_table_remove(leader->ledger.jobs, id.text);
 }
 
 /* Whether the change is one of a job or of its tasks. */
@@ -254,7 +255,7 @@
     }
     GHashTableIter it;
     struct ledger_job *job;
-    g_hash_table_iter_init(&it, leader->jobs);
+    g_hash_table_iter_init(&it, leader->ledger.jobs);
     while (g_hash_table_iter_next(&it, NULL, (gpointer *)&job))
         job_completion_check(leader, job);
     dispatch_timeout_check(leader);
--- a/src/scheduler/machine_health.c
+++ b/src/scheduler/machine_health.c
@@ -30,31 +30,31 @@
 static void quarantine_if_repeated(struct leader *leader, struct ledger_machine *machine,
                                    const char *job_name)
 {
-    if (!machine->failed_jobs)
-        machine->failed_jobs = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    g_hash_table_add(machine->failed_jobs, g_strdup(job_name));
-    if (g_hash_table_size(machine->failed_jobs) >= QUARANTINE_JOB_COUNT) {
+    if (!machine->health.failed_jobs)
+        machine->health.failed_jobs = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    g_hash_table_add(machine->health.failed_jobs, g_strdup(job_name));
+    if (g_hash_table_size(machine->health.failed_jobs) >= QUARANTINE_JOB_COUNT) {
         LOG_INFO("machine_sick", "machine=%s", machine->id.text);
-        machine->quarantined_until = time_add_ms(loop_now(leader->loop), QUARANTINE_MS);
-        g_hash_table_remove_all(machine->failed_jobs);
+        machine->health.quarantined_until = time_add_ms(loop_now(leader->loop), QUARANTINE_MS);
+        g_hash_table_remove_all(machine->health.failed_jobs);
     }
 }
 
 void machine_health_record_run_time(struct leader *leader, const char *job_name,
                                     struct ledger_machine *machine, double run_time_s)
 {
-    struct job_run_time *run_time = g_hash_table_lookup(leader->job_run_times, job_name);
+    struct job_run_time *run_time = g_hash_table_lookup(leader->run_times.by_job, job_name);
     if (!run_time) {
-        if (g_hash_table_size(leader->job_run_times) > MAX_RUN_TIMES)
-            g_hash_table_remove_all(leader->job_run_times);
+        if (g_hash_table_size(leader->run_times.by_job) > MAX_RUN_TIMES)
+            g_hash_table_remove_all(leader->run_times.by_job);
         run_time = g_new0(struct job_run_time, 1);
-        g_hash_table_insert(leader->job_run_times, g_strdup(job_name), run_time);
+        g_hash_table_insert(leader->run_times.by_job, g_strdup(job_name), run_time);
     }
     if (run_time->task_count >= MIN_JOB_SAMPLES && run_time->mean_s > MIN_MEAN_RUN_TIME_S) {
         double slowdown = run_time_s / run_time->mean_s;
-        machine->slowdown =
-            machine->slowdown_sample_count++
-                ? machine->slowdown + (slowdown - machine->slowdown) * SLOWDOWN_WEIGHT
+        machine->health.slowdown =
+            machine->health.slowdown_sample_count++
+                ? machine->health.slowdown + (slowdown - machine->health.slowdown) * SLOWDOWN_WEIGHT
                 : slowdown;
     }
     run_time->mean_s += (run_time_s - run_time->mean_s) / ++run_time->task_count;
@@ -71,20 +71,20 @@
     GArray *slowdowns = g_array_new(FALSE, FALSE, sizeof(double));
     GHashTableIter it;
     struct ledger_machine *machine;
-    g_hash_table_iter_init(&it, leader->machines);
+    g_hash_table_iter_init(&it, leader->ledger.machines);
     while (g_hash_table_iter_next(&it, NULL, (gpointer *)&machine))
-        if (machine->is_reported && machine->slowdown_sample_count >= MIN_MACHINE_SAMPLES)
-            g_array_append_val(slowdowns, machine->slowdown);
+        if (machine->is_reported && machine->health.slowdown_sample_count >= MIN_MACHINE_SAMPLES)
+            g_array_append_val(slowdowns, machine->health.slowdown);
     g_array_sort(slowdowns, compare_doubles);
-    leader->median_slowdown =
+    leader->run_times.median_slowdown =
         slowdowns->len ? g_array_index(slowdowns, double, (slowdowns->len - 1) / 2) : 1;
     g_array_unref(slowdowns);
 }
 
 bool machine_health_is_slow(const struct leader *leader, const struct ledger_machine *machine)
 {
-    return machine->slowdown_sample_count >= MIN_MACHINE_SAMPLES &&
-           machine->slowdown > SLOWDOWN_LIMIT * MAX(leader->median_slowdown, 1);
+    return machine->health.slowdown_sample_count >= MIN_MACHINE_SAMPLES &&
+           machine->health.slowdown > SLOWDOWN_LIMIT * MAX(leader->run_times.median_slowdown, 1);
 }
 
 /* Tasks of other jobs have failed on the machine, too. */
@@ -94,10 +94,11 @@
     struct ledger_machine *machine = quota_ledger_find_machine(leader, machine_name);
     if (!machine)
         return false;
-    guint failed_job_count = machine->failed_jobs ? g_hash_table_size(machine->failed_jobs) : 0;
+    guint failed_job_count =
+        machine->health.failed_jobs ? g_hash_table_size(machine->health.failed_jobs) : 0;
     bool includes_this_job =
-        failed_job_count && g_hash_table_contains(machine->failed_jobs, job_name);
-    return time_before(loop_now(leader->loop), machine->quarantined_until) ||
+        failed_job_count && g_hash_table_contains(machine->health.failed_jobs, job_name);
+    return time_before(loop_now(leader->loop), machine->health.quarantined_until) ||
            failed_job_count > includes_this_job;
 }
 
@@ -108,7 +109,7 @@
     guint machine_count = 0;
     GHashTableIter it;
     const char *machine_name;
-    g_hash_table_iter_init(&it, job->failed_machines);
+    g_hash_table_iter_init(&it, job->failures.machines);
     while (g_hash_table_iter_next(&it, (gpointer *)&machine_name, NULL))
         machine_count += !has_failed_other_jobs(leader, machine_name, job->id.text);
     return machine_count;
@@ -121,13 +122,13 @@
                                  struct ledger_machine *machine)
 {
     mono_time now = loop_now(leader->loop);
-    bool is_same_try = time_before(now, machine->avoid_until);
-    bool has_failed_before = !g_hash_table_add(job->failed_machines, g_strdup(machine->id.text));
+    bool is_same_try = time_before(now, machine->health.avoid_until);
+    bool has_failed_before = !g_hash_table_add(job->failures.machines, g_strdup(machine->id.text));
     int64_t avoid_ms =
         has_failed_before && !is_same_try ? AVOID_AFTER_REPEAT_MS : AVOID_AFTER_ERROR_MS;
     mono_time until = time_add_ms(now, avoid_ms);
-    if (time_before(machine->avoid_until, until))
-        machine->avoid_until = until;
+    if (time_before(machine->health.avoid_until, until))
+        machine->health.avoid_until = until;
 }
 
 void machine_health_record_failure(struct leader *leader, struct ledger_job *job,
@@ -136,26 +137,26 @@
     if (cause == CAUSE_INCOMPLETE) /* another task of its gang was missing */
         return;
     if (cause != CAUSE_ERROR) {
-        machine->avoid_until = time_add_ms(loop_now(leader->loop), AVOID_AFTER_LOSS_MS);
+        machine->health.avoid_until = time_add_ms(loop_now(leader->loop), AVOID_AFTER_LOSS_MS);
         return;
     }
     struct job *job_record = replica_get_job(leader->replica, job->id.text);
-    if (!job->failed_machines)
-        job->failed_machines = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    if (!job->failures.machines)
+        job->failures.machines = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     avoid_failed_machine(leader, job, machine);
     bool is_job_faulty = job_record && job_record->completed_count == 0 &&
                          count_exclusive_failures(leader, job) >= FAULTY_JOB_MACHINE_COUNT;
     /* Its tasks fail within a moment of one another: that is one try, not many. */
-    if (is_job_faulty && time_before(loop_now(leader->loop), job->retry_at))
+    if (is_job_faulty && time_before(loop_now(leader->loop), job->failures.retry_at))
         return;
     if (is_job_faulty) {
-        job->failure_count++;
+        job->failures.count++;
         int64_t delay_ms =
             MIN(MAX_RETRY_DELAY_MS,
-                (int64_t)RETRY_BASE_DELAY_MS << MIN(job->failure_count, MAX_RETRY_DOUBLINGS));
-        job->retry_at = time_add_ms(loop_now(leader->loop), delay_ms);
+                (int64_t)RETRY_BASE_DELAY_MS << MIN(job->failures.count, MAX_RETRY_DOUBLINGS));
+        job->failures.retry_at = time_add_ms(loop_now(leader->loop), delay_ms);
         LOG_INFO("job_failing", "job=%s machines=%u pause_ms=%" G_GINT64_FORMAT, job->id.text,
-                 g_hash_table_size(job->failed_machines), delay_ms);
+                 g_hash_table_size(job->failures.machines), delay_ms);
         return;
     }
     quarantine_if_repeated(leader, machine, job->id.text);
--- a/src/scheduler/machine_health.h
+++ b/src/scheduler/machine_health.h
@@ -1,6 +1,5 @@
 /* What is learnt of machines and jobs from the ends of tasks: which machines are slow or sick, and
- * which jobs are at fault themselves. machine_health_is_slow and
- * machine_health_update_median_slowdown are declared in scheduler_internal.h. */
+ * which jobs are at fault themselves. */
 #ifndef LL_LEADER_HEALTH_H
 #define LL_LEADER_HEALTH_H
 
@@ -16,5 +15,10 @@
  * cancels it. */
 void machine_health_record_failure(struct leader *leader, struct ledger_job *job,
                                    struct ledger_machine *machine, enum exit_cause cause);
+/** Recomputes the median slowdown of all machines. It is the standard of comparison, as the tasks
+ * of a job may take longer and longer on all machines alike, and then none of them is slow. */
+void machine_health_update_median_slowdown(struct leader *leader);
+/** Whether tasks take much longer on the machine than on most. */
+bool machine_health_is_slow(const struct leader *leader, const struct ledger_machine *machine);
 
 #endif
--- a/src/scheduler/placement.c
+++ b/src/scheduler/placement.c
@@ -1,6 +1,7 @@
 #include "placement.h"
 
 #include "image_cache.h"
+#include "machine_health.h"
 #include "placement_score.h"
 #include "quota_ledger.h"
 #include "shard.h"
@@ -8,20 +9,20 @@
 bool placement_is_schedulable(struct leader *leader, struct ledger_machine *machine)
 {
     mono_time now = loop_now(leader->loop);
-    return machine->is_reported && !time_before(now, machine->quarantined_until) &&
+    return machine->is_reported && !time_before(now, machine->health.quarantined_until) &&
            !machine_health_is_slow(leader, machine) && (machine->flags & MACHINE_KNOWN) &&
            !(machine->flags & (MACHINE_UNREACHABLE | MACHINE_RECLAIMED | MACHINE_UNAVAILABLE)) &&
            !cloud_provider_is_gone(leader->cloud, machine->id.text) &&
            !cloud_provider_is_scaling_in(leader->cloud, machine->id.text) &&
-           !time_before(now, machine->avoid_until);
+           !time_before(now, machine->health.avoid_until);
 }
 
 struct resources placement_free_resources(const struct ledger_machine *machine)
 {
     return resources_remaining(
-        resources_remaining(resources_remaining(machine->capacity, machine->allocated),
-                            machine->dispatched),
-        machine->reserved);
+        resources_remaining(resources_remaining(machine->capacity, machine->usage.allocated),
+                            machine->usage.dispatched),
+        machine->usage.reserved);
 }
 
 /* The zone of the machine, or NULL if it cannot be told. */
@@ -63,7 +64,7 @@
                                 const struct job_spec *spec)
 {
     for (guint i = 0; is_zone_bound(spec) && i < leader->settings->zones->len; i++)
-        leader->zone_task_counts[i] =
+        leader->pass.zone_task_counts[i] =
             placement_count_tasks_in_zone(leader, job, leader->settings->zones->pdata[i]);
 }
 
@@ -74,7 +75,7 @@
         return true;
     if (zone_index < 0)
         return false;
-    uint32_t tasks_in_zone = leader->zone_task_counts[zone_index];
+    uint32_t tasks_in_zone = leader->pass.zone_task_counts[zone_index];
     if (spec->needs_single_zone &&
         tasks_in_zone != g_hash_table_size(job->allocations) + g_hash_table_size(job->dispatches))
         return false;
@@ -90,21 +91,23 @@
 
 void placement_begin_pass(struct leader *leader)
 {
-    memset(leader->zone_cpus, 0, sizeof *leader->zone_cpus * leader->settings->zones->len);
-    g_ptr_array_set_size(leader->schedulable_machines, 0);
-    g_array_set_size(leader->unschedulable_requests, 0);
-    leader->reserving_gang_count = 0;
-    loop_add_work(leader->loop, g_hash_table_size(leader->machines));
+    memset(leader->pass.zone_cpus, 0,
+           sizeof *leader->pass.zone_cpus * leader->settings->zones->len);
+    g_ptr_array_set_size(leader->pass.schedulable_machines, 0);
+    g_array_set_size(leader->pass.unschedulable_requests, 0);
+    leader->pass.reserving_gang_count = 0;
+    loop_add_work(leader->loop, g_hash_table_size(leader->ledger.machines));
     GHashTableIter it;
     struct ledger_machine *machine;
-    g_hash_table_iter_init(&it, leader->machines);
+    g_hash_table_iter_init(&it, leader->ledger.machines);
     while (g_hash_table_iter_next(&it, NULL, (gpointer *)&machine)) {
-        machine->reserved = (struct resources){0};
-        machine->is_wanted_by_gang = false;
+        machine->usage.reserved = (struct resources){0};
+        machine->usage.is_wanted_by_gang = false;
         if (machine->is_reported && !machine->is_spot && machine->zone_index >= 0)
-            leader->zone_cpus[machine->zone_index] += (double)machine->capacity.cpus.milli / 1000;
+            leader->pass.zone_cpus[machine->zone_index] +=
+                (double)machine->capacity.cpus.milli / 1000;
         if (placement_is_schedulable(leader, machine))
-            g_ptr_array_add(leader->schedulable_machines, machine);
+            g_ptr_array_add(leader->pass.schedulable_machines, machine);
     }
 }
 
@@ -113,19 +116,20 @@
 {
     double largest_cpus = 0;
     for (guint i = 0; i < leader->settings->zones->len; i++)
-        largest_cpus = MAX(largest_cpus, leader->zone_cpus[i]);
-    return largest_cpus > 0 && zone_index >= 0 ? leader->zone_cpus[zone_index] / largest_cpus : 1;
+        largest_cpus = MAX(largest_cpus, leader->pass.zone_cpus[i]);
+    return largest_cpus > 0 && zone_index >= 0 ? leader->pass.zone_cpus[zone_index] / largest_cpus
+                                               : 1;
 }
 
 static double score_candidate(struct leader *leader, const struct ledger_machine *machine,
                               const struct job_spec *spec)
 {
-    struct resources used = machine->allocated;
-    resources_add(&used, machine->dispatched);
+    struct resources used = machine->usage.allocated;
+    resources_add(&used, machine->usage.dispatched);
     struct placement_facts facts = {
         image_cache_contains(machine->image_cache, spec->image), machine->is_spot,
         resources_dominant_share(used, machine->capacity),
-        resources_dominant_share(machine->service_resources, machine->capacity),
+        resources_dominant_share(machine->usage.services, machine->capacity),
         relative_zone_capacity(leader, machine->zone_index)};
     return placement_score(spec, &facts);
 }
@@ -141,10 +145,10 @@
 GArray *placement_find_candidates(struct leader *leader, struct ledger_job *job,
                                   const struct job_spec *spec, bool needs_image)
 {
-    loop_add_work(leader->loop, leader->schedulable_machines->len);
+    loop_add_work(leader->loop, leader->pass.schedulable_machines->len);
     GArray *candidates = g_array_new(FALSE, FALSE, sizeof(struct placement_candidate));
-    for (guint i = 0; i < leader->schedulable_machines->len; i++) {
-        struct ledger_machine *machine = leader->schedulable_machines->pdata[i];
+    for (guint i = 0; i < leader->pass.schedulable_machines->len; i++) {
+        struct ledger_machine *machine = leader->pass.schedulable_machines->pdata[i];
         if (!resources_fit(placement_free_resources(machine), job->task_resources) ||
             !placement_is_machine_allowed(leader, job, spec, machine) ||
             (needs_image && !image_cache_contains(machine->image_cache, spec->image)))
@@ -159,12 +163,12 @@
 bool placement_is_unschedulable(struct leader *leader, const struct job_spec *spec)
 {
     struct unschedulable request = unschedulable_of_job_spec(spec, "");
-    return unschedulable_list_covers(leader->unschedulable_requests, &request);
+    return unschedulable_list_covers(leader->pass.unschedulable_requests, &request);
 }
 
 void placement_add_unschedulable(struct leader *leader, const struct job_spec *spec)
 {
     struct unschedulable request = unschedulable_of_job_spec(spec, "");
     if (!is_zone_bound(spec) && !spec->machine_type_names && !spec->zone)
-        g_array_append_val(leader->unschedulable_requests, request);
+        g_array_append_val(leader->pass.unschedulable_requests, request);
 }
--- a/src/scheduler/placement.h
+++ b/src/scheduler/placement.h
@@ -18,7 +18,8 @@
 /* How many of a job's tasks are in a zone, or are about to be. */
 uint32_t placement_count_tasks_in_zone(struct leader *leader, struct ledger_job *job,
                                        const char *zone);
-/* Counts the tasks of the job by zone, into leader->zone_task_counts, if the job is bound to zones.
+/* Counts the tasks of the job by zone, into leader->pass.zone_task_counts, if the job is bound to
+ * zones.
  */
 void placement_count_zone_tasks(struct leader *leader, struct ledger_job *job,
                                 const struct job_spec *spec);
--- a/src/scheduler/preemption.c
+++ b/src/scheduler/preemption.c
@@ -4,6 +4,7 @@
 #include "log.h"
 #include "placement.h"
 #include "quota_ledger.h"
+#include "scheduling_policy.h"
 #include "shard_dispatcher.h"
 
 enum {
@@ -34,7 +35,7 @@
 static bool is_within_guarantee(struct leader *leader, struct ledger_job *job,
                                 struct job *job_record)
 {
-    struct ledger_team *team = &leader->teams[job->team_index];
+    struct ledger_team *team = &leader->ledger.teams[job->team_index];
     int64_t waiting_tasks = quota_ledger_count_waiting_tasks(job, job_record);
     struct resources total_request = {{job->task_resources.cpus.milli * waiting_tasks},
                                       {job->task_resources.gpus.milli * waiting_tasks},
@@ -59,8 +60,8 @@
     /* What waited for long is not stopped again and again, but for services. */
     if (victim->priority > preemptor->job->priority)
         return preemptor->may_stop_lower_priority &&
-               (!victim->is_overdue || preemptor->job->is_service);
-    const struct ledger_team *team = &leader->teams[victim->team_index];
+               (victim->queue.wait_stage != WAIT_OVERDUE || preemptor->job->is_service);
+    const struct ledger_team *team = &leader->ledger.teams[victim->team_index];
     return victim->team_index != preemptor->job->team_index && !victim->is_service &&
            preemptor->may_stop_borrowed &&
            (team->used.cpus.milli - team->stopping.cpus.milli - victim->task_resources.cpus.milli >=
@@ -101,9 +102,9 @@
                              const struct job_spec *spec, int zone_index)
 {
     placement_count_zone_tasks(leader, job, spec);
-    loop_add_work(leader->loop, leader->schedulable_machines->len);
-    for (guint i = 0; i < leader->schedulable_machines->len; i++) {
-        struct ledger_machine *machine = leader->schedulable_machines->pdata[i];
+    loop_add_work(leader->loop, leader->pass.schedulable_machines->len);
+    for (guint i = 0; i < leader->pass.schedulable_machines->len; i++) {
+        struct ledger_machine *machine = leader->pass.schedulable_machines->pdata[i];
         if (machine->zone_index != zone_index &&
             resources_fit(placement_free_resources(machine), job->task_resources) &&
             placement_is_machine_allowed(leader, job, spec, machine))
@@ -167,7 +168,7 @@
 {
     mono_time now = loop_now(leader->loop);
     for (guint zone_index = 0; zone_index < leader->settings->zones->len; zone_index++) {
-        struct relocation_backoff *backoff = &leader->move_backoffs[zone_index];
+        struct relocation_backoff *backoff = &leader->relocation_backoffs[zone_index];
         placement_count_zone_tasks(leader, job, job_record->spec);
         if (!placement_is_zone_allowed(leader, job, job_record->spec, (int)zone_index) ||
             (time_before(now, backoff->until) &&
@@ -175,9 +176,9 @@
             continue;
         GHashTable *immovable_jobs = g_hash_table_new(NULL, NULL);
         bool was_relocated = false;
-        for (guint k = 0; k < leader->schedulable_machines->len && !was_relocated; k++) {
-            struct ledger_machine *machine = leader->schedulable_machines->pdata[k];
-            if (machine->zone_index == (int)zone_index && machine->service_resources.cpus.milli &&
+        for (guint k = 0; k < leader->pass.schedulable_machines->len && !was_relocated; k++) {
+            struct ledger_machine *machine = leader->pass.schedulable_machines->pdata[k];
+            if (machine->zone_index == (int)zone_index && machine->usage.services.cpus.milli &&
                 job_spec_allows_machine(job_record->spec, machine->type_name, machine->zone,
                                         machine->is_spot))
                 was_relocated = relocate_one(leader, machine, job, immovable_jobs);
@@ -220,7 +221,7 @@
     if (resources_fit(free, job->task_resources))
         candidate->lost_work =
             loss *
-            (1.2 - resources_dominant_share(machine->service_resources, machine->capacity) +
+            (1.2 - resources_dominant_share(machine->usage.services, machine->capacity) +
              (image_cache_contains(machine->image_cache, preemptor->job_record->spec->image) ? 0
                                                                                              : 1));
 }
@@ -229,10 +230,10 @@
 static GArray *find_preemption_candidates(struct leader *leader, const struct preemptor *preemptor)
 {
     GArray *candidates = g_array_new(FALSE, FALSE, sizeof(struct preemption_candidate));
-    loop_add_work(leader->loop, leader->schedulable_machines->len);
-    for (guint i = 0; i < leader->schedulable_machines->len; i++) {
-        struct ledger_machine *machine = leader->schedulable_machines->pdata[i];
-        if (!resources_fit(resources_remaining(machine->capacity, machine->service_resources),
+    loop_add_work(leader->loop, leader->pass.schedulable_machines->len);
+    for (guint i = 0; i < leader->pass.schedulable_machines->len; i++) {
+        struct ledger_machine *machine = leader->pass.schedulable_machines->pdata[i];
+        if (!resources_fit(resources_remaining(machine->capacity, machine->usage.services),
                            preemptor->job->task_resources) ||
             !placement_is_machine_allowed(leader, preemptor->job, preemptor->job_record->spec,
                                           machine) ||
@@ -281,7 +282,7 @@
         resources_add(&free, victim->job->task_resources);
         resources_add(&candidate->freed_resources, victim->job->task_resources);
         victim->allocation->preemptor_job = preemptor->job->id;
-        preemptor->job->pending_preemptions++;
+        preemptor->job->preemption.pending_count++;
         shard_dispatcher_queue_stop(
             leader, victim->job, victim->index, victim->allocation,
             victim_record && victim_record->spec ? victim_record->spec->checkpoint_save_s : 0);
@@ -295,12 +296,12 @@
 {
     for (int priority = preemptor->job->priority + 1;
          preemptor->may_stop_lower_priority &&
-         priority < (int)G_N_ELEMENTS(leader->allocated_by_priority);
+         priority < (int)G_N_ELEMENTS(leader->ledger.allocated_by_priority);
          priority++)
-        if (leader->allocated_by_priority[priority])
+        if (leader->ledger.allocated_by_priority[priority])
             return true;
-    for (int i = 0; preemptor->may_stop_borrowed && i < leader->team_count; i++) {
-        struct ledger_team *team = &leader->teams[i];
+    for (int i = 0; preemptor->may_stop_borrowed && i < leader->ledger.team_count; i++) {
+        struct ledger_team *team = &leader->ledger.teams[i];
         if (i != preemptor->job->team_index &&
             (team->used.cpus.milli - team->stopping.cpus.milli > team->quota->cpus.milli ||
              team->used.gpus.milli - team->stopping.gpus.milli > team->quota->gpus.milli))
@@ -366,12 +367,12 @@
 {
     mono_time now = loop_now(leader->loop);
     /* Just after a change of epoch much of the room is not known yet. */
-    if ((job->last_preemption_at.us &&
-         time_ms_since(now, job->last_preemption_at) < PREEMPTION_INTERVAL_MS) ||
+    if ((job->preemption.last_attempt_at.us &&
+         time_ms_since(now, job->preemption.last_attempt_at) < PREEMPTION_INTERVAL_MS) ||
         time_ms_since(now, leader->epoch_began_at) <
             (int64_t)(leader->settings->heartbeat_interval_s * 1250))
         return;
-    job->last_preemption_at = now;
+    job->preemption.last_attempt_at = now;
     struct preemptor preemptor = {job, job_record,
                                   scheduling_policy_may_preempt(leader, job, job_record->spec),
                                   is_within_guarantee(leader, job, job_record), needs_image};
@@ -384,7 +385,7 @@
      * while few writes are allowed that takes several seconds, and all would be stopped over and
      * over. */
     int64_t task_count = quota_ledger_count_allowed_tasks(leader, job, job_record) -
-                         job->gang.reserved_task_count - job->pending_preemptions;
+                         job->gang.reserved_task_count - job->preemption.pending_count;
     bool is_gang = job_record->spec->form == FORM_GANG;
     if (is_gang && task_count > 0)
         task_count = plan_gang_preemption(leader, &preemptor, candidates, task_count);
@@ -401,7 +402,7 @@
         if (job_record->spec->needs_single_zone && !is_gang)
             break; /* the zone is settled once this one is placed */
         if (best->machine->zone_index >= 0 && job_record->spec->needs_separate_zones)
-            leader->zone_task_counts[best->machine->zone_index]++;
+            leader->pass.zone_task_counts[best->machine->zone_index]++;
     }
     g_array_unref(candidates);
 }
@@ -414,10 +415,10 @@
         loop_wall_time(leader->loop).ms - job_record->eligible_at.ms > IMAGE_WAIT_MS ||
         !scheduling_policy_may_preempt(leader, job, spec))
         return false;
-    for (guint i = 0; i < leader->schedulable_machines->len; i++) {
-        struct ledger_machine *machine = leader->schedulable_machines->pdata[i];
+    for (guint i = 0; i < leader->pass.schedulable_machines->len; i++) {
+        struct ledger_machine *machine = leader->pass.schedulable_machines->pdata[i];
         if (image_cache_contains(machine->image_cache, spec->image) &&
-            resources_fit(resources_remaining(machine->capacity, machine->service_resources),
+            resources_fit(resources_remaining(machine->capacity, machine->usage.services),
                           job->task_resources) &&
             placement_is_machine_allowed(leader, job, spec, machine))
             return true;
--- a/src/scheduler/quota_ledger.c
+++ b/src/scheduler/quota_ledger.c
@@ -2,6 +2,7 @@
 
 #include "image_cache.h"
 #include "log.h"
+#include "scheduling_policy.h"
 #include "shard_dispatcher.h"
 
 /* Of an attempt number: the low bits count, those above are the epoch. */
@@ -12,8 +13,8 @@
     struct ledger_job *job = q;
     g_hash_table_unref(job->allocations);
     g_hash_table_unref(job->dispatches);
-    if (job->failed_machines)
-        g_hash_table_unref(job->failed_machines);
+    if (job->failures.machines)
+        g_hash_table_unref(job->failures.machines);
     g_free(job);
 }
 
@@ -22,20 +23,21 @@
     struct ledger_machine *machine = q;
     g_free(machine->owner_label);
     g_ptr_array_unref(machine->image_cache);
-    if (machine->failed_jobs)
-        g_hash_table_unref(machine->failed_jobs);
+    if (machine->health.failed_jobs)
+        g_hash_table_unref(machine->health.failed_jobs);
     g_free(machine);
 }
 
 void quota_ledger_init(struct leader *leader)
 {
-    leader->jobs = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, ledger_job_free);
-    leader->machines = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, ledger_machine_free);
+    leader->ledger.jobs = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, ledger_job_free);
+    leader->ledger.machines =
+        g_hash_table_new_full(g_str_hash, g_str_equal, NULL, ledger_machine_free);
 }
 
 struct ledger_job *quota_ledger_find_job(struct leader *leader, const char *id)
 {
-    return g_hash_table_lookup(leader->jobs, id);
+    return g_hash_table_lookup(leader->ledger.jobs, id);
 }
 
 struct ledger_job *quota_ledger_ensure_job(struct leader *leader, job_id id)
@@ -58,7 +60,7 @@
     job->patience_s = scheduling_policy_patience_s(leader, job_record);
     job->allocations = g_hash_table_new_full(NULL, NULL, NULL, g_free);
     job->dispatches = g_hash_table_new_full(NULL, NULL, NULL, g_free);
-    g_hash_table_insert(leader->jobs, job->id.text, job);
+    g_hash_table_insert(leader->ledger.jobs, job->id.text, job);
     return job;
 }
 
@@ -68,9 +70,9 @@
     if (!job)
         return;
     int allocation_count = (int)g_hash_table_size(job->allocations);
-    leader->allocated_by_priority[job->priority] -= allocation_count;
+    leader->ledger.allocated_by_priority[job->priority] -= allocation_count;
     job->priority = (enum job_priority)job_record->inherited_priority;
-    leader->allocated_by_priority[job->priority] += allocation_count;
+    leader->ledger.allocated_by_priority[job->priority] += allocation_count;
     job->patience_s = scheduling_policy_patience_s(leader, job_record);
 }
 
@@ -81,7 +83,7 @@
 
 struct ledger_machine *quota_ledger_find_machine(struct leader *leader, const char *id)
 {
-    return g_hash_table_lookup(leader->machines, id);
+    return g_hash_table_lookup(leader->ledger.machines, id);
 }
 
 struct ledger_machine *quota_ledger_ensure_machine(struct leader *leader, machine_id id,
@@ -94,7 +96,7 @@
         machine->id = id;
         machine->idle_since = loop_now(leader->loop);
         machine->image_cache = image_cache_new();
-        g_hash_table_insert(leader->machines, machine->id.text, machine);
+        g_hash_table_insert(leader->ledger.machines, machine->id.text, machine);
     }
     guint zone_index;
     bool is_known_zone =
@@ -116,8 +118,8 @@
     if (!dispatch)
         return;
     if (dispatch->machine)
-        resources_subtract(&dispatch->machine->dispatched, job->task_resources);
-    resources_subtract(&leader->teams[job->team_index].used, job->task_resources);
+        resources_subtract(&dispatch->machine->usage.dispatched, job->task_resources);
+    resources_subtract(&leader->ledger.teams[job->team_index].used, job->task_resources);
     g_hash_table_remove(job->dispatches, quota_ledger_task_key(index));
     job->first_waiting_index = MIN(job->first_waiting_index, index);
 }
@@ -136,17 +138,17 @@
     *allocation = (struct allocation){
         .attempt = attempt, .machine = location, .allocated_at = loop_now(leader->loop)};
     g_hash_table_insert(job->allocations, quota_ledger_task_key(index), allocation);
-    resources_add(&leader->teams[job->team_index].used, job->task_resources);
-    leader->allocated_by_priority[job->priority]++;
+    resources_add(&leader->ledger.teams[job->team_index].used, job->task_resources);
+    leader->ledger.allocated_by_priority[job->priority]++;
     struct machine_record *machine_record = replica_get_machine(leader->replica, location.text);
     struct ledger_machine *machine = quota_ledger_find_machine(leader, location.text);
     if (!machine && machine_record)
         machine = quota_ledger_ensure_machine(leader, location, machine_record->machine_type_name,
                                               machine_record->zone, machine_record->is_spot);
     if (machine)
-        resources_add(&machine->allocated, job->task_resources);
+        resources_add(&machine->usage.allocated, job->task_resources);
     if (machine && job->is_service)
-        resources_add(&machine->service_resources, job->task_resources);
+        resources_add(&machine->usage.services, job->task_resources);
 }
 
 void quota_ledger_remove_allocation(struct leader *leader, job_id id, uint32_t index,
@@ -160,21 +162,21 @@
     struct ledger_machine *machine = quota_ledger_find_machine(leader, allocation->machine.text);
     job->gang.has_lost_task = true;
     if (machine) {
-        resources_subtract(&machine->allocated, job->task_resources);
+        resources_subtract(&machine->usage.allocated, job->task_resources);
         if (job->is_service)
-            resources_subtract(&machine->service_resources, job->task_resources);
+            resources_subtract(&machine->usage.services, job->task_resources);
         machine->idle_since = loop_now(leader->loop);
     }
-    resources_subtract(&leader->teams[job->team_index].used, job->task_resources);
-    leader->allocated_by_priority[job->priority]--;
+    resources_subtract(&leader->ledger.teams[job->team_index].used, job->task_resources);
+    leader->ledger.allocated_by_priority[job->priority]--;
     if (allocation->is_stopping)
-        resources_subtract(&leader->teams[job->team_index].stopping, job->task_resources);
+        resources_subtract(&leader->ledger.teams[job->team_index].stopping, job->task_resources);
     struct ledger_job *preemptor =
         allocation->preemptor_job.text[0]
             ? quota_ledger_find_job(leader, allocation->preemptor_job.text)
             : NULL;
     if (preemptor)
-        preemptor->pending_preemptions--;
+        preemptor->preemption.pending_count--;
     g_hash_table_remove(job->allocations, quota_ledger_task_key(index));
     job->first_waiting_index = MIN(job->first_waiting_index, index);
 }
@@ -183,14 +185,14 @@
  */
 static void reset_counts(struct leader *leader)
 {
-    memset(leader->allocated_by_priority, 0, sizeof leader->allocated_by_priority);
-    for (int i = 0; i < leader->team_count; i++)
-        leader->teams[i].used = leader->teams[i].stopping = (struct resources){0};
+    memset(leader->ledger.allocated_by_priority, 0, sizeof leader->ledger.allocated_by_priority);
+    for (int i = 0; i < leader->ledger.team_count; i++)
+        leader->ledger.teams[i].used = leader->ledger.teams[i].stopping = (struct resources){0};
     GHashTableIter it;
     struct ledger_machine *machine;
-    g_hash_table_iter_init(&it, leader->machines);
+    g_hash_table_iter_init(&it, leader->ledger.machines);
     while (g_hash_table_iter_next(&it, NULL, (gpointer *)&machine)) {
-        machine->allocated = machine->dispatched = machine->service_resources =
+        machine->usage.allocated = machine->usage.dispatched = machine->usage.services =
             (struct resources){0};
         machine->is_reported = false;
         machine->flags = 0;
@@ -231,9 +233,9 @@
     struct ledger_job *previous = g_hash_table_lookup(previous_jobs, job_record->id.text);
     if (!job || !previous)
         return;
-    job->failure_count = previous->failure_count;
-    job->retry_at = previous->retry_at;
-    job->failed_machines = g_steal_pointer(&previous->failed_machines);
+    job->failures.count = previous->failures.count;
+    job->failures.retry_at = previous->failures.retry_at;
+    job->failures.machines = g_steal_pointer(&previous->failures.machines);
 }
 
 void quota_ledger_rebuild(struct leader *leader)
@@ -241,9 +243,9 @@
     leader->epoch = leader->replica->shard_map_epoch;
     leader->epoch_began_at = loop_now(leader->loop);
     leader->generation++;
-    leader->attempts_issued = 0;
-    GHashTable *previous_jobs = leader->jobs;
-    leader->jobs = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, ledger_job_free);
+    leader->ledger.attempts_issued = 0;
+    GHashTable *previous_jobs = leader->ledger.jobs;
+    leader->ledger.jobs = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, ledger_job_free);
     reset_counts(leader);
     reset_shard_channels(leader);
     GHashTableIter it;
@@ -256,17 +258,17 @@
     while (g_hash_table_iter_next(&it, NULL, (gpointer *)&job_record))
         load_job_record(leader, job_record, previous_jobs);
     g_hash_table_unref(previous_jobs);
-    LOG_INFO("leading", "jobs=%u machines=%u", g_hash_table_size(leader->jobs),
-             g_hash_table_size(leader->machines));
+    LOG_INFO("leading", "jobs=%u machines=%u", g_hash_table_size(leader->ledger.jobs),
+             g_hash_table_size(leader->ledger.machines));
 }
 
 attempt_no quota_ledger_next_attempt(struct leader *leader)
 {
     /* The epoch makes it unique for good, without asking what was used before. */
-    if (++leader->attempts_issued >> ATTEMPT_BITS)
+    if (++leader->ledger.attempts_issued >> ATTEMPT_BITS)
         membership_raise_epoch(leader->membership, "attempts used up");
     return (attempt_no){leader->epoch.value << ATTEMPT_BITS |
-                        (leader->attempts_issued & ((1 << ATTEMPT_BITS) - 1))};
+                        (leader->ledger.attempts_issued & ((1 << ATTEMPT_BITS) - 1))};
 }
 
 void quota_ledger_add_dispatch(struct leader *leader, struct ledger_job *job, uint32_t index,
@@ -275,12 +277,12 @@
     struct pending_dispatch *dispatch = g_new0(struct pending_dispatch, 1);
     dispatch->attempt = attempt;
     dispatch->machine = machine;
-    dispatch->number = ++leader->dispatches_issued;
+    dispatch->number = ++leader->ledger.dispatches_issued;
     dispatch->dispatched_at = loop_now(leader->loop);
     g_strlcpy(dispatch->zone, machine->zone, sizeof dispatch->zone);
     g_hash_table_insert(job->dispatches, quota_ledger_task_key(index), dispatch);
-    resources_add(&machine->dispatched, job->task_resources);
-    resources_add(&leader->teams[job->team_index].used, job->task_resources);
+    resources_add(&machine->usage.dispatched, job->task_resources);
+    resources_add(&leader->ledger.teams[job->team_index].used, job->task_resources);
 }
 
 bool quota_ledger_is_task_waiting(const struct ledger_job *job, const struct job *job_record,
@@ -323,7 +325,8 @@
 int64_t quota_ledger_count_allowed_tasks(struct leader *leader, struct ledger_job *job,
                                          struct job *job_record)
 {
-    struct resources remaining = quota_ledger_remaining_limit(&leader->teams[job->team_index]);
+    struct resources remaining =
+        quota_ledger_remaining_limit(&leader->ledger.teams[job->team_index]);
     return MIN((int64_t)quota_ledger_count_waiting_tasks(job, job_record),
                resources_fit_count(remaining, job->task_resources));
 }
--- a/src/scheduler/scheduling_policy.c
+++ b/src/scheduler/scheduling_policy.c
@@ -1,4 +1,4 @@
-#include "scheduler_internal.h"
+#include "scheduling_policy.h"
 
 #include <math.h>
 
@@ -71,15 +71,15 @@
 double scheduling_policy_used_cpus(struct leader *leader)
 {
     double sum = 0;
-    for (int i = 0; i < leader->team_count; i++)
-        sum += (double)leader->teams[i].used.cpus.milli / 1000;
+    for (int i = 0; i < leader->ledger.team_count; i++)
+        sum += (double)leader->ledger.teams[i].used.cpus.milli / 1000;
     return sum;
 }
 
 void scheduling_policy_set_load_inputs(struct leader *leader, struct policy_value *inputs)
 {
     inputs[INPUT_USED_CPUS].number = scheduling_policy_used_cpus(leader);
-    inputs[INPUT_PEAK_CPUS].number = leader->peak_cpus;
+    inputs[INPUT_PEAK_CPUS].number = leader->autoscaler.peak_cpus;
 }
 
 /* Inputs that tell of the load and the job. */
--- a/src/scheduler/shard_dispatcher.c
+++ b/src/scheduler/shard_dispatcher.c
@@ -67,7 +67,7 @@
     if (!machine || !machine->owner_label)
         return;
     if (!allocation->is_stopping)
-        resources_add(&leader->teams[job->team_index].stopping, job->task_resources);
+        resources_add(&leader->ledger.teams[job->team_index].stopping, job->task_resources);
     allocation->is_stopping = true;
     cJSON *item = node_rpc_encode_task(job->id, index, allocation->attempt);
     cJSON_AddStringToObject(item, "h", allocation->machine.text);
--- a/src/scheduler/shard_status_receiver.c
+++ b/src/scheduler/shard_status_receiver.c
@@ -1,8 +1,10 @@
 #include "shard_status_receiver.h"
 
+#include "autoscaler.h"
 #include "image_cache.h"
 #include "machine_health.h"
 #include "quota_ledger.h"
+#include "shard_dispatcher.h"
 
 enum {
     REJECTED_DISPATCH_AVOID_MS = 1500, /* a machine to which a task could not be given */
@@ -111,7 +113,7 @@
         (node_rpc_get_u64(item, "n", &number) && number != dispatch->number))
         return;
     if (dispatch->machine)
-        dispatch->machine->avoid_until =
+        dispatch->machine->health.avoid_until =
             time_add_ms(loop_now(leader->loop), REJECTED_DISPATCH_AVOID_MS);
     quota_ledger_drop_dispatch(leader, job, index);
 }
@@ -128,10 +130,10 @@
     mono_time now = loop_now(leader->loop);
     GHashTableIter it;
     struct ledger_machine *machine;
-    g_hash_table_iter_init(&it, leader->machines);
+    g_hash_table_iter_init(&it, leader->ledger.machines);
     while (g_hash_table_iter_next(&it, NULL, (gpointer *)&machine))
         if (is_owned_by(machine, owner) && (machine_health_is_slow(leader, machine) ||
-                                            time_before(now, machine->quarantined_until)))
+                                            time_before(now, machine->health.quarantined_until)))
             cJSON_AddItemToArray(list, cJSON_CreateString(machine->id.text));
     return object;
 }
@@ -141,7 +143,7 @@
 {
     GHashTableIter it;
     struct ledger_machine *machine;
-    g_hash_table_iter_init(&it, leader->machines);
+    g_hash_table_iter_init(&it, leader->ledger.machines);
     while (g_hash_table_iter_next(&it, NULL, (gpointer *)&machine))
         if (is_owned_by(machine, owner))
             machine->is_reported = false;
@@ -152,7 +154,7 @@
 {
     GHashTableIter it;
     struct ledger_machine *machine;
-    g_hash_table_iter_init(&it, leader->machines);
+    g_hash_table_iter_init(&it, leader->ledger.machines);
     while (g_hash_table_iter_next(&it, NULL, (gpointer *)&machine))
         if (!machine->is_reported && is_owned_by(machine, owner) &&
             autoscaler_is_machine_idle(machine) &&
