--- a/src/scheduler/gang_scheduler.c
+++ b/src/scheduler/gang_scheduler.c
@@ -96,7 +96,7 @@
     while (g_hash_table_iter_next(&it, &key, (gpointer *)&allocation)) {
         if (was_stopped_recently && allocation->is_stopping)
             continue;
-        shard_dispatcher_queue_stop(leader, job, GPOINTER_TO_UINT(key) - 1, allocation,
+        shard_dispatcher_queue_stop(leader, job, quota_ledger_task_index(key), allocation,
                                     job_record->spec->checkpoint_save_s);
         stopped_count += allocation->is_stopping;
     }
@@ -313,9 +313,7 @@
     struct resources total_request = {{job->task_resources.cpus.milli * needed_tasks},
                                       {job->task_resources.gpus.milli * needed_tasks},
                                       {0}};
-    if (!needed_tasks ||
-        !quota_ledger_is_within_limits(team->used, total_request, team->quota->cpus_max,
-                                       team->quota->gpus_max))
+    if (!needed_tasks || !quota_ledger_is_within_limit(team, total_request))
         return false;
     GPtrArray *machines = placement_is_unschedulable(leader, job_record->spec)
                               ? g_ptr_array_new()
--- a/src/scheduler/job_queue.c
+++ b/src/scheduler/job_queue.c
@@ -1,3 +1,4 @@
+/** The teams' job queues and dispatching by deficit round robin. */
 #include "job_queue.h"
 
 #include "gang_scheduler.h"
@@ -6,29 +7,33 @@
 #include "quota_ledger.h"
 #include "shard_dispatcher.h"
 
-/* Of cpus, in thousandths. */
+/* In thousandths of a CPU. */
 enum {
     MAX_DEFICIT_MILLI_CPUS = 10000000,
+    /** Least credit that a team receives in a turn, even without a guarantee. */
     MIN_QUANTUM_MILLI_CPUS = 1000,
-    QUANTUM_DIVISOR = 16, /* a team's quantum is its guarantee divided by that */
+    /** A team's credit for a turn is its guarantee divided by this. */
+    QUANTUM_DIVISOR = 16,
 };
 
-/* Ranks below RANK_BORROWED are for what a team was promised; each has one place by urgency. */
+/** First ranks of each kind. Within a kind, jobs are ranked by priority. */
 enum {
     RANK_SERVICE = 0,
-    RANK_BORROWED = 4,
-    RANK_BORROWED_LATE = 8,
+    RANK_BORROWED = RANK_SERVICE + PRIORITY_COUNT,
+    RANK_BORROWED_LATE = RANK_BORROWED + PRIORITY_COUNT,
 };
 
-/* A job that has waited for so long has its place in the queue again, late or not: the largest,
- * too, have to begin within a few minutes. */
+_Static_assert(RANK_BORROWED_LATE + PRIORITY_COUNT == RANK_COUNT, "each rank has its place");
+
+/** A job that has waited this long regains its place in the queue even if it is late, as the
+ * largest jobs, too, must start within a few minutes. */
 static const double AGED_S = 150;
 
-/* And after so long it goes before urgent work, and is not stopped for it. */
+/** A job that has waited this long precedes all borrowed work and is preempted by services only. */
 static const double OVERDUE_S = 190;
 
-/* A job stands behind those that came up to so many times as long after it as it would keep its
- * team's whole limit busy: small jobs pass large ones, but none passes for ever. */
+/** A job lets jobs pass that become eligible after it within this multiple of the time for which it
+ * would occupy its team's whole limit: small jobs pass large ones, but none passes forever. */
 static const double JOB_SIZE_WEIGHT = 4;
 
 /** How the job's waiting time compares with its objective now. */
@@ -43,23 +48,20 @@
     return waited_s < job->patience_s ? WAIT_TIMELY : WAIT_LATE;
 }
 
-int job_queue_rank(struct leader *leader, struct ledger_job *job)
+int job_queue_rank(struct leader *leader, const struct ledger_job *job)
 {
-    struct ledger_team *team = &leader->ledger.teams[job->team_index];
     if (job->priority == PRIORITY_PROD)
         return RANK_SERVICE;
-    if (quota_ledger_is_within_limits(team->used, job->task_resources, team->quota->cpus,
-                                      team->quota->gpus))
+    if (quota_ledger_is_within_guarantee(quota_ledger_team_of(leader, job), job->task_resources))
         return job->priority;
-    /* What is overdue goes before all that is borrowed, or urgent work would hold it back for ever.
-     */
+    /* Overdue jobs precede all others that borrow, or high-priority ones could starve them. */
     if (job->queue.wait_stage == WAIT_OVERDUE)
         return RANK_BORROWED;
-    return (job->queue.wait_stage != WAIT_LATE ? RANK_BORROWED : RANK_BORROWED_LATE) +
-           job->priority;
+    int first_rank = job->queue.wait_stage == WAIT_LATE ? RANK_BORROWED_LATE : RANK_BORROWED;
+    return first_rank + (int)job->priority;
 }
 
-/* Deals so many tasks at most to one machine; tells how many. */
+/** Dispatches up to max_tasks tasks of a job to one machine; returns how many. */
 static int dispatch_to_machine(struct leader *leader, struct ledger_job *job,
                                struct job *job_record, struct ledger_machine *machine,
                                attempt_no attempt, int max_tasks)
@@ -70,7 +72,7 @@
            placement_is_zone_allowed(leader, job, job_record->spec, machine->zone_index)) {
         uint32_t index = quota_ledger_next_waiting_task(job, job_record);
         if (index >= job_record->task_count)
-            break; /* more is on record than the count says */
+            break; /* fewer tasks are waiting than the count of allowed tasks says */
         quota_ledger_add_dispatch(leader, job, index, attempt, machine);
         shard_dispatcher_queue_dispatch(leader, job, index, false);
         if (machine->zone_index >= 0)
@@ -80,8 +82,8 @@
     return dispatched_tasks;
 }
 
-/* Deals so many tasks at most, to the best machines; tells how many. image: only to machines that
- * have the job's image. */
+/** Dispatches up to max_tasks tasks of a job to the best machines; returns how many. With
+ * needs_image only to machines that have the job's image cached. */
 static int dispatch_to_best(struct leader *leader, struct ledger_job *job, struct job *job_record,
                             int max_tasks, bool needs_image)
 {
@@ -102,7 +104,8 @@
     return dispatched_tasks;
 }
 
-/* Deals so many tasks at most, or has room made for some if none finds any; tells how many. */
+/** Dispatches up to max_tasks tasks of a job; returns how many. When there is no machine for any of
+ * them, the job is blocked for this pass and other tasks may be preempted for it. */
 static int dispatch_or_preempt(struct leader *leader, struct ledger_job *job,
                                struct job *job_record, int max_tasks)
 {
@@ -125,11 +128,11 @@
     return whole > 0 ? part / whole : 0;
 }
 
-/* How long the job would keep its team's whole limit busy. */
+/** For how long the job would occupy its team's whole limit. */
 static double limit_busy_time_s(struct leader *leader, const struct ledger_job *job,
                                 const struct job *job_record)
 {
-    const struct team *quota = leader->ledger.teams[job->team_index].quota;
+    const struct team *quota = quota_ledger_team_of(leader, job)->quota;
     double cpus = (double)job->task_resources.cpus.milli * job_record->task_count;
     double gpus = (double)job->task_resources.gpus.milli * job_record->task_count;
     double share = MAX(fraction(cpus, (double)quota->cpus_max.milli),
@@ -145,8 +148,7 @@
     return stage == WAIT_TIMELY ? 1 : 2;
 }
 
-/* By arrival and size; but jobs that are late whatever is done now stand behind those that may
- * still be in time. */
+/** Sorts by wait stage, then by position, then by job id. */
 static gint compare_queue_position(gconstpointer a, gconstpointer b)
 {
     const struct ledger_job *first = *(struct ledger_job *const *)a;
@@ -160,13 +162,14 @@
     return strcmp(first->id.text, second->id.text);
 }
 
-/* Aged jobs and those that may be in time take turns: either alone at the front would make all the
- * others late. */
+/** Makes aged jobs and those in time alternate at the front of a sorted queue, as either kind alone
+ * would make all jobs of the other one late. */
 static void interleave_aged_jobs(GPtrArray *ready_jobs)
 {
-    guint aged_count = 0, timely_count = 0;
+    guint aged_count = 0;
+    guint timely_count = 0;
     for (guint i = 0; i < ready_jobs->len; i++) {
-        struct ledger_job *job = ready_jobs->pdata[i];
+        const struct ledger_job *job = ready_jobs->pdata[i];
         aged_count += job->queue.wait_stage >= WAIT_AGED;
         timely_count += job->queue.wait_stage == WAIT_TIMELY;
     }
@@ -183,17 +186,24 @@
     g_ptr_array_unref(interleaved);
 }
 
-/* What a team may deal in its turn. Jobs that have no more to deal in this rank, or no room, are
- * passed over until the next pass; false when the team is through with the rank. */
+/** Whether the job has nothing more to dispatch in this rank and pass. */
+static bool is_done_with_rank(struct leader *leader, struct ledger_job *job, int rank)
+{
+    const struct job *job_record = job->queue.job_record;
+    return job->queue.is_blocked ||
+           quota_ledger_next_waiting_task(job, job_record) >= job_record->task_count ||
+           job_queue_rank(leader, job) != rank;
+}
+
+/** Dispatches tasks of one team until its credit or the budget is spent, and adds their number to
+ * *dispatched_tasks. Returns whether the team has more to dispatch in this rank. */
 static bool dispatch_team_turn(struct leader *leader, struct ledger_team *team, int rank,
                                int budget, int *dispatched_tasks)
 {
     while (team->next_ready_index < team->ready_jobs->len && *dispatched_tasks < budget) {
         struct ledger_job *job = team->ready_jobs->pdata[team->next_ready_index];
         struct job *job_record = job->queue.job_record;
-        if (job->queue.is_blocked ||
-            quota_ledger_next_waiting_task(job, job_record) >= job_record->task_count ||
-            job_queue_rank(leader, job) != rank) {
+        if (is_done_with_rank(leader, job, rank)) {
             team->next_ready_index++;
             continue;
         }
@@ -214,62 +224,70 @@
     return team->next_ready_index < team->ready_jobs->len;
 }
 
+/** Adds a turn's credit to the team's deficit. */
+static void add_turn_credit(struct ledger_team *team)
+{
+    int64_t quantum = MAX(team->quota->cpus.milli / QUANTUM_DIVISOR, MIN_QUANTUM_MILLI_CPUS);
+    team->deficit_milli_cpus =
+        MIN(team->deficit_milli_cpus + (double)quantum, MAX_DEFICIT_MILLI_CPUS);
+}
+
 int job_queue_dispatch_rank(struct leader *leader, int rank, int budget)
 {
+    struct quota_ledger *ledger = &leader->ledger;
     int dispatched_tasks = 0;
     bool has_remaining = true;
-    for (int i = 0; i < leader->ledger.team_count; i++)
-        leader->ledger.teams[i].next_ready_index = 0;
+    for (int i = 0; i < ledger->team_count; i++)
+        ledger->teams[i].next_ready_index = 0;
     while (has_remaining && dispatched_tasks < budget) {
         has_remaining = false;
-        for (int i = 0; i < leader->ledger.team_count && dispatched_tasks < budget; i++) {
-            struct ledger_team *team =
-                &leader->ledger
-                     .teams[(leader->pass.first_team_index + i) % leader->ledger.team_count];
+        for (int i = 0; i < ledger->team_count && dispatched_tasks < budget; i++) {
+            int team_index = (leader->pass.first_team_index + i) % ledger->team_count;
+            struct ledger_team *team = &ledger->teams[team_index];
             if (team->next_ready_index >= team->ready_jobs->len)
                 continue;
-            team->deficit_milli_cpus =
-                MIN(team->deficit_milli_cpus +
-                        MAX(team->quota->cpus.milli / QUANTUM_DIVISOR, MIN_QUANTUM_MILLI_CPUS),
-                    MAX_DEFICIT_MILLI_CPUS);
-            has_remaining =
-                dispatch_team_turn(leader, team, rank, budget, &dispatched_tasks) || has_remaining;
+            add_turn_credit(team);
+            if (dispatch_team_turn(leader, team, rank, budget, &dispatched_tasks))
+                has_remaining = true;
         }
     }
     return dispatched_tasks;
 }
 
-/* Whether the job may have something to deal in this pass. */
+/** Whether the job may have tasks to dispatch in this pass. */
 static bool is_ready(struct leader *leader, struct ledger_job *job, const struct job *job_record)
 {
-    /* What it needs is done once that is durable and seen here, whoever led when it was. */
     if (!job_record || !job_record->is_known || job_record->state != JOB_ACTIVE ||
-        !job_record->spec || job_record->has_pending_dependencies ||
+        !job_record->spec)
+        return false;
+    /* The jobs it depends on must be completed on record, whichever node was the leader then. */
+    if (job_record->has_pending_dependencies ||
         time_before(loop_now(leader->loop), job->failures.retry_at))
         return false;
+    /* A gang may have to be completed or stopped even when no task of it is waiting. */
     return job_record->spec->form == FORM_GANG ||
            quota_ledger_next_waiting_task(job, job_record) < job_record->task_count;
 }
 
-/* Adds the job to its team's queue. */
+/** Adds the job to its team's queue. */
 static void enqueue(struct leader *leader, struct ledger_job *job, struct job *job_record)
 {
+    double size_penalty_s = JOB_SIZE_WEIGHT * limit_busy_time_s(leader, job, job_record);
     job->queue.wait_stage = find_wait_stage(leader, job, job_record);
     job->queue.job_record = job_record;
-    job->queue.position_ms =
-        job_record->eligible_at.ms +
-        (int64_t)(JOB_SIZE_WEIGHT * 1000 * limit_busy_time_s(leader, job, job_record));
-    g_ptr_array_add(leader->ledger.teams[job->team_index].ready_jobs, job);
+    job->queue.position_ms = job_record->eligible_at.ms + (int64_t)(size_penalty_s * 1000);
+    g_ptr_array_add(quota_ledger_team_of(leader, job)->ready_jobs, job);
 }
 
 bool job_queue_collect_ready(struct leader *leader)
 {
+    struct quota_ledger *ledger = &leader->ledger;
     bool has_ready_jobs = false;
-    for (int i = 0; i < leader->ledger.team_count; i++)
-        g_ptr_array_set_size(leader->ledger.teams[i].ready_jobs, 0);
+    for (int i = 0; i < ledger->team_count; i++)
+        g_ptr_array_set_size(ledger->teams[i].ready_jobs, 0);
     GHashTableIter it;
     struct ledger_job *job;
-    g_hash_table_iter_init(&it, leader->ledger.jobs);
+    g_hash_table_iter_init(&it, ledger->jobs);
     while (g_hash_table_iter_next(&it, NULL, (gpointer *)&job)) {
         struct job *job_record = replica_get_job(leader->replica, job->id.text);
         job->queue.is_blocked = false;
@@ -279,9 +297,9 @@
         enqueue(leader, job, job_record);
         has_ready_jobs = true;
     }
-    for (int i = 0; i < leader->ledger.team_count; i++) {
-        g_ptr_array_sort(leader->ledger.teams[i].ready_jobs, compare_queue_position);
-        interleave_aged_jobs(leader->ledger.teams[i].ready_jobs);
+    for (int i = 0; i < ledger->team_count; i++) {
+        g_ptr_array_sort(ledger->teams[i].ready_jobs, compare_queue_position);
+        interleave_aged_jobs(ledger->teams[i].ready_jobs);
     }
     return has_ready_jobs;
 }
--- a/src/scheduler/leader.c
+++ b/src/scheduler/leader.c
@@ -71,12 +71,6 @@
     leader->relocation_backoffs = g_new0(struct relocation_backoff, settings->zones->len);
     leader->pass.schedulable_machines = g_ptr_array_new();
     leader->pass.unschedulable_requests = g_array_new(FALSE, FALSE, sizeof(struct unschedulable));
-    leader->ledger.team_count = (int)settings->teams->len;
-    leader->ledger.teams = g_new0(struct ledger_team, leader->ledger.team_count);
-    for (int i = 0; i < leader->ledger.team_count; i++) {
-        leader->ledger.teams[i].quota = &g_array_index(settings->teams, struct team, i);
-        leader->ledger.teams[i].ready_jobs = g_ptr_array_new();
-    }
     timer_init(&leader->tick_timer, on_tick, leader);
     timer_init(&leader->pass_timer, run_scheduling_pass, leader);
     replica_add_listener(leader->replica, &leader->actor);
@@ -89,13 +83,9 @@
     timer_stop(leader->loop, &leader->tick_timer);
     timer_stop(leader->loop, &leader->pass_timer);
     cloud_provider_free(leader->cloud);
-    g_hash_table_unref(leader->ledger.jobs);
-    g_hash_table_unref(leader->ledger.machines);
+    quota_ledger_clear(leader);
     g_hash_table_unref(leader->shard_channels);
     g_hash_table_unref(leader->run_times.by_job);
-    for (int i = 0; i < leader->ledger.team_count; i++)
-        g_ptr_array_unref(leader->ledger.teams[i].ready_jobs);
-    g_free(leader->ledger.teams);
     g_free(leader->autoscaler.service_shortfall_tasks);
     g_free(leader->pass.zone_cpus);
     g_free(leader->autoscaler.zone_silent_until);
@@ -155,7 +145,7 @@
 {
     if (!leader->is_leading)
         return;
-    LOG_INFO("not_leading", "epoch=%" G_GUINT64_FORMAT, leader->epoch.value);
+    LOG_INFO("leadership_lost", "epoch=%" G_GUINT64_FORMAT, leader->epoch.value);
     leader->is_leading = false;
     leader->generation++;
 }
@@ -208,7 +198,7 @@
     job_completion_check(leader, job);
     job_id id = job->id;
     if (job_completion_is_over(leader, job))
-        g_hash_table_remove(leader->ledger.jobs, id.text);
+        quota_ledger_remove_job(leader, id);
 }
 
 /* Whether the change is one of a job or of its tasks. */
--- a/src/scheduler/placement.h
+++ b/src/scheduler/placement.h
@@ -1,48 +1,61 @@
-/* Which machines may take a task, and which of them is best: rules of zones, types and machine
- * health, free room, scores, and what is known to find no room in this pass. */
-#ifndef LL_LEADER_PLACEMENT_H
-#define LL_LEADER_PLACEMENT_H
+/**
+ * Placement as the leader sees it: which machines accept tasks, which of them a job may use, and
+ * which are best. The shard that owns a machine has the last word.
+ *
+ * Zone rules (placement_is_zone_allowed, placement_is_machine_allowed, placement_find_candidates)
+ * refer to the job for which placement_count_zone_tasks was called last.
+ */
+#ifndef LL_PLACEMENT_H
+#define LL_PLACEMENT_H
 
 #include "scheduler_internal.h"
 
-/* A machine that could take a task, and how well it suits it. */
+/** A machine that could take a task. */
 struct placement_candidate {
     struct ledger_machine *machine;
+    /** How well it suits the task; more is better. */
     double score;
 };
 
-/* Whether the machine takes new work: told of by its owner, well, and not about to go. */
+/** Starts a scheduling pass: finds the machines that accept tasks, and drops the reservations and
+ * the unschedulable requests of the last pass. */
+void placement_begin_pass(struct leader *leader);
+
+/** Whether the machine accepts new tasks: reported by its owner, healthy and there to stay. */
 bool placement_is_schedulable(struct leader *leader, struct ledger_machine *machine);
-/* What is neither booked, nor dealt, nor held for a gang in this pass. */
+/** Capacity that is neither allocated, dispatched nor reserved. */
 struct resources placement_free_resources(const struct ledger_machine *machine);
-/* How many of a job's tasks are in a zone, or are about to be. */
-uint32_t placement_count_tasks_in_zone(struct leader *leader, struct ledger_job *job,
+/** Whether the machine has the job's image cached. */
+bool placement_has_image(const struct ledger_machine *machine, const struct job_spec *spec);
+
+/** The number of the job's tasks that are allocated or dispatched in a zone. */
+uint32_t placement_count_tasks_in_zone(struct leader *leader, const struct ledger_job *job,
                                        const char *zone);
-/* Counts the tasks of the job by zone, into leader->pass.zone_task_counts, if the job is bound to
- * zones.
- */
-void placement_count_zone_tasks(struct leader *leader, struct ledger_job *job,
+/** Counts the job's tasks in each zone into scheduling_pass.zone_task_counts, if its specification
+ * has a rule about zones. Callers that place several tasks at once keep the counts up to date. */
+void placement_count_zone_tasks(struct leader *leader, const struct ledger_job *job,
                                 const struct job_spec *spec);
-/* Whether one more task may go to the zone, by the last placement_count_zone_tasks. */
-bool placement_is_zone_allowed(struct leader *leader, struct ledger_job *job,
+/** Whether the job's zone rules permit one more task in the zone. */
+bool placement_is_zone_allowed(struct leader *leader, const struct ledger_job *job,
                                const struct job_spec *spec, int zone_index);
-/* Whether a task of the job may be dealt to the machine, room aside, by the last
- * placement_count_zone_tasks. */
-bool placement_is_machine_allowed(struct leader *leader, struct ledger_job *job,
-                                  const struct job_spec *spec, struct ledger_machine *machine);
-/* Begins a pass: finds the machines that take work and what the zones hold, and forgets what the
- * last pass held for gangs and found unplaceable. */
-void placement_begin_pass(struct leader *leader);
-/* Orders struct placement_candidate by score, the best first; equal ones by the machine's name. */
+/** Whether a task of the job may run on the machine, free resources aside. */
+bool placement_is_machine_allowed(struct leader *leader, const struct ledger_job *job,
+                                  const struct job_spec *spec,
+                                  const struct ledger_machine *machine);
+
+/** Sorts struct placement_candidate by descending score, then by machine id. */
 gint placement_compare_candidates(gconstpointer a, gconstpointer b);
-/* The machines that could take a task of the job, the best first: struct placement_candidate. What
- * a machine takes makes it only better, so the order holds while it is being filled. image: only
- * machines that have the job's image. */
-GArray *placement_find_candidates(struct leader *leader, struct ledger_job *job,
+/** The machines that could take a task of the job now, best first: an array of struct
+ * placement_candidate that the caller frees. A machine's score only rises as it fills up, so the
+ * order stays valid meanwhile. With needs_image only machines that have the job's image cached. */
+GArray *placement_find_candidates(struct leader *leader, const struct ledger_job *job,
                                   const struct job_spec *spec, bool needs_image);
-/* Whether something that asks no more has found no room in this pass: room only shrinks. */
+
+/** Whether a request for no more than this was unschedulable earlier in this pass, during which
+ * free resources only shrink. */
 bool placement_is_unschedulable(struct leader *leader, const struct job_spec *spec);
-/* Notes that what the job asks found no room in this pass; not if it is bound to a zone or type. */
+/** Records that no machine could take a task of the job. Ignored for jobs that are restricted to
+ * zones or machine types, as that says nothing about others. */
 void placement_add_unschedulable(struct leader *leader, const struct job_spec *spec);
 
 #endif
--- a/src/scheduler/preemption.c
+++ b/src/scheduler/preemption.c
@@ -40,8 +40,7 @@
     struct resources total_request = {{job->task_resources.cpus.milli * waiting_tasks},
                                       {job->task_resources.gpus.milli * waiting_tasks},
                                       {0}};
-    return quota_ledger_is_within_limits(team->used, total_request, team->quota->cpus,
-                                         team->quota->gpus);
+    return quota_ledger_is_within_guarantee(team, total_request);
 }
 
 /* A job that finds no room, and what it may have stopped: work of lower priority, and what other
@@ -82,9 +81,7 @@
         struct run_record *run_record = machine_record->run_records->pdata[i];
         struct ledger_job *job = quota_ledger_find_job(leader, run_record->job->id.text);
         struct allocation *allocation =
-            job ? g_hash_table_lookup(job->allocations,
-                                      quota_ledger_task_key(run_record->task_index))
-                : NULL;
+            job ? quota_ledger_find_allocation(job, run_record->task_index) : NULL;
         if (!allocation || allocation->attempt.value != run_record->attempt.value ||
             !machine_id_equal(allocation->machine, machine->id) || allocation->is_stopping ||
             !run_record->job->spec || run_record->job->spec->form == FORM_GANG ||
@@ -121,8 +118,7 @@
     struct ledger_job *job = quota_ledger_find_job(leader, run_record->job->id.text);
     if (!job || !job->is_service || job == requester || !run_record->job->spec)
         return false;
-    struct allocation *candidate =
-        g_hash_table_lookup(job->allocations, quota_ledger_task_key(run_record->task_index));
+    struct allocation *candidate = quota_ledger_find_allocation(job, run_record->task_index);
     struct resources free = placement_free_resources(machine);
     resources_add(&free, job->task_resources);
     if (!candidate || candidate->is_stopping ||
--- a/src/scheduler/shard_dispatcher.c
+++ b/src/scheduler/shard_dispatcher.c
@@ -26,6 +26,14 @@
         g_hash_table_new_full(g_str_hash, g_str_equal, NULL, shard_channel_free);
 }
 
+void shard_dispatcher_reset(struct leader *leader)
+{
+    const GArray *shard_map = leader->replica->shard_map;
+    g_hash_table_remove_all(leader->shard_channels);
+    for (guint i = 0; i < shard_map->len; i++)
+        shard_dispatcher_channel(leader, g_array_index(shard_map, struct shard_map_entry, i).label);
+}
+
 struct shard_channel *shard_dispatcher_channel(struct leader *leader, const char *label)
 {
     struct shard_channel *channel = g_hash_table_lookup(leader->shard_channels, label);
@@ -47,8 +55,7 @@
 void shard_dispatcher_queue_dispatch(struct leader *leader, struct ledger_job *job, uint32_t index,
                                      bool is_bound)
 {
-    struct pending_dispatch *dispatch =
-        g_hash_table_lookup(job->dispatches, quota_ledger_task_key(index));
+    struct pending_dispatch *dispatch = quota_ledger_find_dispatch(job, index);
     struct job *job_record = replica_get_job(leader->replica, job->id.text);
     cJSON *item = node_rpc_encode_task(job->id, index, dispatch->attempt);
     node_rpc_put_u64(item, "n", dispatch->number);
@@ -67,7 +74,7 @@
     if (!machine || !machine->owner_label)
         return;
     if (!allocation->is_stopping)
-        resources_add(&leader->ledger.teams[job->team_index].stopping, job->task_resources);
+        resources_add(&quota_ledger_team_of(leader, job)->stopping, job->task_resources);
     allocation->is_stopping = true;
     cJSON *item = node_rpc_encode_task(job->id, index, allocation->attempt);
     cJSON_AddStringToObject(item, "h", allocation->machine.text);
--- a/src/scheduler/shard_dispatcher.h
+++ b/src/scheduler/shard_dispatcher.h
@@ -31,6 +31,8 @@
 
 /* Makes the table of shards, empty. */
 void shard_dispatcher_init(struct leader *leader);
+/** Discards all channels and creates one for each node of the shard map. */
+void shard_dispatcher_reset(struct leader *leader);
 /* Queues the deal that was booked for the machine's owner; bound: to that machine and no other. */
 void shard_dispatcher_queue_dispatch(struct leader *leader, struct ledger_job *job, uint32_t index,
                                      bool is_bound);
--- a/src/scheduler/shard_status_receiver.c
+++ b/src/scheduler/shard_status_receiver.c
@@ -104,17 +104,15 @@
                                  : NULL;
     if (!job)
         return;
-    struct pending_dispatch *dispatch =
-        g_hash_table_lookup(job->dispatches, quota_ledger_task_key(index));
+    struct pending_dispatch *dispatch = quota_ledger_find_dispatch(job, index);
     /* A gang's task may be dealt again under the same attempt: an answer that is said again must
      * not take back the later deal. */
     uint64_t number = 0;
     if (!dispatch || dispatch->attempt.value != attempt.value ||
         (node_rpc_get_u64(item, "n", &number) && number != dispatch->number))
         return;
-    if (dispatch->machine)
-        dispatch->machine->health.avoid_until =
-            time_add_ms(loop_now(leader->loop), REJECTED_DISPATCH_AVOID_MS);
+    dispatch->machine->health.avoid_until =
+        time_add_ms(loop_now(leader->loop), REJECTED_DISPATCH_AVOID_MS);
     quota_ledger_drop_dispatch(leader, job, index);
 }
 
