--- a/src/scheduler/gang_scheduler.c
+++ b/src/scheduler/gang_scheduler.c
@@ -1,3 +1,4 @@
+/** Dispatching, reserving for, completing and stopping gangs. */
 #include "gang_scheduler.h"
 
 #include "log.h"
@@ -8,16 +9,48 @@
 #include "shard_dispatcher.h"
 
 enum {
+    /** In place of a zone index. */
     ANY_ZONE = -1,
-    MAX_RESERVING_GANGS = 4, /* gangs that hold whole machines, in a pass */
+    /** Gangs that may reserve machines in use, per pass. */
+    MAX_RESERVING_GANGS = 4,
     MAX_NEW_MACHINE_WAIT_MS = 60000,
+    /** Tasks of a stopped gang are stopped again after this time, if they are still there. */
     STOP_RETRY_MS = 10000,
-    COMPLETION_TIMEOUT_MS = 2000, /* for a task that was given back to find another machine */
+    /** Time for tasks that a shard rejected to be dispatched to another machine. */
+    COMPLETION_TIMEOUT_MS = 2000,
 };
 
-/* Picks machines for so many tasks out of a job's choices, in one zone or in any; a machine stands
- * in the list once for each task that it is to take. */
-static GPtrArray *pick_machines(struct leader *leader, struct ledger_job *job,
+/** Time for a new machine to start up, in multiples of the slowest boot and of the interval between
+ * heartbeats. */
+static const double NEW_MACHINE_BOOTS = 3;
+static const double NEW_MACHINE_HEARTBEATS = 1.25;
+
+static bool is_in_zone(const struct ledger_machine *machine, int zone_index)
+{
+    return zone_index == ANY_ZONE || machine->zone_index == zone_index;
+}
+
+/** Adds the machine to the list once for each task that it can take, until the list has max_tasks
+ * entries. */
+static void add_machine(struct leader *leader, const struct ledger_job *job,
+                        const struct job_spec *spec, struct ledger_machine *machine,
+                        uint32_t max_tasks, GPtrArray *machines)
+{
+    int64_t fitting_tasks =
+        resources_fit_count(placement_free_resources(machine), job->task_resources);
+    for (int64_t i = 0; i < fitting_tasks && machines->len < max_tasks; i++) {
+        if (!placement_is_zone_allowed(leader, job, spec, machine->zone_index))
+            return;
+        g_ptr_array_add(machines, machine);
+        /* For a single zone the caller sees to it that all tasks get the same one. */
+        if (machine->zone_index >= 0 && spec->needs_separate_zones)
+            leader->pass.zone_task_counts[machine->zone_index]++;
+    }
+}
+
+/** Chooses machines for up to max_tasks tasks among the candidates, in one zone or in any. A
+ * machine is listed once for each task that it is to take. */
+static GPtrArray *pick_machines(struct leader *leader, const struct ledger_job *job,
                                 const struct job_spec *spec, const GArray *candidates,
                                 uint32_t max_tasks, int zone_index)
 {
@@ -26,50 +59,47 @@
     for (guint i = 0; i < candidates->len && machines->len < max_tasks; i++) {
         struct ledger_machine *machine =
             g_array_index(candidates, struct placement_candidate, i).machine;
-        if (zone_index != ANY_ZONE && machine->zone_index != zone_index)
-            continue;
-        int64_t fitting_tasks =
-            resources_fit_count(placement_free_resources(machine), job->task_resources);
-        for (int64_t k = 0; k < fitting_tasks && machines->len < max_tasks &&
-                            placement_is_zone_allowed(leader, job, spec, machine->zone_index);
-             k++) {
-            g_ptr_array_add(machines, machine);
-            if (machine->zone_index >= 0 &&
-                spec->needs_separate_zones) /* one zone is for the caller to settle */
-                leader->pass.zone_task_counts[machine->zone_index]++;
-        }
+        if (is_in_zone(machine, zone_index))
+            add_machine(leader, job, spec, machine, max_tasks, machines);
     }
     return machines;
 }
 
-/* The same in one zone: that which has room for all tasks; else that where room is being made for
- * the gang, or where most of it finds some. */
-static GPtrArray *pick_machines_in_one_zone(struct leader *leader, struct ledger_job *job,
+/** How well a zone suits a gang, if it has resources for so many of its max_tasks tasks. Zones with
+ * resources for all tasks come first, then the one in which tasks are preempted for the gang. */
+static guint score_zone(const struct ledger_job *job, int zone_index, guint fitting_tasks,
+                        uint32_t max_tasks)
+{
+    bool is_preempting_here =
+        job->preemption.pending_count && zone_index == job->gang.preemption_zone_index;
+    if (fitting_tasks == max_tasks)
+        return 2 * max_tasks;
+    return fitting_tasks + (is_preempting_here ? max_tasks : 0);
+}
+
+/** Like pick_machines, in the zone that suits the gang best. */
+static GPtrArray *pick_machines_in_one_zone(struct leader *leader, const struct ledger_job *job,
                                             const struct job_spec *spec, const GArray *candidates,
                                             uint32_t max_tasks)
 {
     GPtrArray *best = g_ptr_array_new();
     guint best_score = 0;
-    for (guint zone = 0; zone < leader->settings->zones->len && best->len < max_tasks; zone++) {
-        GPtrArray *zone_machines =
-            pick_machines(leader, job, spec, candidates, max_tasks, (int)zone);
-        bool is_preempting_here =
-            job->preemption.pending_count && (int)zone == job->gang.preemption_zone_index;
-        guint score = zone_machines->len == max_tasks
-                          ? 2 * max_tasks
-                          : zone_machines->len + (is_preempting_here ? max_tasks : 0);
+    int zone_count = (int)leader->settings->zones->len;
+    for (int zone = 0; zone < zone_count && best->len < max_tasks; zone++) {
+        GPtrArray *machines = pick_machines(leader, job, spec, candidates, max_tasks, zone);
+        guint score = score_zone(job, zone, machines->len, max_tasks);
         if (score > best_score) {
             g_ptr_array_unref(best);
-            best = g_ptr_array_ref(zone_machines);
+            best = g_ptr_array_ref(machines);
             best_score = score;
         }
-        g_ptr_array_unref(zone_machines);
+        g_ptr_array_unref(machines);
     }
     return best;
 }
 
-/* The best machines for so many tasks of a gang, or for as many as find room. */
-static GPtrArray *find_gang_machines(struct leader *leader, struct ledger_job *job,
+/** The best machines for up to max_tasks tasks of a gang; fewer when resources are short. */
+static GPtrArray *find_gang_machines(struct leader *leader, const struct ledger_job *job,
                                      const struct job_spec *spec, uint32_t max_tasks)
 {
     GArray *candidates = placement_find_candidates(leader, job, spec, false);
@@ -80,9 +110,12 @@
     return machines;
 }
 
-/* Stops what is left of a gang. Tasks that were told to in this epoch are not told again for a
- * while: their owners repeat a halt until its end is on record. They forget it when the epoch
- * changes, and pass over one that comes before they know of the task. */
+/**
+ * Stops the tasks of a gang that have run records. Shards repeat a stop by themselves until the
+ * record is removed, so tasks that were stopped in this epoch are stopped again only after
+ * STOP_RETRY_MS: shards forget a stop when the epoch changes, and ignore one that arrives before
+ * they know of the task.
+ */
 static void stop_gang(struct leader *leader, struct ledger_job *job, const struct job *job_record)
 {
     mono_time now = loop_now(leader->loop);
@@ -104,13 +137,14 @@
         job->gang.stopped_at = now;
     job->gang.stopped_in_epoch = leader->epoch;
     if (stopped_count)
-        LOG_INFO("gang_broken", "job=%s stopped=%u placed=%u of=%u", job->id.text, stopped_count,
-                 g_hash_table_size(job->allocations), job_record->task_count);
+        LOG_INFO("gang_stopped", "job=%s stopped=%u allocated=%u tasks=%u", job->id.text,
+                 stopped_count, g_hash_table_size(job->allocations), job_record->task_count);
 }
 
-/* A gang that lost a task cannot go on: what is left of it is stopped, and it starts whole again
- * once nothing of it is on record. One that has not begun may still be completed for a moment. */
-static void repair_gang(struct leader *leader, struct ledger_job *job, struct job *job_record)
+/** Stops a gang that is incomplete: one that has lost a task at once, so that it can start again as
+ * a whole; one that has not begun to run when it is not completed in time. */
+static void stop_if_incomplete(struct leader *leader, struct ledger_job *job,
+                               const struct job *job_record)
 {
     mono_time now = loop_now(leader->loop);
     guint allocated_tasks = g_hash_table_size(job->allocations);
@@ -127,8 +161,16 @@
         stop_gang(leader, job, job_record);
 }
 
-/* Tasks that a shard could not place are dealt once more, under the attempt of the others: as they
- * were never on record, the gang has not begun, and waits for them. */
+/** Dispatches a task of a gang, bound to the machine, under the gang's attempt. */
+static void dispatch_task(struct leader *leader, struct ledger_job *job, uint32_t index,
+                          struct ledger_machine *machine)
+{
+    quota_ledger_add_dispatch(leader, job, index, job->gang.attempt, machine);
+    shard_dispatcher_queue_dispatch(leader, job, index, true);
+}
+
+/** Dispatches tasks again that a shard rejected, under the attempt of the others. As they never had
+ * run records, the gang has not begun to run and still waits for them. */
 static void complete_gang(struct leader *leader, struct ledger_job *job, struct job *job_record)
 {
     int64_t waiting_tasks = quota_ledger_count_allowed_tasks(leader, job, job_record);
@@ -136,43 +178,39 @@
         return;
     GPtrArray *machines =
         find_gang_machines(leader, job, job_record->spec, (uint32_t)waiting_tasks);
-    for (uint32_t i = 0, used_machines = 0;
-         i < job_record->task_count && used_machines < machines->len; i++) {
-        if (!quota_ledger_is_task_waiting(job, job_record, i))
-            continue;
-        quota_ledger_add_dispatch(leader, job, i, job->gang.attempt,
-                                  machines->pdata[used_machines++]);
-        shard_dispatcher_queue_dispatch(leader, job, i, true);
-    }
+    guint used_machines = 0;
+    for (uint32_t i = 0; i < job_record->task_count && used_machines < machines->len; i++)
+        if (quota_ledger_is_task_waiting(job, job_record, i))
+            dispatch_task(leader, job, i, machines->pdata[used_machines++]);
     g_ptr_array_unref(machines);
 }
 
-/* How many tasks of a gang the machine could take if nothing but services ran on it. */
+/** How many tasks of a gang the machine could run beside services alone. */
 static int64_t machine_task_capacity(const struct ledger_machine *machine,
                                      const struct ledger_job *job)
 {
-    return resources_fit_count(resources_remaining(machine->capacity, machine->usage.services),
-                               job->task_resources);
+    return resources_fit_count(placement_capacity_without_services(machine), job->task_resources);
 }
 
-/* The same for all machines that take work, in one zone or in any. */
-static int64_t zone_task_capacity(struct leader *leader, struct ledger_job *job,
+/** How many tasks of a gang all machines in a zone could run beside services alone. */
+static int64_t zone_task_capacity(struct leader *leader, const struct ledger_job *job,
                                   const struct job_spec *spec, int zone_index)
 {
+    const GPtrArray *machines = leader->pass.schedulable_machines;
     int64_t task_count = 0;
-    loop_add_work(leader->loop, leader->pass.schedulable_machines->len);
-    for (guint i = 0; i < leader->pass.schedulable_machines->len; i++) {
-        struct ledger_machine *machine = leader->pass.schedulable_machines->pdata[i];
+    loop_add_work(leader->loop, machines->len);
+    for (guint i = 0; i < machines->len; i++) {
+        const struct ledger_machine *machine = machines->pdata[i];
         if (placement_is_machine_allowed(leader, job, spec, machine) &&
-            (zone_index == ANY_ZONE || machine->zone_index == zone_index))
+            is_in_zone(machine, zone_index))
             task_count += machine_task_capacity(machine, job);
     }
     return task_count;
 }
 
-/* Whether a gang would find room if nothing but services ran on the machines that there are, and in
- * which zone, if it has to be in one: rather where room is held for it already. */
-static bool could_fit_whole_gang(struct leader *leader, struct ledger_job *job,
+/** Whether the existing machines could run the gang beside services alone. For a gang that needs a
+ * single zone *zone_index is set to such a zone, preferably to that with its reservations. */
+static bool could_fit_whole_gang(struct leader *leader, const struct ledger_job *job,
                                  const struct job_spec *spec, uint32_t needed_tasks,
                                  int *zone_index)
 {
@@ -180,68 +218,72 @@
     placement_count_zone_tasks(leader, job, spec);
     if (!spec->needs_single_zone)
         return zone_task_capacity(leader, job, spec, ANY_ZONE) >= needed_tasks;
-    int zones = (int)leader->settings->zones->len;
+    int zone_count = (int)leader->settings->zones->len;
     int first_zone = MAX(job->gang.reserved_zone_index, 0);
-    for (int i = 0; i < zones; i++) {
-        *zone_index = (first_zone + i) % zones;
+    for (int i = 0; i < zone_count; i++) {
+        *zone_index = (first_zone + i) % zone_count;
         if (zone_task_capacity(leader, job, spec, *zone_index) >= needed_tasks)
             return true;
     }
     return false;
 }
 
-/* Machines that could take tasks of a gang if they ran empty, those first that run the least. */
-static GArray *find_drainable_machines(struct leader *leader, struct ledger_job *job,
+/** Machines that could run tasks of a gang beside services alone, the least used ones first. */
+static GArray *find_drainable_machines(struct leader *leader, const struct ledger_job *job,
                                        const struct job_spec *spec, int zone_index)
 {
-    GArray *machines = g_array_new(FALSE, FALSE, sizeof(struct placement_candidate));
-    loop_add_work(leader->loop, leader->pass.schedulable_machines->len);
+    const GPtrArray *machines = leader->pass.schedulable_machines;
+    GArray *drainable = g_array_new(FALSE, FALSE, sizeof(struct placement_candidate));
+    loop_add_work(leader->loop, machines->len);
     placement_count_zone_tasks(leader, job, spec);
-    for (guint i = 0; i < leader->pass.schedulable_machines->len; i++) {
-        struct ledger_machine *machine = leader->pass.schedulable_machines->pdata[i];
-        struct placement_candidate candidate = {
-            machine, -resources_dominant_share(machine->usage.allocated, machine->capacity)};
-        if (machine_task_capacity(machine, job) &&
-            placement_is_machine_allowed(leader, job, spec, machine) &&
-            (zone_index == ANY_ZONE || machine->zone_index == zone_index))
-            g_array_append_val(machines, candidate);
+    for (guint i = 0; i < machines->len; i++) {
+        struct ledger_machine *machine = machines->pdata[i];
+        if (!machine_task_capacity(machine, job) ||
+            !placement_is_machine_allowed(leader, job, spec, machine) ||
+            !is_in_zone(machine, zone_index))
+            continue;
+        double used_share = resources_dominant_share(machine->usage.allocated, machine->capacity);
+        struct placement_candidate candidate = {machine, -used_share};
+        g_array_append_val(drainable, candidate);
     }
-    g_array_sort(machines, placement_compare_candidates);
-    return machines;
+    g_array_sort(drainable, placement_compare_candidates);
+    return drainable;
 }
 
-/* Smaller tasks would take what becomes free on a machine before it is enough for a task of the
- * gang. One that has waited for long holds all that is free on further machines, until they would
- * have room for what it lacks. held: the places for which room is held already. */
-static void reserve_draining_machines(struct leader *leader, struct ledger_job *job,
+/**
+ * Reserves all that is free on further machines, until these could run the missing tasks once their
+ * own tasks have ended. Smaller tasks would otherwise take what becomes free on a machine before it
+ * is enough for a task of the gang. reserved_machines: one entry for each task that has a
+ * reservation already.
+ */
+static void reserve_draining_machines(struct leader *leader, const struct ledger_job *job,
                                       const struct job_spec *spec,
                                       const GPtrArray *reserved_machines, int64_t missing_tasks,
                                       int zone_index)
 {
-    GArray *machines = find_drainable_machines(leader, job, spec, zone_index);
-    for (guint i = 0; i < machines->len && missing_tasks > 0; i++) {
+    GArray *drainable = find_drainable_machines(leader, job, spec, zone_index);
+    for (guint i = 0; i < drainable->len && missing_tasks > 0; i++) {
         struct ledger_machine *machine =
-            g_array_index(machines, struct placement_candidate, i).machine;
+            g_array_index(drainable, struct placement_candidate, i).machine;
         int64_t additional_tasks = machine_task_capacity(machine, job);
         for (guint k = 0; k < reserved_machines->len; k++)
             additional_tasks -= reserved_machines->pdata[k] == machine;
         resources_add(&machine->usage.reserved, placement_free_resources(machine));
         missing_tasks -= additional_tasks;
     }
-    g_array_unref(machines);
+    g_array_unref(drainable);
 }
 
-/* How long a gang may hope for machines that are on their way: as long as slow ones take to boot
- * and report, but less than others may be kept waiting beside free room. */
+/** How long a gang may wait for new machines: long enough for slow ones to boot and report, but not
+ * so long that other jobs are kept from free resources for too long. */
 static double new_machine_wait_ms(struct leader *leader)
 {
-    return MIN((scheduling_policy_slowest_boot_s(leader) * 3 +
-                leader->settings->heartbeat_interval_s * 1.25) *
-                   1000,
-               MAX_NEW_MACHINE_WAIT_MS);
+    double startup_s = scheduling_policy_slowest_boot_s(leader) * NEW_MACHINE_BOOTS +
+                       leader->settings->heartbeat_interval_s * NEW_MACHINE_HEARTBEATS;
+    return MIN(startup_s * 1000, MAX_NEW_MACHINE_WAIT_MS);
 }
 
-/* Whether it has found no room for all its tasks for longer than it may hope for new machines. */
+/** Whether the gang has been short of resources for less time than it may wait for new machines. */
 static bool may_wait_for_machines(struct leader *leader, struct ledger_job *job)
 {
     mono_time now = loop_now(leader->loop);
@@ -250,45 +292,50 @@
     return (double)time_ms_since(now, job->gang.unschedulable_since) < new_machine_wait_ms(leader);
 }
 
-/* Deals all tasks of a gang that are not done, one to each place, under a new attempt. */
-static void start_gang(struct leader *leader, struct ledger_job *job, struct job *job_record,
+/** Dispatches all tasks that are not completed, one to each entry of `machines`, under a new
+ * attempt. */
+static void start_gang(struct leader *leader, struct ledger_job *job, const struct job *job_record,
                        const GPtrArray *machines)
 {
+    guint used_machines = 0;
     job->gang.attempt = quota_ledger_next_attempt(leader);
     job->gang.has_lost_task = false;
     job->gang.unschedulable_since = job->gang.incomplete_since = (mono_time){0};
-    for (uint32_t i = 0, used_machines = 0; i < job_record->task_count; i++) {
-        if (job_is_task_completed(job_record, i))
-            continue;
-        quota_ledger_add_dispatch(leader, job, i, job->gang.attempt,
-                                  machines->pdata[used_machines++]);
-        shard_dispatcher_queue_dispatch(leader, job, i, true);
+    for (uint32_t i = 0; i < job_record->task_count; i++)
+        if (!job_is_task_completed(job_record, i))
+            dispatch_task(leader, job, i, machines->pdata[used_machines++]);
+}
+
+/** Notes the machines that the gang could use, and reserves resources there if it may. */
+static void reserve_machines(struct ledger_job *job, const GPtrArray *machines, bool may_reserve)
+{
+    for (guint i = 0; i < machines->len; i++) {
+        struct ledger_machine *machine = machines->pdata[i];
+        machine->usage.is_wanted_by_gang = true;
+        if (may_reserve)
+            resources_add(&machine->usage.reserved, job->task_resources);
     }
 }
 
-/* A gang of which only a part finds room: holds that, and has more made, unless it could not be
- * whole on the machines that there are and has waited for new ones in vain. */
+/** Reserves `machines`, which suffice for some of the gang's tasks only, and preempts tasks for the
+ * others. A gang that has waited for new machines in vain does neither, unless the existing ones
+ * could run all of it. An aged gang reserves machines in use, too. */
 static void reserve_for_gang(struct leader *leader, struct ledger_job *job, struct job *job_record,
                              const GPtrArray *machines, uint32_t needed_tasks)
 {
     const struct job_spec *spec = job_record->spec;
+    const struct ledger_machine *first = machines->len ? machines->pdata[0] : NULL;
     job->gang.reserved_task_count = machines->len;
-    job->gang.reserved_zone_index =
-        machines->len ? ((struct ledger_machine *)machines->pdata[0])->zone_index : ANY_ZONE;
+    job->gang.reserved_zone_index = first ? first->zone_index : ANY_ZONE;
     job->queue.is_blocked = true;
-    bool may_reserve = may_wait_for_machines(leader, job);
+    bool may_wait = may_wait_for_machines(leader, job);
     bool may_drain = job->queue.wait_stage >= WAIT_AGED &&
                      leader->pass.reserving_gang_count < MAX_RESERVING_GANGS;
     int zone_index = ANY_ZONE;
-    bool could_fit = (!may_reserve || may_drain) &&
+    bool could_fit = (!may_wait || may_drain) &&
                      could_fit_whole_gang(leader, job, spec, needed_tasks, &zone_index);
-    may_reserve = may_reserve || could_fit;
-    for (guint i = 0; i < machines->len; i++) {
-        struct ledger_machine *machine = machines->pdata[i];
-        machine->usage.is_wanted_by_gang = true;
-        if (may_reserve)
-            resources_add(&machine->usage.reserved, job->task_resources);
-    }
+    bool may_reserve = may_wait || could_fit;
+    reserve_machines(job, machines, may_reserve);
     if (may_reserve || !machines->len)
         placement_add_unschedulable(leader, spec);
     if (may_reserve)
@@ -305,15 +352,13 @@
     if (g_hash_table_size(job->allocations) || g_hash_table_size(job->dispatches) ||
         job_record->run_records) {
         complete_gang(leader, job, job_record);
-        repair_gang(leader, job, job_record);
+        stop_if_incomplete(leader, job, job_record);
         return false;
     }
-    struct ledger_team *team = &leader->ledger.teams[job->team_index];
     uint32_t needed_tasks = job_record->task_count - job_record->completed_count;
-    struct resources total_request = {{job->task_resources.cpus.milli * needed_tasks},
-                                      {job->task_resources.gpus.milli * needed_tasks},
-                                      {0}};
-    if (!needed_tasks || !quota_ledger_is_within_limit(team, total_request))
+    if (!needed_tasks ||
+        !quota_ledger_is_within_limit(quota_ledger_team_of(leader, job),
+                                      quota_ledger_limited_request(job, needed_tasks)))
         return false;
     GPtrArray *machines = placement_is_unschedulable(leader, job_record->spec)
                               ? g_ptr_array_new()
--- a/src/scheduler/placement.c
+++ b/src/scheduler/placement.c
@@ -29,6 +29,11 @@
     return free;
 }
 
+struct resources placement_capacity_without_services(const struct ledger_machine *machine)
+{
+    return resources_remaining(machine->capacity, machine->usage.services);
+}
+
 bool placement_has_image(const struct ledger_machine *machine, const struct job_spec *spec)
 {
     return image_cache_contains(machine->image_cache, spec->image);
--- a/src/scheduler/placement.h
+++ b/src/scheduler/placement.h
@@ -25,6 +25,8 @@
 bool placement_is_schedulable(struct leader *leader, struct ledger_machine *machine);
 /** Capacity that is neither allocated, dispatched nor reserved. */
 struct resources placement_free_resources(const struct ledger_machine *machine);
+/** What would be free if only services ran on the machine. */
+struct resources placement_capacity_without_services(const struct ledger_machine *machine);
 /** Whether the machine has the job's image cached. */
 bool placement_has_image(const struct ledger_machine *machine, const struct job_spec *spec);
 
--- /dev/null
+++ b/src/scheduler/service_relocation.c
@@ -0,0 +1,117 @@
+/** Moving replicas of services to other zones. */
+#include "service_relocation.h"
+
+#include "log.h"
+#include "placement.h"
+#include "quota_ledger.h"
+#include "shard_dispatcher.h"
+
+enum {
+    /** Replicas are not moved before they have run this long, as they count as started only then.
+     */
+    MIN_RELOCATION_AGE_MS = 35000,
+    RELOCATION_BACKOFF_MS = 1000,
+};
+
+/** Whether a task of the service could be placed on a machine outside the zone. */
+static bool could_leave_zone(struct leader *leader, const struct ledger_job *service,
+                             const struct job_spec *spec, int zone_index)
+{
+    const GPtrArray *machines = leader->pass.schedulable_machines;
+    placement_count_zone_tasks(leader, service, spec);
+    loop_add_work(leader->loop, machines->len);
+    for (guint i = 0; i < machines->len; i++) {
+        const struct ledger_machine *machine = machines->pdata[i];
+        if (machine->zone_index != zone_index &&
+            resources_fit(placement_free_resources(machine), service->task_resources) &&
+            placement_is_machine_allowed(leader, service, spec, machine))
+            return true;
+    }
+    return false;
+}
+
+/** The allocation of a replica that may be stopped to make place for a task of the requester on
+ * its machine; NULL when it may not, or when that would not free enough. */
+static struct allocation *find_relocatable(struct leader *leader,
+                                           const struct ledger_machine *machine,
+                                           const struct run_record *run_record,
+                                           const struct ledger_job *requester)
+{
+    const struct ledger_job *service = quota_ledger_find_job(leader, run_record->job->id.text);
+    if (!service || !service->is_service || service == requester || !run_record->job->spec)
+        return NULL;
+    struct allocation *allocation = quota_ledger_find_allocation(service, run_record->task_index);
+    if (!allocation || allocation->is_stopping ||
+        time_ms_since(loop_now(leader->loop), allocation->allocated_at) < MIN_RELOCATION_AGE_MS)
+        return NULL;
+    struct resources free = placement_free_resources(machine);
+    resources_add(&free, service->task_resources);
+    return resources_fit(free, requester->task_resources) ? allocation : NULL;
+}
+
+/** Stops one replica on the machine that could run in another zone. Adds services that could not
+ * leave the zone to immovable_jobs, a set of struct job. Returns whether it stopped one. */
+static bool relocate_from_machine(struct leader *leader, const struct ledger_machine *machine,
+                                  const struct ledger_job *requester, GHashTable *immovable_jobs)
+{
+    const struct machine_record *record = replica_get_machine(leader->replica, machine->id.text);
+    for (guint i = 0; record && i < record->run_records->len; i++) {
+        const struct run_record *run_record = record->run_records->pdata[i];
+        loop_add_work(leader->loop, 1);
+        if (g_hash_table_contains(immovable_jobs, run_record->job))
+            continue;
+        struct allocation *allocation = find_relocatable(leader, machine, run_record, requester);
+        if (!allocation)
+            continue;
+        const struct job_spec *spec = run_record->job->spec;
+        struct ledger_job *service = quota_ledger_find_job(leader, run_record->job->id.text);
+        if (!could_leave_zone(leader, service, spec, machine->zone_index)) {
+            g_hash_table_add(immovable_jobs, run_record->job);
+            continue;
+        }
+        LOG_INFO("service_relocated", "job=%s task=%u machine=%s preemptor=%s", service->id.text,
+                 run_record->task_index, machine->id.text, requester->id.text);
+        shard_dispatcher_queue_stop(leader, service, run_record->task_index, allocation,
+                                    spec->checkpoint_save_s);
+        return true;
+    }
+    return false;
+}
+
+/** Stops one replica in the zone that could run in another one; returns whether it did. */
+static bool relocate_from_zone(struct leader *leader, const struct ledger_job *requester,
+                               const struct job_spec *spec, int zone_index)
+{
+    const GPtrArray *machines = leader->pass.schedulable_machines;
+    GHashTable *immovable_jobs = g_hash_table_new(NULL, NULL);
+    bool was_relocated = false;
+    for (guint i = 0; i < machines->len && !was_relocated; i++) {
+        const struct ledger_machine *machine = machines->pdata[i];
+        if (machine->zone_index == zone_index && machine->usage.services.cpus.milli &&
+            job_spec_allows_machine(spec, machine->type_name, machine->zone, machine->is_spot))
+            was_relocated = relocate_from_machine(leader, machine, requester, immovable_jobs);
+    }
+    g_hash_table_unref(immovable_jobs);
+    return was_relocated;
+}
+
+void service_relocation_free_resources(struct leader *leader, struct ledger_job *job,
+                                       const struct job *job_record)
+{
+    const struct job_spec *spec = job_record->spec;
+    mono_time now = loop_now(leader->loop);
+    int zone_count = (int)leader->settings->zones->len;
+    for (int zone_index = 0; zone_index < zone_count; zone_index++) {
+        struct relocation_backoff *backoff = &leader->relocation_backoffs[zone_index];
+        /* The search in the zone before has counted the tasks of other jobs. */
+        placement_count_zone_tasks(leader, job, spec);
+        if (!placement_is_zone_allowed(leader, job, spec, zone_index) ||
+            (time_before(now, backoff->until) &&
+             resources_fit(job->task_resources, backoff->request)))
+            continue;
+        if (relocate_from_zone(leader, job, spec, zone_index))
+            return;
+        *backoff = (struct relocation_backoff){time_add_ms(now, RELOCATION_BACKOFF_MS),
+                                               job->task_resources};
+    }
+}
