--- a/src/scheduler/job_completion.h
+++ b/src/scheduler/job_completion.h
@@ -1,13 +1,14 @@
-/* The ends of jobs: the leader stores that they are done, or cancelled. */
-#ifndef LL_LEADER_JOB_END_H
-#define LL_LEADER_JOB_END_H
+/** The end of jobs: the leader records that they are done or cancelled. */
+#ifndef LL_JOB_COMPLETION_H
+#define LL_JOB_COMPLETION_H
 
 #include "scheduler_internal.h"
 
-/* Stores the end of a job whose tasks are all done, or that was cancelled and of which nothing is
- * on record. */
+/** Starts recording the end of a job whose tasks are all completed, or that was cancelled and has
+ * no run records. Does nothing for other jobs, or while the end is being recorded; if that fails,
+ * a later call tries again. */
 void job_completion_check(struct leader *leader, struct ledger_job *job);
-/* Whether nothing of the job is left to be kept: it ended, and all know. */
-bool job_completion_is_over(struct leader *leader, struct ledger_job *job);
+/** Whether the ledger can drop the job: its end is recorded and it has no run records. */
+bool job_completion_is_over(struct leader *leader, const struct ledger_job *job);
 
 #endif
--- a/src/scheduler/leader.c
+++ b/src/scheduler/leader.c
@@ -1,9 +1,11 @@
-#include "job_queue.h"
+/** The leader's actor: events of the replica, timers and the scheduling pass. */
+#include "leader.h"
 
 #include "autoscaler.h"
 #include "dispatch_timeout.h"
 #include "feature_switch.h"
 #include "job_completion.h"
+#include "job_queue.h"
 #include "log.h"
 #include "placement.h"
 #include "quota_ledger.h"
@@ -11,10 +13,13 @@
 #include "shard_status_receiver.h"
 
 enum {
-    SETTLE_MS = 1500, /* after a new epoch: for the digests to come in */
-    TICK_MS = 200,
+    /** After a new epoch, how long to wait for the status reports of all shards. */
+    STATUS_WAIT_MS = 1500,
+    TICK_INTERVAL_MS = 200,
+    /** Delay of a requested pass, so that it serves several events. */
     PASS_DELAY_MS = 8,
-    MAX_DISPATCHES_PER_PASS = 64, /* then other events have their turn */
+    /** After so many dispatches other events have their turn. */
+    MAX_DISPATCHES_PER_PASS = 64,
 };
 
 static void on_replica_events(struct leader *leader, const GArray *events);
@@ -36,41 +41,66 @@
         leader_request_pass(leader);
 }
 
+static struct cloud_provider *new_cloud_provider(const struct leader_setup *setup,
+                                                 struct actor *listener)
+{
+    const struct fleet_setup fleet_setup = {
+        .loop = setup->loop,
+        .net = setup->http_client,
+        .store = setup->kv,
+        .view = setup->replica,
+        .members = setup->membership,
+        .duties = setup->role_manager,
+        .shard = setup->shard,
+        .settings = setup->settings,
+        .features = setup->features,
+        .listener = listener,
+    };
+    return cloud_provider_new(&fleet_setup);
+}
+
+/** Allocates the leader's arrays with one element for each zone, and its lists for a pass. */
+static void allocate_arrays(struct leader *leader)
+{
+    guint zone_count = leader->settings->zones->len;
+    leader->autoscaler.service_shortfall_tasks = g_new0(int64_t, zone_count);
+    leader->autoscaler.zone_silent_until = g_new0(mono_time, zone_count);
+    leader->pass.zone_cpus = g_new0(double, zone_count);
+    leader->pass.zone_task_counts = g_new0(uint32_t, zone_count);
+    leader->pass.schedulable_machines = g_ptr_array_new();
+    leader->pass.unschedulable_requests = g_array_new(FALSE, FALSE, sizeof(struct unschedulable));
+    leader->relocation_backoffs = g_new0(struct relocation_backoff, zone_count);
+}
+
+static void free_arrays(struct leader *leader)
+{
+    g_free(leader->autoscaler.service_shortfall_tasks);
+    g_free(leader->autoscaler.zone_silent_until);
+    g_free(leader->pass.zone_cpus);
+    g_free(leader->pass.zone_task_counts);
+    g_ptr_array_unref(leader->pass.schedulable_machines);
+    g_array_unref(leader->pass.unschedulable_requests);
+    g_free(leader->relocation_backoffs);
+}
+
 struct leader *leader_new(const struct leader_setup *setup)
 {
-    const struct settings *settings = setup->settings;
     struct leader *leader = g_new0(struct leader, 1);
     leader->actor = (struct actor){"leader", handle_message};
     leader->loop = setup->loop;
-    leader->kv = setup->store;
-    leader->replica = setup->view;
-    leader->membership = setup->members;
-    leader->node_rpc = setup->bus;
-    leader->settings = settings;
+    leader->kv = setup->kv;
+    leader->replica = setup->replica;
+    leader->membership = setup->membership;
+    leader->node_rpc = setup->node_rpc;
+    leader->settings = setup->settings;
     leader->policy = setup->policy;
     leader->features = setup->features;
-    leader->role_manager = setup->duties;
-    const struct fleet_setup fleet_setup = {.loop = setup->loop,
-                                            .net = setup->net,
-                                            .store = setup->store,
-                                            .view = setup->view,
-                                            .members = setup->members,
-                                            .duties = setup->duties,
-                                            .shard = setup->shard,
-                                            .settings = settings,
-                                            .features = setup->features,
-                                            .listener = &leader->actor};
-    leader->cloud = cloud_provider_new(&fleet_setup);
-    quota_ledger_init(leader);
+    leader->role_manager = setup->role_manager;
+    leader->cloud = new_cloud_provider(setup, &leader->actor);
     leader->run_times.by_job = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    quota_ledger_init(leader);
     shard_dispatcher_init(leader);
-    leader->autoscaler.service_shortfall_tasks = g_new0(int64_t, settings->zones->len);
-    leader->pass.zone_cpus = g_new0(double, settings->zones->len);
-    leader->autoscaler.zone_silent_until = g_new0(mono_time, settings->zones->len);
-    leader->pass.zone_task_counts = g_new0(uint32_t, settings->zones->len);
-    leader->relocation_backoffs = g_new0(struct relocation_backoff, settings->zones->len);
-    leader->pass.schedulable_machines = g_ptr_array_new();
-    leader->pass.unschedulable_requests = g_array_new(FALSE, FALSE, sizeof(struct unschedulable));
+    allocate_arrays(leader);
     timer_init(&leader->tick_timer, on_tick, leader);
     timer_init(&leader->pass_timer, run_scheduling_pass, leader);
     replica_add_listener(leader->replica, &leader->actor);
@@ -86,29 +116,23 @@
     quota_ledger_clear(leader);
     g_hash_table_unref(leader->shard_channels);
     g_hash_table_unref(leader->run_times.by_job);
-    g_free(leader->autoscaler.service_shortfall_tasks);
-    g_free(leader->pass.zone_cpus);
-    g_free(leader->autoscaler.zone_silent_until);
-    g_free(leader->pass.zone_task_counts);
-    g_free(leader->relocation_backoffs);
-    g_ptr_array_unref(leader->pass.schedulable_machines);
-    g_array_unref(leader->pass.unschedulable_requests);
+    free_arrays(leader);
     g_free(leader);
 }
 
 void leader_start(struct leader *leader)
 {
-    timer_start(leader->loop, &leader->tick_timer, TICK_MS);
+    timer_start(leader->loop, &leader->tick_timer, TICK_INTERVAL_MS);
 }
 
-/* Whether the ledger is that of the present epoch, and the digests are in or had their time. */
+/** Whether the ledger is up to date with the epoch, and all shards have reported or had time to. */
 static bool is_ready_to_dispatch(struct leader *leader)
 {
     if (!membership_is_leader(leader->membership) ||
         leader->epoch.value != leader->replica->shard_map_epoch.value ||
         !leader->replica->machine_types)
         return false;
-    if (time_ms_since(loop_now(leader->loop), leader->epoch_began_at) > SETTLE_MS)
+    if (time_ms_since(loop_now(leader->loop), leader->epoch_began_at) > STATUS_WAIT_MS)
         return true;
     GHashTableIter it;
     struct shard_channel *channel;
@@ -119,8 +143,8 @@
     return true;
 }
 
-/* Deals, scales the fleet and sends what that came to. What the budget leaves is for the next pass.
- */
+/** Dispatches tasks by rank, runs the autoscaler, and sends the resulting messages. What exceeds
+ * the budget is left for another pass. */
 static void run_scheduling_pass(void *arg)
 {
     struct leader *leader = arg;
@@ -140,7 +164,7 @@
         leader_request_pass(leader);
 }
 
-/* Somebody else may lead now: nothing that is on its way to shards counts any more. */
+/** Another node may be the leader now: answers that are still to come are ignored. */
 static void stop_leading(struct leader *leader)
 {
     if (!leader->is_leading)
@@ -150,7 +174,7 @@
     leader->generation++;
 }
 
-/* Machines are known anew from the view and the digests. */
+/** Forgets the machines, which are learned again from the replica and the status reports. */
 static void start_leading(struct leader *leader)
 {
     leader->is_leading = true;
@@ -159,7 +183,8 @@
     leader->autoscaler.peak_cpus = 0;
 }
 
-/* Takes a change of the view over into the ledger. */
+/** Updates the ledger after a change of the replica. was_rebuilt: the ledger has just been rebuilt
+ * from the replica. */
 static void apply_event(struct leader *leader, const struct replica_event *event, bool was_rebuilt)
 {
     struct job *job_record;
@@ -178,7 +203,8 @@
                                           job_record);
         break;
     case REPLICA_EVENT_RELOADED:
-        /* A task may have been placed and freed again unseen, and its deal would stay open. */
+        /* A run record may have been written and removed unseen, and its dispatch would remain
+         * pending; a new epoch drops it. */
         if (!was_rebuilt)
             membership_raise_epoch(leader->membership, "changes were lost");
         break;
@@ -187,21 +213,21 @@
     }
 }
 
-/* What follows for a job of which something has changed: it may have ended. */
+/** After a change of a job or its tasks: drops the dispatches of a job that is no longer active,
+ * and ends the job if that is due. */
 static void update_job_state(struct leader *leader, struct ledger_job *job)
 {
-    struct job *job_record = replica_get_job(leader->replica, job->id.text);
-    /* What was dealt of a job that is over is settled by the shards, which see the same. */
+    const struct job *job_record = replica_get_job(leader->replica, job->id.text);
+    /* The shards see the same change and drop the dispatches, too. */
     if (job_record && job_record->state != JOB_ACTIVE)
-        for (uint32_t k = 0; g_hash_table_size(job->dispatches) && k < job_record->task_count; k++)
-            quota_ledger_drop_dispatch(leader, job, k);
+        for (uint32_t i = 0; g_hash_table_size(job->dispatches) && i < job_record->task_count; i++)
+            quota_ledger_drop_dispatch(leader, job, i);
     job_completion_check(leader, job);
-    job_id id = job->id;
     if (job_completion_is_over(leader, job))
-        quota_ledger_remove_job(leader, id);
+        quota_ledger_remove_job(leader, job->id);
 }
 
-/* Whether the change is one of a job or of its tasks. */
+/** Whether the event is about a job or one of its tasks. */
 static bool is_job_event(const struct replica_event *event)
 {
     return event->kind == REPLICA_EVENT_JOB || event->kind == REPLICA_EVENT_RUN_RECORDED ||
@@ -210,8 +236,9 @@
 
 static void on_replica_events(struct leader *leader, const GArray *events)
 {
-    /* An outage may keep the lead from acting for a while. As long as nobody else takes it, which
-     * would raise the epoch, the ledger is kept up: what was dealt is still with the shards. */
+    /* During an outage the leader may be unable to act for a while. As long as no other node
+     * becomes the leader, which would raise the epoch, the ledger stays valid and is kept up to
+     * date: what was dispatched is still with the shards. */
     if (!membership_is_recorded_leader(leader->membership)) {
         stop_leading(leader);
         return;
@@ -233,11 +260,11 @@
     leader_request_pass(leader);
 }
 
-/* Ends that could not be stored before, the sweep, and a pass. */
+/** Retries what could not be done before, checks for timeouts, and runs a pass. */
 static void on_tick(void *arg)
 {
     struct leader *leader = arg;
-    timer_start(leader->loop, &leader->tick_timer, TICK_MS);
+    timer_start(leader->loop, &leader->tick_timer, TICK_INTERVAL_MS);
     if (!leader->is_leading || !membership_is_leader(leader->membership) ||
         kv_client_is_unavailable(leader->kv)) {
         leader->last_outage_at = loop_now(leader->loop);
--- a/src/scheduler/shard_dispatcher.c
+++ b/src/scheduler/shard_dispatcher.c
@@ -1,16 +1,19 @@
+/** The leader's message channels to the shards. */
 #include "shard_dispatcher.h"
 
 #include "quota_ledger.h"
 
 enum {
     MESSAGE_TIMEOUT_MS = 1500,
-    UNREACHABLE_TIMEOUT_MS = 4000, /* then its node is excluded from the map */
+    /** A node that has not answered for this long is excluded from the shard map. */
+    UNREACHABLE_TIMEOUT_MS = 4000,
     NODE_EXCLUSION_MS = 20000,
+    RPC_OK = 200,
 };
 
-static void shard_channel_free(gpointer q)
+static void shard_channel_free(gpointer data)
 {
-    struct shard_channel *channel = q;
+    struct shard_channel *channel = data;
     cJSON_Delete(channel->dispatches);
     cJSON_Delete(channel->stops);
     cJSON_Delete(channel->departed);
@@ -52,25 +55,28 @@
     cJSON_AddItemToArray(*list, item);
 }
 
-void shard_dispatcher_queue_dispatch(struct leader *leader, struct ledger_job *job, uint32_t index,
-                                     bool is_bound)
+void shard_dispatcher_queue_dispatch(struct leader *leader, const struct ledger_job *job,
+                                     uint32_t index, bool is_bound)
 {
-    struct pending_dispatch *dispatch = quota_ledger_find_dispatch(job, index);
-    struct job *job_record = replica_get_job(leader->replica, job->id.text);
+    const struct pending_dispatch *dispatch = quota_ledger_find_dispatch(job, index);
+    const struct job_spec *spec = replica_get_job(leader->replica, job->id.text)->spec;
     cJSON *item = node_rpc_encode_task(job->id, index, dispatch->attempt);
     node_rpc_put_u64(item, "n", dispatch->number);
-    if (job_record->spec->needs_single_zone || job_record->spec->needs_separate_zones)
+    /* Zone rules are the leader's to decide, so that the shard must keep to the zone. */
+    if (spec->needs_single_zone || spec->needs_separate_zones)
         cJSON_AddStringToObject(item, "y", dispatch->zone);
     if (is_bound)
         cJSON_AddStringToObject(item, "h", dispatch->machine->id.text);
-    shard_dispatcher_append(
-        &shard_dispatcher_channel(leader, dispatch->machine->owner_label)->dispatches, item);
+    struct shard_channel *channel =
+        shard_dispatcher_channel(leader, dispatch->machine->owner_label);
+    shard_dispatcher_append(&channel->dispatches, item);
 }
 
-void shard_dispatcher_queue_stop(struct leader *leader, struct ledger_job *job, uint32_t index,
-                                 struct allocation *allocation, double grace_s)
+void shard_dispatcher_queue_stop(struct leader *leader, const struct ledger_job *job,
+                                 uint32_t index, struct allocation *allocation, double grace_s)
 {
-    struct ledger_machine *machine = quota_ledger_find_machine(leader, allocation->machine.text);
+    const struct ledger_machine *machine =
+        quota_ledger_find_machine(leader, allocation->machine.text);
     if (!machine || !machine->owner_label)
         return;
     if (!allocation->is_stopping)
@@ -82,22 +88,40 @@
     shard_dispatcher_append(&shard_dispatcher_channel(leader, machine->owner_label)->stops, item);
 }
 
-/* A message that is on its way to a shard; void once the generation has changed. */
-struct shard_request {
-    struct leader *leader;
-    uint64_t generation;
-    char *label;
-};
+/** The channel to the owner of a machine, if it can take the machine's name now. It cannot while a
+ * message is outstanding, as that message or its answer may contain the name. */
+static struct shard_channel *find_idle_owner_channel(struct leader *leader, const char *machine)
+{
+    const char *owner = shard_map_get_owner(leader->replica, machine);
+    struct shard_channel *channel = owner ? shard_dispatcher_channel(leader, owner) : NULL;
+    return channel && !channel->unacknowledged ? channel : NULL;
+}
 
-static void send_message(struct leader *leader, struct shard_channel *channel);
+void shard_dispatcher_queue_returns(struct leader *leader)
+{
+    GPtrArray *to_cordon = cloud_provider_list_to_cordon(leader->cloud);
+    GPtrArray *to_announce = cloud_provider_list_to_announce(leader->cloud);
+    for (guint i = 0; i < to_cordon->len; i++) {
+        struct shard_channel *channel = find_idle_owner_channel(leader, to_cordon->pdata[i]);
+        if (channel)
+            shard_dispatcher_append(&channel->cordons, cJSON_CreateString(to_cordon->pdata[i]));
+    }
+    for (guint i = 0; i < to_announce->len; i++) {
+        struct shard_channel *channel = find_idle_owner_channel(leader, to_announce->pdata[i]);
+        if (channel)
+            shard_dispatcher_append(&channel->departed, cJSON_CreateString(to_announce->pdata[i]));
+    }
+    g_ptr_array_unref(to_cordon);
+    g_ptr_array_unref(to_announce);
+}
 
-/* Whether there is anything to tell the shard. */
+/** Whether there is anything to put into a new message. */
 static bool has_queued_items(const struct shard_channel *channel)
 {
     return channel->dispatches || channel->stops || channel->departed || channel->cordons;
 }
 
-/* The shard names the machines on which it places nothing more. */
+/** The shard has cordoned the machines that its answer names, so their return can go on. */
 static void apply_cordoned(struct leader *leader, const cJSON *answer)
 {
     const cJSON *name;
@@ -108,7 +132,7 @@
     }
 }
 
-/* The shard has heard of the machines that are gone. */
+/** The shard has learned from the last message which machines no longer exist. */
 static void apply_departed(struct leader *leader, const struct shard_channel *channel)
 {
     const cJSON *name;
@@ -116,22 +140,63 @@
         cloud_provider_note_announced(leader->cloud, name->valuestring);
 }
 
-void shard_dispatcher_queue_returns(struct leader *leader)
+/** Moves a list, if it is not empty, into a message. */
+static void add_list(cJSON *message, const char *name, cJSON **list)
 {
-    GPtrArray *to_cordon = cloud_provider_list_to_cordon(leader->cloud);
-    GPtrArray *to_announce = cloud_provider_list_to_announce(leader->cloud);
-    for (guint i = 0; i < to_cordon->len + to_announce->len; i++) {
-        const char *name =
-            i < to_cordon->len ? to_cordon->pdata[i] : to_announce->pdata[i - to_cordon->len];
-        const char *owner = shard_map_get_owner(leader->replica, name);
-        struct shard_channel *channel = owner ? shard_dispatcher_channel(leader, owner) : NULL;
-        /* While a message is on its way, it or its answer may name them. */
-        if (channel && !channel->unacknowledged)
-            shard_dispatcher_append(i < to_cordon->len ? &channel->cordons : &channel->departed,
-                                    cJSON_CreateString(name));
+    if (*list)
+        cJSON_AddItemToObject(message, name, g_steal_pointer(list));
+}
+
+/** A message made of everything that is queued. */
+static cJSON *build_message(const struct leader *leader, struct shard_channel *channel)
+{
+    cJSON *message = cJSON_CreateObject();
+    node_rpc_put_u64(message, "e", leader->epoch.value);
+    node_rpc_put_u64(message, "s", ++channel->message_sequence);
+    add_list(message, "deal", &channel->dispatches);
+    add_list(message, "halt", &channel->stops);
+    add_list(message, "gone", &channel->departed);
+    add_list(message, "close", &channel->cordons);
+    return message;
+}
+
+/** A message that was sent to a shard. Its answer is ignored when the generation has changed. */
+struct shard_request {
+    struct leader *leader;
+    uint64_t generation;
+    char *label;
+};
+
+static void send_message(struct leader *leader, struct shard_channel *channel);
+
+/** The message was acknowledged: the next one can be sent. */
+static void on_acknowledged(struct leader *leader, struct shard_channel *channel,
+                            const cJSON *answer)
+{
+    apply_departed(leader, channel);
+    cJSON_Delete(channel->unacknowledged);
+    channel->unacknowledged = NULL;
+    channel->unanswered_since = (mono_time){0};
+    apply_cordoned(leader, answer);
+    if (has_queued_items(channel))
+        send_message(leader, channel);
+}
+
+/** The message failed; it is sent again with the next flush. A node that has failed for long is
+ * excluded from the shard map, so that its machines get other owners. */
+static void on_failed(struct leader *leader, struct shard_channel *channel)
+{
+    mono_time now = loop_now(leader->loop);
+    if (!channel->unanswered_since.us) {
+        channel->unanswered_since = now;
+        return;
     }
-    g_ptr_array_unref(to_cordon);
-    g_ptr_array_unref(to_announce);
+    bool is_own_node = strcmp(channel->label, leader->settings->label) == 0;
+    if (time_ms_since(now, channel->unanswered_since) <= UNREACHABLE_TIMEOUT_MS || is_own_node ||
+        !membership_is_leader(leader->membership))
+        return;
+    channel->unanswered_since = now;
+    membership_exclude_node(leader->membership, channel->label, NODE_EXCLUSION_MS);
 }
 
 static void on_shard_answer(void *arg, int status, const cJSON *answer)
@@ -140,47 +205,22 @@
     struct leader *leader = request->leader;
     struct shard_channel *channel = g_hash_table_lookup(leader->shard_channels, request->label);
     if (request->generation == leader->generation && channel) {
-        mono_time now = loop_now(leader->loop);
         channel->is_request_in_flight = false;
-        if (status == 200) {
-            apply_departed(leader, channel);
-            cJSON_Delete(channel->unacknowledged);
-            channel->unacknowledged = NULL;
-            channel->unanswered_since = (mono_time){0};
-            apply_cordoned(leader, answer);
-            if (has_queued_items(channel))
-                send_message(leader, channel);
-        } else if (!channel->unanswered_since.us) {
-            channel->unanswered_since = now;
-        } else if (time_ms_since(now, channel->unanswered_since) > UNREACHABLE_TIMEOUT_MS &&
-                   membership_is_leader(leader->membership) &&
-                   strcmp(channel->label, leader->settings->label) != 0) {
-            channel->unanswered_since = now;
-            membership_exclude_node(leader->membership, channel->label, NODE_EXCLUSION_MS);
-        }
+        if (status == RPC_OK)
+            on_acknowledged(leader, channel, answer);
+        else
+            on_failed(leader, channel);
     }
     g_free(request->label);
     g_free(request);
 }
 
-/* One message at a time, and the same one until it is acknowledged: see handle_dispatch_message in
- * shard.c. */
+/** Sends the outstanding message again, or a new one. The shard applies a message only once, by its
+ * sequence number; see handle_dispatch_message in shard.c. */
 static void send_message(struct leader *leader, struct shard_channel *channel)
 {
-    if (!channel->unacknowledged) {
-        cJSON *message = cJSON_CreateObject();
-        node_rpc_put_u64(message, "e", leader->epoch.value);
-        node_rpc_put_u64(message, "s", ++channel->message_sequence);
-        if (channel->dispatches)
-            cJSON_AddItemToObject(message, "deal", g_steal_pointer(&channel->dispatches));
-        if (channel->stops)
-            cJSON_AddItemToObject(message, "halt", g_steal_pointer(&channel->stops));
-        if (channel->departed)
-            cJSON_AddItemToObject(message, "gone", g_steal_pointer(&channel->departed));
-        if (channel->cordons)
-            cJSON_AddItemToObject(message, "close", g_steal_pointer(&channel->cordons));
-        channel->unacknowledged = message;
-    }
+    if (!channel->unacknowledged)
+        channel->unacknowledged = build_message(leader, channel);
     struct shard_request *request = g_new(struct shard_request, 1);
     *request = (struct shard_request){leader, leader->generation, g_strdup(channel->label)};
     channel->is_request_in_flight = true;
--- a/src/scheduler/shard_dispatcher.h
+++ b/src/scheduler/shard_dispatcher.h
@@ -1,7 +1,10 @@
-/* What the leader tells the shards, which own the machines: tasks dealt, tasks to be stopped, and
- * machines that are gone; one message at a time to each. */
-#ifndef LL_LEADER_SHARDS_H
-#define LL_LEADER_SHARDS_H
+/**
+ * Messages from the leader to the shards, which own the machines: tasks dispatched, tasks to stop,
+ * machines to cordon and machines that no longer exist. There is one channel to each node; a
+ * channel sends one message at a time and repeats it until it is acknowledged.
+ */
+#ifndef LL_SHARD_DISPATCHER_H
+#define LL_SHARD_DISPATCHER_H
 
 #include "scheduler_internal.h"
 
@@ -29,24 +32,28 @@
     uint64_t status_sequence;
 };
 
-/* Makes the table of shards, empty. */
+/** Creates the table of channels. */
 void shard_dispatcher_init(struct leader *leader);
 /** Discards all channels and creates one for each node of the shard map. */
 void shard_dispatcher_reset(struct leader *leader);
-/* Queues the deal that was booked for the machine's owner; bound: to that machine and no other. */
-void shard_dispatcher_queue_dispatch(struct leader *leader, struct ledger_job *job, uint32_t index,
-                                     bool is_bound);
-/* Queues an order to stop a task that is on record, and counts it as halting. */
-void shard_dispatcher_queue_stop(struct leader *leader, struct ledger_job *job, uint32_t index,
-                                 struct allocation *allocation, double grace_s);
-/* Sends what is queued to every shard that has answered its last message. */
-void shard_dispatcher_flush(struct leader *leader);
-/* Has the owners of machines that are to be returned place nothing more on them, and tells them of
- * those that are gone. */
-void shard_dispatcher_queue_returns(struct leader *leader);
 /** The channel of the node, created on first use. */
 struct shard_channel *shard_dispatcher_channel(struct leader *leader, const char *label);
-/** Appends an item to one of a channel's lists, creating the list if it is empty. */
+/** Appends an item to one of a channel's lists, creating the list if it is empty. Takes the item.
+ */
 void shard_dispatcher_append(cJSON **list, cJSON *item);
 
+/** Queues a dispatched task for the shard that owns its machine. With is_bound the shard must place
+ * it on that machine or reject it; otherwise it may choose another of its machines. */
+void shard_dispatcher_queue_dispatch(struct leader *leader, const struct ledger_job *job,
+                                     uint32_t index, bool is_bound);
+/** Queues the stop of an allocated task and accounts for it. grace_s: how long the task may take to
+ * save its state. Does nothing while the owner of the machine is unknown. */
+void shard_dispatcher_queue_stop(struct leader *leader, const struct ledger_job *job,
+                                 uint32_t index, struct allocation *allocation, double grace_s);
+/** Queues the machines that are to be cordoned before their return, and those that were returned,
+ * for the shards that own them. */
+void shard_dispatcher_queue_returns(struct leader *leader);
+/** Sends what is queued to all shards that have answered their last message. */
+void shard_dispatcher_flush(struct leader *leader);
+
 #endif
--- a/src/scheduler/shard_status_receiver.c
+++ b/src/scheduler/shard_status_receiver.c
@@ -1,3 +1,4 @@
+/** Applying the shards' status reports to the ledger. */
 #include "shard_status_receiver.h"
 
 #include "autoscaler.h"
@@ -7,15 +8,24 @@
 #include "shard_dispatcher.h"
 
 enum {
-    REJECTED_DISPATCH_AVOID_MS = 1500, /* a machine to which a task could not be given */
-    MIN_EPOCH_AGE_MS = 5000,           /* the epoch is raised no sooner after it began */
+    /** For how long nothing is dispatched to a machine whose shard rejected a task. */
+    REJECTED_DISPATCH_AVOID_MS = 1500,
+    /** A shard's wish for a new epoch is ignored in an epoch younger than this. */
+    MIN_EPOCH_AGE_MS = 5000,
 };
 
-/* How a task ended on a machine: the time it took, or the cause of its failure. */
+/** Answers, as HTTP statuses. */
+enum {
+    STATUS_APPLIED = 200,
+    STATUS_MALFORMED = 400,
+    STATUS_NEEDS_FULL_REPORT = 409,
+};
+
+/** Learns from the end of a task: from its run time, or from the cause of its failure. */
 static void apply_task_outcome(struct leader *leader, const cJSON *outcome)
 {
-    const char *machine_name = node_rpc_get_text(outcome, "h"),
-               *job_name = node_rpc_get_text(outcome, "j");
+    const char *machine_name = node_rpc_get_text(outcome, "h");
+    const char *job_name = node_rpc_get_text(outcome, "j");
     const cJSON *cause = cJSON_GetObjectItemCaseSensitive(outcome, "c");
     const cJSON *run_time = cJSON_GetObjectItemCaseSensitive(outcome, "took");
     struct ledger_job *job = job_name ? quota_ledger_find_job(leader, job_name) : NULL;
@@ -27,26 +37,29 @@
         machine_health_record_failure(leader, job, machine, (enum exit_cause)cause->valuedouble);
 }
 
-/* What a digest says of a machine: an array with these fields. */
+/** Positions in the array that describes a machine. */
 enum machine_field {
     MACHINE_FIELD_ID,
     MACHINE_FIELD_TYPE,
     MACHINE_FIELD_ZONE,
     MACHINE_FIELD_SPOT,
     MACHINE_FIELD_FLAGS,
-    MACHINE_FIELD_IMAGES, /* only if they have changed */
+    /** Only when the images have changed. */
+    MACHINE_FIELD_IMAGES,
 };
 
-/* The same, read. */
+/** A machine in a status report. Borrows from the message. */
 struct reported_machine {
     machine_id id;
-    const char *type_name, *zone;
+    const char *type_name;
+    const char *zone;
     bool is_spot;
     int flags;
-    const cJSON *images; /* NULL: as before */
+    /** NULL when the images are unchanged. */
+    const cJSON *images;
 };
 
-/* False if it is malformed. */
+/** Reads a machine; false when it is malformed. */
 static bool parse_machine(const cJSON *item, struct reported_machine *report)
 {
     const cJSON *id = cJSON_GetArrayItem(item, MACHINE_FIELD_ID);
@@ -77,7 +90,7 @@
     }
 }
 
-/* What a machine is, and what it has fetched if that has changed. */
+/** Updates a machine's description, flags and owner, and its images if they have changed. */
 static void apply_machine(struct leader *leader, const char *from, const cJSON *item)
 {
     struct reported_machine report;
@@ -93,7 +106,7 @@
         update_image_cache(machine, report.images);
 }
 
-/* A deal that its shard could not place. */
+/** Takes back a dispatch that the shard could not place. */
 static void apply_rejected_dispatch(struct leader *leader, const cJSON *item)
 {
     job_id id;
@@ -105,8 +118,8 @@
     if (!job)
         return;
     struct pending_dispatch *dispatch = quota_ledger_find_dispatch(job, index);
-    /* A gang's task may be dealt again under the same attempt: an answer that is said again must
-     * not take back the later deal. */
+    /* Tasks of a gang may be dispatched again under the same attempt, and a repeated report must
+     * not take back the later dispatch. */
     uint64_t number = 0;
     if (!dispatch || dispatch->attempt.value != attempt.value ||
         (node_rpc_get_u64(item, "n", &number) && number != dispatch->number))
@@ -121,10 +134,11 @@
     return machine->owner_label && strcmp(machine->owner_label, owner) == 0;
 }
 
-/* What a shard is told of its machines: those that are to get nothing more. */
+/** The answer to a shard: its machines on which nothing more may be placed. */
 static cJSON *build_answer(struct leader *leader, const char *owner)
 {
-    cJSON *object = cJSON_CreateObject(), *list = cJSON_AddArrayToObject(object, "shut");
+    cJSON *answer = cJSON_CreateObject();
+    cJSON *unhealthy = cJSON_AddArrayToObject(answer, "shut");
     mono_time now = loop_now(leader->loop);
     GHashTableIter it;
     struct ledger_machine *machine;
@@ -132,11 +146,11 @@
     while (g_hash_table_iter_next(&it, NULL, (gpointer *)&machine))
         if (is_owned_by(machine, owner) && (machine_health_is_slow(leader, machine) ||
                                             time_before(now, machine->health.quarantined_until)))
-            cJSON_AddItemToArray(list, cJSON_CreateString(machine->id.text));
-    return object;
+            cJSON_AddItemToArray(unhealthy, cJSON_CreateString(machine->id.text));
+    return answer;
 }
 
-/* A whole digest begins: none of the shard's machines has been told of yet. */
+/** Marks all machines of the shard as not reported, before a full report is applied. */
 static void clear_reported(struct leader *leader, const char *owner)
 {
     GHashTableIter it;
@@ -147,7 +161,7 @@
             machine->is_reported = false;
 }
 
-/* Machines that nobody tells of any more, and that hold nothing, are forgotten. */
+/** Drops machines that the full report omitted, unless they are in use or have a record. */
 static void forget_unreported(struct leader *leader, const char *owner)
 {
     GHashTableIter it;
@@ -160,7 +174,7 @@
             g_hash_table_iter_remove(&it);
 }
 
-/* Takes over what a digest lists. whole: it lists all machines of the shard, not only changes. */
+/** Applies the lists of a report. is_full: it lists all machines of the shard, not only changes. */
 static void apply_status(struct leader *leader, const char *from, const cJSON *status, bool is_full)
 {
     const cJSON *machines = cJSON_GetObjectItemCaseSensitive(status, "hosts");
@@ -176,32 +190,40 @@
         forget_unreported(leader, from);
 }
 
-/* Whether the digest is for this leader in its present epoch. */
+/** Whether a report of this epoch is for this leader and its present ledger. */
 static bool is_current_epoch(const struct leader *leader, uint64_t epoch)
 {
     return membership_is_leader(leader->membership) && leader->is_leading &&
            epoch == leader->epoch.value && epoch == leader->replica->shard_map_epoch.value;
 }
 
+/** Raises the epoch if the shard asks for it, as an agent may still receive an old command. */
+static void raise_epoch_if_requested(struct leader *leader, const cJSON *status)
+{
+    bool is_requested = cJSON_IsTrue(cJSON_GetObjectItemCaseSensitive(status, "raise"));
+    if (is_requested &&
+        time_ms_since(loop_now(leader->loop), leader->epoch_began_at) > MIN_EPOCH_AGE_MS)
+        membership_raise_epoch(leader->membership, "a command may still be on its way");
+}
+
 int shard_status_receiver_handle(void *ctx, const char *from, const cJSON *status, cJSON **answer)
 {
     struct leader *leader = ctx;
-    uint64_t epoch, sequence;
+    uint64_t epoch;
+    uint64_t sequence;
     if (!node_rpc_get_u64(status, "e", &epoch) || !node_rpc_get_u64(status, "s", &sequence))
-        return 400;
+        return STATUS_MALFORMED;
     if (!is_current_epoch(leader, epoch))
-        return 409;
+        return STATUS_NEEDS_FULL_REPORT;
     struct shard_channel *channel = shard_dispatcher_channel(leader, from);
     bool is_full = cJSON_IsTrue(cJSON_GetObjectItemCaseSensitive(status, "whole"));
     if (sequence <= channel->status_sequence || (!is_full && !channel->has_full_status))
-        return 409; /* after which the next one is whole */
+        return STATUS_NEEDS_FULL_REPORT;
     channel->status_sequence = sequence;
     apply_status(leader, from, status, is_full);
-    if (cJSON_IsTrue(cJSON_GetObjectItemCaseSensitive(status, "raise")) &&
-        time_ms_since(loop_now(leader->loop), leader->epoch_began_at) > MIN_EPOCH_AGE_MS)
-        membership_raise_epoch(leader->membership, "a command may still be on its way");
+    raise_epoch_if_requested(leader, status);
     *answer = build_answer(leader, from);
     channel->has_full_status = channel->has_full_status || is_full;
     leader_request_pass(leader);
-    return 200;
+    return STATUS_APPLIED;
 }
