--- a/src/scheduler/autoscaler.c
+++ b/src/scheduler/autoscaler.c
@@ -1,63 +1,112 @@
-/* When the leader rents and returns machines. */
+/**
+ * One run of the autoscaler: measures the load, decides what to rent and to return, and passes the
+ * decisions on to the cloud provider.
+ */
 #include "autoscaler.h"
 
+#include "autoscaler_orders.h"
 #include "autoscaler_scale_in.h"
 #include "autoscaler_scale_out.h"
+#include "autoscaler_services.h"
 #include "log.h"
 #include "machine_health.h"
-#include "quota_ledger.h"
 #include "scheduling_policy.h"
 #include "shard.h"
 
 enum { SCALE_INTERVAL_MS = 500 };
 
-/* One line that tells what the fleet holds and what it is used for, in processors. */
+/** Time constant with which the peak of the CPUs in use decays. */
+static const double PEAK_DECAY_S = 60;
+
+/** CPUs of machines of one kind: spot or on-demand. */
+struct capacity_summary {
+    double total;
+    double used;
+    double idle;
+    double pending;
+};
+
+static void add_machine_to_summary(struct capacity_summary *summary,
+                                   const struct ledger_machine *machine)
+{
+    double cpus = resources_cpus(machine->capacity);
+    summary->total += cpus;
+    summary->used += resources_cpus(machine->usage.allocated);
+    summary->used += resources_cpus(machine->usage.dispatched);
+    summary->idle += autoscaler_is_machine_idle(machine) ? cpus : 0;
+}
+
 static void log_capacity(struct leader *leader)
 {
-    double total[2] = {0}, used[2] = {0}, idle[2] = {0}, pending_cpus[2] = {0};
+    struct capacity_summary on_demand = {0};
+    struct capacity_summary spot = {0};
     GHashTableIter it;
     struct ledger_machine *machine;
     g_hash_table_iter_init(&it, leader->ledger.machines);
-    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&machine)) {
-        if (!machine->is_reported || !(machine->flags & MACHINE_KNOWN))
-            continue;
-        total[machine->is_spot] += (double)machine->capacity.cpus.milli / 1000;
-        used[machine->is_spot] +=
-            (double)(machine->usage.allocated.cpus.milli + machine->usage.dispatched.cpus.milli) /
-            1000;
-        idle[machine->is_spot] +=
-            autoscaler_is_machine_idle(machine) ? (double)machine->capacity.cpus.milli / 1000 : 0;
-    }
-    GArray *pending = g_array_new(FALSE, FALSE, sizeof(struct pending_capacity));
-    autoscaler_list_pending_capacity(leader, pending);
+    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&machine))
+        if (machine->is_reported && (machine->flags & MACHINE_KNOWN))
+            add_machine_to_summary(machine->is_spot ? &spot : &on_demand, machine);
+    GArray *pending = pending_capacity_list(leader);
     for (guint i = 0; i < pending->len; i++) {
-        struct pending_capacity *capacity = &g_array_index(pending, struct pending_capacity, i);
-        pending_cpus[capacity->is_spot] += (double)capacity->available.cpus.milli / 1000;
+        const struct pending_capacity *capacity =
+            &g_array_index(pending, struct pending_capacity, i);
+        (capacity->is_spot ? &spot : &on_demand)->pending += resources_cpus(capacity->available);
     }
     g_array_unref(pending);
-    LOG_DEBUG("fleet",
-              "ordinary=%.0f used=%.0f idle=%.0f coming=%.0f spot=%.0f used=%.0f idle=%.0f "
-              "coming=%.0f peak=%.0f",
-              total[0], used[0], idle[0], pending_cpus[0], total[1], used[1], idle[1],
-              pending_cpus[1], leader->autoscaler.peak_cpus);
+    LOG_DEBUG("capacity",
+              "on_demand_cpus=%.0f on_demand_used=%.0f on_demand_idle=%.0f "
+              "on_demand_pending=%.0f spot_cpus=%.0f spot_used=%.0f spot_idle=%.0f "
+              "spot_pending=%.0f peak_cpus=%.0f",
+              on_demand.total, on_demand.used, on_demand.idle, on_demand.pending, spot.total,
+              spot.used, spot.idle, spot.pending, leader->autoscaler.peak_cpus);
+}
+
+/** Raises the peak to what is in use, or lets it decay towards that. */
+static void update_peak(struct leader *leader, double elapsed_s)
+{
+    double used_cpus = scheduling_policy_used_cpus(leader);
+    double peak_cpus = leader->autoscaler.peak_cpus;
+    leader->autoscaler.peak_cpus =
+        MAX(used_cpus, peak_cpus + (used_cpus - peak_cpus) * MIN(elapsed_s / PEAK_DECAY_S, 1));
+}
+
+static void scale_out(struct leader *leader)
+{
+    autoscaler_measure_services(leader);
+    if (!scheduling_policy_machine_types(leader) || !cloud_provider_is_listed(leader->cloud))
+        return;
+    /* The plan is made anew each time: calls of the cloud are few, and orders that are out of date
+     * would hold up those that are needed now. */
+    cloud_provider_drop_unsent(leader->cloud);
+    struct scale_out_plan *plan = autoscaler_plan_scale_out(leader);
+    autoscaler_order_scale_out(leader->cloud, plan);
+    scale_out_plan_free(plan);
+}
+
+static void scale_in(struct leader *leader)
+{
+    GArray *unusable = autoscaler_find_unusable(leader);
+    autoscaler_order_scale_in(leader->cloud, unusable);
+    g_array_unref(unusable);
+    /* After that order, as it takes the capacity of unusable machines off what is spare. */
+    GArray *idle = autoscaler_find_idle(leader);
+    autoscaler_order_scale_in(leader->cloud, idle);
+    g_array_unref(idle);
+    autoscaler_announce_departed(leader);
 }
 
 void autoscaler_run(struct leader *leader)
 {
     mono_time now = loop_now(leader->loop);
-    if (time_ms_since(now, leader->autoscaler.last_run_at) < SCALE_INTERVAL_MS)
+    mono_time last_run_at = leader->autoscaler.last_run_at;
+    int64_t elapsed_ms = time_ms_since(now, last_run_at);
+    if (elapsed_ms < SCALE_INTERVAL_MS)
         return;
-    double elapsed_s = leader->autoscaler.last_run_at.us
-                           ? (double)time_ms_since(now, leader->autoscaler.last_run_at) / 1000
-                           : 1;
     leader->autoscaler.last_run_at = now;
-    double used_cpus = scheduling_policy_used_cpus(leader);
-    leader->autoscaler.peak_cpus =
-        MAX(used_cpus, leader->autoscaler.peak_cpus +
-                           (used_cpus - leader->autoscaler.peak_cpus) * MIN(elapsed_s / 60, 1));
+    update_peak(leader, last_run_at.us ? (double)elapsed_ms / 1000 : 1);
     if (log_debug_enabled())
         log_capacity(leader);
     machine_health_update_median_slowdown(leader);
-    autoscaler_scale_out(leader);
-    autoscaler_scale_in(leader);
+    scale_out(leader);
+    scale_in(leader);
 }
--- a/src/scheduler/autoscaler_scale_in.c
+++ b/src/scheduler/autoscaler_scale_in.c
@@ -1,122 +1,166 @@
+/** The decision which machines to return, and why. */
 #include "autoscaler_scale_in.h"
 
 #include "autoscaler.h"
-#include "autoscaler_scale_out.h"
+#include "autoscaler_services.h"
 #include "machine_health.h"
 #include "placement.h"
 #include "quota_ledger.h"
 #include "scheduling_policy.h"
 #include "shard.h"
-#include "shard_dispatcher.h"
+
+enum {
+    /** A rented machine is given up after this many times its type's boot time, ... */
+    BOOT_TIMEOUT_FACTOR = 3,
+    /** ... and this much longer. */
+    BOOT_TIMEOUT_MARGIN_MS = 10000,
+    /** Boot time of a machine whose type is not known any more. */
+    UNKNOWN_TYPE_BOOT_MS = 60000,
+    /** After this many heartbeat intervals, all machines that are up have reported to their owner
+     * in a new epoch. */
+    REPORTING_HEARTBEATS = 3,
+};
+
+const char *scale_in_reason_name(enum scale_in_reason reason)
+{
+    static const char *const reason_names[] = {
+        [SCALE_IN_REASON_IDLE] = "idle",
+        [SCALE_IN_REASON_UNREACHABLE] = "unreachable",
+        [SCALE_IN_REASON_QUARANTINED] = "quarantined",
+        [SCALE_IN_REASON_RECLAIMED] = "reclaimed",
+        [SCALE_IN_REASON_SLOW] = "slow",
+        [SCALE_IN_REASON_FAILED] = "failed",
+        [SCALE_IN_REASON_BOOT_TIMEOUT] = "boot_timeout",
+    };
+    return reason_names[reason];
+}
+
+static void add_decision(GArray *decisions, machine_id machine, enum scale_in_reason reason)
+{
+    struct scale_in_decision decision = {machine, reason};
+    g_array_append_val(decisions, decision);
+}
 
 bool autoscaler_is_machine_idle(const struct ledger_machine *machine)
 {
-    return !machine->usage.allocated.cpus.milli && !machine->usage.allocated.memory.milli &&
-           !machine->usage.dispatched.cpus.milli && !machine->usage.dispatched.memory.milli &&
-           !machine->usage.reserved.cpus.milli && !machine->usage.reserved.memory.milli &&
-           !machine->usage.is_wanted_by_gang;
+    const struct machine_usage *usage = &machine->usage;
+    return !usage->allocated.cpus.milli && !usage->allocated.memory.milli &&
+           !usage->dispatched.cpus.milli && !usage->dispatched.memory.milli &&
+           !usage->reserved.cpus.milli && !usage->reserved.memory.milli &&
+           !usage->is_wanted_by_gang;
 }
 
-/* Whether the next services would miss the machine. */
-static bool is_kept_for_services(struct leader *leader, struct ledger_machine *machine)
+/**
+ * Whether an unreachable machine is to be returned. Spot machines are mostly gone by then, and a
+ * return proves it at once. Others are mostly only cut off: their tasks go on running until the
+ * machine's lease has expired.
+ */
+static bool is_lost(const struct ledger_machine *machine)
 {
-    if (machine->is_spot || !leader->autoscaler.has_services || machine->zone_index < 0)
-        return false;
-    int64_t service_tasks =
-        resources_fit_count(resources_remaining(machine->capacity, machine->usage.services),
-                            leader->autoscaler.mean_service_request);
-    if (leader->autoscaler.service_shortfall_tasks[machine->zone_index] + service_tasks > 0)
+    return (machine->flags & MACHINE_UNREACHABLE) &&
+           (machine->is_spot || (machine->flags & MACHINE_LEASE_EXPIRED));
+}
+
+/** Whether a machine that has reported is of no use; sets the reason if so. */
+static bool is_unusable(struct leader *leader, const struct ledger_machine *machine,
+                        enum scale_in_reason *reason)
+{
+    if (is_lost(machine)) {
+        *reason = SCALE_IN_REASON_UNREACHABLE;
         return true;
-    leader->autoscaler.service_shortfall_tasks[machine->zone_index] += service_tasks;
-    return false;
+    }
+    /* On a quarantined machine only new tasks fail; services that run on it already are well. */
+    if (!autoscaler_is_machine_idle(machine))
+        return false;
+    if (time_before(loop_now(leader->loop), machine->health.quarantined_until))
+        *reason = SCALE_IN_REASON_QUARANTINED;
+    else if (machine->flags & MACHINE_RECLAIMED)
+        *reason = SCALE_IN_REASON_RECLAIMED;
+    else if (machine_health_is_slow(leader, machine))
+        *reason = SCALE_IN_REASON_SLOW;
+    else
+        return false;
+    return true;
 }
 
-static void return_idle(struct leader *leader)
+static void find_unusable_reported(struct leader *leader, GArray *decisions)
 {
-    mono_time now = loop_now(leader->loop);
-    double spare_cpus = (double)autoscaler_total_free(leader).cpus.milli / 1000 -
-                        scheduling_policy_spare_cpus(leader);
     GHashTableIter it;
     struct ledger_machine *machine;
     g_hash_table_iter_init(&it, leader->ledger.machines);
     while (g_hash_table_iter_next(&it, NULL, (gpointer *)&machine)) {
-        double cpus = (double)machine->capacity.cpus.milli / 1000;
-        if (!placement_is_schedulable(leader, machine) || !autoscaler_is_machine_idle(machine) ||
-            (double)time_ms_since(now, machine->idle_since) <
-                scheduling_policy_idle_timeout_ms(leader, machine) ||
-            cpus > spare_cpus || is_kept_for_services(leader, machine))
-            continue;
-        spare_cpus -= cpus;
-        cloud_provider_scale_in(leader->cloud, machine->id, "idle");
+        enum scale_in_reason reason;
+        if (machine->is_reported && is_unusable(leader, machine, &reason))
+            add_decision(decisions, machine->id, reason);
     }
 }
 
-/* Machines that are no use: silent, taken back, never up, failed, sick. */
-static void return_unusable(struct leader *leader)
+/** Whether any owner has ever heard of the machine. */
+static bool has_reported(struct leader *leader, machine_id id)
+{
+    const struct ledger_machine *machine = quota_ledger_find_machine(leader, id.text);
+    return (machine && machine->is_reported && (machine->flags & MACHINE_KNOWN)) ||
+           replica_get_machine(leader->replica, id.text);
+}
+
+/** Whether a rented machine should have reported long ago. */
+static bool has_boot_timed_out(struct leader *leader, const struct cloud_machine *rented)
 {
     mono_time now = loop_now(leader->loop);
+    const struct machine_type *type =
+        machine_type_find(scheduling_policy_machine_types(leader), rented->type_name);
+    int64_t boot_ms = type ? (int64_t)(type->boot_time_s * 1000) : UNKNOWN_TYPE_BOOT_MS;
+    int64_t reporting_ms =
+        (int64_t)(leader->settings->heartbeat_interval_s * (REPORTING_HEARTBEATS * 1000));
+    return time_ms_since(now, rented->requested_at) >
+               boot_ms * BOOT_TIMEOUT_FACTOR + BOOT_TIMEOUT_MARGIN_MS &&
+           time_ms_since(now, leader->epoch_began_at) > reporting_ms;
+}
+
+static void find_unusable_rented(struct leader *leader, GArray *decisions)
+{
     GHashTableIter it;
-    struct ledger_machine *machine;
-    g_hash_table_iter_init(&it, leader->ledger.machines);
-    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&machine)) {
-        if (!machine->is_reported)
-            continue;
-        /* Spot machines that fall silent are mostly gone, and a return proves it at once. Others
-         * are mostly only cut off: their tasks go on, until the lease is the proof. */
-        if ((machine->flags & MACHINE_UNREACHABLE) &&
-            (machine->is_spot || (machine->flags & MACHINE_LEASE_EXPIRED)))
-            cloud_provider_scale_in(leader->cloud, machine->id, "lost");
-        /* What fails is what starts there; services that run on it already are well. */
-        else if (time_before(now, machine->health.quarantined_until) &&
-                 autoscaler_is_machine_idle(machine))
-            cloud_provider_scale_in(leader->cloud, machine->id, "sick");
-        else if ((machine->flags & MACHINE_RECLAIMED) && autoscaler_is_machine_idle(machine))
-            cloud_provider_scale_in(leader->cloud, machine->id, "reclaimed");
-        else if (machine_health_is_slow(leader, machine) && autoscaler_is_machine_idle(machine))
-            cloud_provider_scale_in(leader->cloud, machine->id, "slow");
-    }
-    struct cloud_machine *rental;
+    struct cloud_machine *rented;
     g_hash_table_iter_init(&it, cloud_provider_get_machines(leader->cloud));
-    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&rental)) {
-        const struct machine_type *type =
-            machine_type_find(scheduling_policy_machine_types(leader), rental->type_name);
-        int64_t age_ms = time_ms_since(now, rental->requested_at);
-        int64_t boot_ms = type ? (int64_t)(type->boot_time_s * 1000) : 60000;
-        machine = quota_ledger_find_machine(leader, rental->id.text);
-        bool is_up = machine && machine->is_reported && (machine->flags & MACHINE_KNOWN);
-        if (rental->stage == CLOUD_MACHINE_FAILED)
-            cloud_provider_scale_in(leader->cloud, rental->id, "failed");
-        else if (!is_up && !replica_get_machine(leader->replica, rental->id.text) &&
-                 age_ms > boot_ms * 3 + 10000 &&
-                 time_ms_since(now, leader->epoch_began_at) >
-                     (int64_t)(leader->settings->heartbeat_interval_s * 3000))
-            cloud_provider_scale_in(leader->cloud, rental->id, "never up");
+    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&rented)) {
+        if (rented->stage == CLOUD_MACHINE_FAILED)
+            add_decision(decisions, rented->id, SCALE_IN_REASON_FAILED);
+        else if (!has_reported(leader, rented->id) && has_boot_timed_out(leader, rented))
+            add_decision(decisions, rented->id, SCALE_IN_REASON_BOOT_TIMEOUT);
     }
 }
 
-static void announce_departed(struct leader *leader)
+GArray *autoscaler_find_unusable(struct leader *leader)
 {
+    GArray *decisions = g_array_new(FALSE, FALSE, sizeof(struct scale_in_decision));
+    find_unusable_reported(leader, decisions);
+    find_unusable_rented(leader, decisions);
+    return decisions;
+}
+
+/** Whether the machine takes tasks and has been idle for longer than operators want. */
+static bool is_idle_timed_out(struct leader *leader, struct ledger_machine *machine)
+{
+    return placement_is_schedulable(leader, machine) && autoscaler_is_machine_idle(machine) &&
+           (double)time_ms_since(loop_now(leader->loop), machine->idle_since) >=
+               scheduling_policy_idle_timeout_ms(leader, machine);
+}
+
+GArray *autoscaler_find_idle(struct leader *leader)
+{
+    GArray *decisions = g_array_new(FALSE, FALSE, sizeof(struct scale_in_decision));
+    double surplus_cpus =
+        resources_cpus(autoscaler_total_free(leader)) - scheduling_policy_spare_cpus(leader);
     GHashTableIter it;
     struct ledger_machine *machine;
     g_hash_table_iter_init(&it, leader->ledger.machines);
     while (g_hash_table_iter_next(&it, NULL, (gpointer *)&machine)) {
-        if (!cloud_provider_is_gone(leader->cloud, machine->id.text))
+        double cpus = resources_cpus(machine->capacity);
+        if (!is_idle_timed_out(leader, machine) || cpus > surplus_cpus ||
+            !autoscaler_release_service_capacity(leader, machine))
             continue;
-        const char *owner = shard_map_get_owner(leader->replica, machine->id.text);
-        if (owner &&
-            (machine->is_reported || replica_get_machine(leader->replica, machine->id.text))) {
-            struct shard_channel *channel = shard_dispatcher_channel(leader, owner);
-            if (channel->departed && cJSON_GetArraySize(channel->departed) > 100)
-                continue;
-            shard_dispatcher_append(&channel->departed, cJSON_CreateString(machine->id.text));
-            machine->is_reported = false;
-        }
+        surplus_cpus -= cpus;
+        add_decision(decisions, machine->id, SCALE_IN_REASON_IDLE);
     }
-}
-
-void autoscaler_scale_in(struct leader *leader)
-{
-    return_unusable(leader);
-    return_idle(leader);
-    announce_departed(leader);
+    return decisions;
 }
