--- a/src/scheduler/dispatch_timeout.c
+++ b/src/scheduler/dispatch_timeout.c
@@ -1,47 +1,65 @@
+/** Dispatch timeout. */
 #include "dispatch_timeout.h"
 
 #include "log.h"
 
 enum {
-    SWEEP_MS = 5000,
-    DISPATCH_TIMEOUT_S = 20, /* a deal that is neither on record nor given back */
+    CHECK_INTERVAL_MS = 5000,
+    DISPATCH_TIMEOUT_S = 20,
 };
 
-/* The part of a task's expected time that a deal may wait beyond DISPATCH_TIMEOUT_S. */
-static const double DISPATCH_TIMEOUT_SHARE = 0.1;
+/**
+ * Extra time for a dispatch, as a share of its task's expected run time: ARQ may hold a task back
+ * for a twentieth of that.
+ */
+static const double RUN_TIME_SHARE = 0.1;
 
-/* A task that is neither recorded nor given back for long would wait for ever, whatever became of
- * it: a new epoch makes all that was dealt void. */
-static void raise_epoch_for_timeouts(struct leader *leader)
+static double dispatch_timeout_ms(struct leader *leader, const struct ledger_job *job)
+{
+    const struct job *job_record = replica_get_job(leader->replica, job->id.text);
+    double run_time_s = job_record && job_record->spec ? job_record->spec->expected_run_s : 0;
+    return (DISPATCH_TIMEOUT_S + run_time_s * RUN_TIME_SHARE) * 1000;
+}
+
+/** A dispatch of the job that has timed out, or NULL. */
+static const struct pending_dispatch *find_timed_out(struct leader *leader,
+                                                     const struct ledger_job *job)
 {
     mono_time now = loop_now(leader->loop);
-    GHashTableIter it, dispatch_iter;
-    struct ledger_job *job;
-    struct pending_dispatch *dispatch;
+    double timeout_ms = dispatch_timeout_ms(leader, job);
+    /* Shards may have had to wait for the same outage. */
+    if ((double)time_ms_since(now, leader->last_outage_at) <= timeout_ms)
+        return NULL;
+    GHashTableIter it;
+    const struct pending_dispatch *dispatch;
+    g_hash_table_iter_init(&it, job->dispatches);
+    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&dispatch))
+        if ((double)time_ms_since(now, dispatch->dispatched_at) > timeout_ms)
+            return dispatch;
+    return NULL;
+}
+
+/** Raises the epoch if any dispatch has timed out: its task would wait forever otherwise. */
+static void raise_epoch_on_timeout(struct leader *leader)
+{
+    GHashTableIter it;
+    const struct ledger_job *job;
     g_hash_table_iter_init(&it, leader->ledger.jobs);
     while (g_hash_table_iter_next(&it, NULL, (gpointer *)&job)) {
-        struct job *job_record = replica_get_job(leader->replica, job->id.text);
-        /* The switch rule may keep a task back for a twentieth of its time. */
-        double timeout_s =
-            DISPATCH_TIMEOUT_S + (job_record && job_record->spec
-                                      ? job_record->spec->expected_run_s * DISPATCH_TIMEOUT_SHARE
-                                      : 0);
-        g_hash_table_iter_init(&dispatch_iter, job->dispatches);
-        while (g_hash_table_iter_next(&dispatch_iter, NULL, (gpointer *)&dispatch))
-            if ((double)time_ms_since(now, dispatch->dispatched_at) > timeout_s * 1000 &&
-                (double)time_ms_since(now, leader->last_outage_at) > timeout_s * 1000) {
-                LOG_INFO("deal_stuck", "job=%s machine=%s", job->id.text,
-                         dispatch->machine->id.text);
-                membership_raise_epoch(leader->membership, "a deal is stuck");
-                return;
-            }
+        const struct pending_dispatch *dispatch = find_timed_out(leader, job);
+        if (!dispatch)
+            continue;
+        LOG_INFO("dispatch_timeout", "job=%s machine=%s", job->id.text, dispatch->machine->id.text);
+        membership_raise_epoch(leader->membership, "dispatch timeout");
+        return;
     }
 }
 
 void dispatch_timeout_check(struct leader *leader)
 {
-    if (time_ms_since(loop_now(leader->loop), leader->last_dispatch_check_at) <= SWEEP_MS)
+    mono_time now = loop_now(leader->loop);
+    if (time_ms_since(now, leader->last_dispatch_check_at) <= CHECK_INTERVAL_MS)
         return;
-    leader->last_dispatch_check_at = loop_now(leader->loop);
-    raise_epoch_for_timeouts(leader);
+    leader->last_dispatch_check_at = now;
+    raise_epoch_on_timeout(leader);
 }
--- a/src/scheduler/dispatch_timeout.h
+++ b/src/scheduler/dispatch_timeout.h
@@ -1,10 +1,13 @@
-/* Deals that are stuck, which the leader looks for now and then. */
-#ifndef LL_LEADER_SWEEP_H
-#define LL_LEADER_SWEEP_H
+/**
+ * Dispatch timeout: a task that was dispatched to a shard has to get a run record or be rejected in
+ * time. If neither happens, the epoch is raised, which voids all dispatches.
+ */
+#ifndef LL_DISPATCH_TIMEOUT_H
+#define LL_DISPATCH_TIMEOUT_H
 
 #include "scheduler_internal.h"
 
-/* Does so if it was not done within the last few seconds. */
+/** Looks for dispatches that have timed out, unless it did so within the last few seconds. */
 void dispatch_timeout_check(struct leader *leader);
 
 #endif
--- a/src/scheduler/feature_switch.c
+++ b/src/scheduler/feature_switch.c
@@ -1,11 +1,16 @@
+/** The switch of singleton roles. */
 #include "feature_switch.h"
 
 #include "log.h"
 
+/** The field of ll/features that turns singleton roles on. */
+static const char FIELD_SINGLETON_ROLES[] = "duties";
+
 static void on_switch_written(void *arg, const struct txn_outcome *outcome)
 {
-    (void)outcome; /* the view tells */
-    ((struct leader *)arg)->is_switching_features = false;
+    struct leader *leader = arg;
+    (void)outcome; /* the replica will show whether the switch was turned */
+    leader->is_switching_features = false;
 }
 
 static void submit_switch(struct leader *leader, struct txn *txn)
@@ -14,7 +19,8 @@
     kv_client_commit(leader->kv, KV_LANE_NORMAL, txn, on_switch_written, leader);
 }
 
-static struct txn *new_leader_txn(const struct leader *leader)
+/** A transaction that fails if this node does not lead or the switch was turned meanwhile. */
+static struct txn *new_switch_txn(const struct leader *leader)
 {
     struct txn *txn = txn_new();
     txn_compare(txn, KEY_LEADER, leader->replica->leader_mod_revision);
@@ -24,20 +30,20 @@
 
 static void enable_singleton_roles(struct leader *leader)
 {
-    struct txn *txn = new_leader_txn(leader);
+    struct txn *txn = new_switch_txn(leader);
     json_object *value = json_object_new_object();
-    json_put_bool(value, "duties", true);
+    json_put_bool(value, FIELD_SINGLETON_ROLES, true);
     txn_put(txn, KEY_FEATURES, value, (lease_id){0});
-    LOG_INFO("duties_on", "nodes=%u", g_hash_table_size(leader->replica->nodes));
+    LOG_INFO("singleton_roles_enabled", "nodes=%u", g_hash_table_size(leader->replica->nodes));
     submit_switch(leader, txn);
 }
 
-/* The pages of intents are empty by now; what is left of them goes with the switch. */
+/** Removes the autoscaler's intent pages, which are empty by now, as far as one transaction can. */
 static void remove_intent_pages(struct leader *leader, struct txn *txn)
 {
     GPtrArray *pages = role_records_list_pages(leader->replica->singleton_roles, ROLE_AUTOSCALER);
-    int most = kv_client_limits(leader->kv)->max_txn_operations;
-    for (guint i = 0; i < pages->len && (int)txn_write_count(txn) < most; i++) {
+    int max_operations = kv_client_limits(leader->kv)->max_txn_operations;
+    for (guint i = 0; i < pages->len && (int)txn_write_count(txn) < max_operations; i++) {
         const struct intent_page *page = pages->pdata[i];
         char *key = key_intent_page(page->role, page->number);
         txn_compare(txn, key, page->mod_revision);
@@ -47,22 +53,25 @@
     g_ptr_array_unref(pages);
 }
 
-/* Under the token of the fleet: nothing can be recorded by anybody once the switch is off. The
- * record of the duty goes, too, so that what its holder sent to the pages is refused from now on.
+/**
+ * Turns the switch off under the fencing token of the autoscaler's role, so that nothing can be
+ * recorded in its name afterwards. The record of the role is removed as well: what its holder has
+ * sent to the intent pages and is still on its way will be refused.
  */
 static void disable_singleton_roles(struct leader *leader)
 {
-    struct txn *txn = new_leader_txn(leader);
+    struct txn *txn = new_switch_txn(leader);
     role_manager_add_guard(leader->role_manager, ROLE_AUTOSCALER, txn);
     txn_delete(txn, KEY_FEATURES);
     char *key = key_role(ROLE_AUTOSCALER);
     txn_delete(txn, key);
     g_free(key);
     remove_intent_pages(leader, txn);
-    LOG_INFO("duties_off", "nodes=%u", g_hash_table_size(leader->replica->nodes));
+    LOG_INFO("singleton_roles_disabled", "nodes=%u", g_hash_table_size(leader->replica->nodes));
     submit_switch(leader, txn);
 }
 
+/** Whether the operators of any live node want singleton roles. */
 static bool is_requested_by_any_node(const struct leader *leader)
 {
     GHashTableIter it;
@@ -74,22 +83,39 @@
     return false;
 }
 
-void feature_switch_update(struct leader *leader)
+/** Whether this node's operators want singleton roles and every node understands them. */
+static bool may_enable(const struct leader *leader)
+{
+    return leader->features->singleton_roles.is_enabled &&
+           membership_all_nodes_support(leader->membership, NODE_VERSION_SINGLETON_ROLES);
+}
+
+/** Whether this node holds the autoscaler's role and none of its intents is open. */
+static bool may_disable(const struct leader *leader)
+{
+    return role_manager_may_act(leader->role_manager, ROLE_AUTOSCALER) &&
+           cloud_provider_is_settled(leader->cloud);
+}
+
+/** Follows the switch as the replica shows it, whoever has turned it. */
+static void apply_switch(struct leader *leader, bool is_enabled, bool is_requested)
 {
-    bool is_enabled = leader->replica->singleton_roles_enabled,
-         is_requested = is_requested_by_any_node(leader);
     cloud_provider_pause_recording(leader->cloud, is_enabled && !is_requested);
-    /* Machines that were closed to be returned are open again in a new epoch. */
+    /* Machines that were cordoned before their return are not cordoned in the new epoch. */
     if (leader->had_singleton_roles && !is_enabled)
-        membership_raise_epoch(leader->membership, "duties are off");
+        membership_raise_epoch(leader->membership, "singleton roles are disabled");
     leader->had_singleton_roles = is_enabled;
+}
+
+void feature_switch_update(struct leader *leader)
+{
+    bool is_enabled = leader->replica->singleton_roles_enabled;
+    bool is_requested = is_requested_by_any_node(leader);
+    apply_switch(leader, is_enabled, is_requested);
     if (leader->is_switching_features || !membership_is_leader(leader->membership))
         return;
-    if (!is_enabled && leader->features->singleton_roles.is_enabled &&
-        membership_all_nodes_support(leader->membership, NODE_VERSION_SINGLETON_ROLES))
+    if (!is_enabled && may_enable(leader))
         enable_singleton_roles(leader);
-    else if (is_enabled && !is_requested &&
-             role_manager_may_act(leader->role_manager, ROLE_AUTOSCALER) &&
-             cloud_provider_is_settled(leader->cloud))
+    else if (is_enabled && !is_requested && may_disable(leader))
         disable_singleton_roles(leader);
 }
--- a/src/scheduler/garbage_collector.c
+++ b/src/scheduler/garbage_collector.c
@@ -1,8 +1,9 @@
+/** Garbage collection of departed nodes. */
 #include "garbage_collector.h"
 
 #include "record_page_codec.h"
 
-enum { EVERY_MS = 5000 };
+enum { COLLECTION_INTERVAL_MS = 5000 };
 
 struct garbage_collector {
     struct loop *loop;
@@ -11,32 +12,37 @@
     struct membership *membership;
     struct role_manager *role_manager;
     struct timer tick_timer;
-    bool removal_in_flight; /* a key is being removed */
+    /** A key is being removed; the next one waits for the outcome. */
+    bool removal_in_flight;
 };
 
 static void on_key_removed(void *arg, const struct txn_outcome *outcome)
 {
-    (void)outcome;
-    ((struct garbage_collector *)arg)->removal_in_flight = false;
+    struct garbage_collector *collector = arg;
+    (void)outcome; /* if it failed, the key is found again later */
+    collector->removal_in_flight = false;
 }
 
-/* Looks for jobs that are not over yet. */
-struct live_search {
+/** A search for completions of jobs that have not ended yet. */
+struct live_job_search {
     struct replica *replica;
     bool found;
 };
 
-static void visit_completion(void *ctx, job_id job, uint32_t unit, const GByteArray *bits)
+static void visit_completion(void *arg, job_id job, uint32_t unit, const GByteArray *bits)
 {
-    struct live_search *search = ctx;
+    struct live_job_search *search = arg;
     (void)unit;
     (void)bits;
-    struct job *job_record = replica_get_job(search->replica, job.text);
-    search->found = search->found || (job_record && job_record->spec);
+    const struct job *job_record = replica_get_job(search->replica, job.text);
+    if (job_record && job_record->spec)
+        search->found = true;
 }
 
-/* Removes a key of the state service, as long as it is this node's duty, the key has not changed,
- * and its node is not back on the map. */
+/**
+ * Removes a key. The transaction fails if this node may not collect any more, the key has changed,
+ * or the shard map has, in which the key's node may be back.
+ */
 static void remove_key(struct garbage_collector *collector, const char *key, revision mod_revision)
 {
     struct txn *txn = txn_new();
@@ -51,36 +57,54 @@
     kv_client_commit(collector->kv, KV_LANE_NORMAL, txn, on_key_removed, collector);
 }
 
-/* Whether the node of that name is not on the map. */
-static bool node_is_departed(const struct garbage_collector *collector, const char *label)
+/** Whether the shard map does not contain the node. */
+static bool is_node_departed(const struct garbage_collector *collector, const char *label)
 {
-    for (guint i = 0; i < collector->replica->shard_map->len; i++)
-        if (strcmp(g_array_index(collector->replica->shard_map, struct shard_map_entry, i).label,
-                   label) == 0)
+    const GArray *shard_map = collector->replica->shard_map;
+    for (guint i = 0; i < shard_map->len; i++)
+        if (strcmp(g_array_index(shard_map, struct shard_map_entry, i).label, label) == 0)
             return false;
     return true;
 }
 
-/* A page of a node that is away is removed once others have taken its machines over and the jobs
- * are over of which it says what is done. */
+/** Whether the page has completions of jobs that have not ended yet. */
+static bool has_live_completions(const struct garbage_collector *collector,
+                                 const struct record_page *page)
+{
+    struct live_job_search search = {collector->replica, false};
+    completions_decode(page->completions_text ? page->completions_text : "", visit_completion,
+                       &search);
+    return search.found;
+}
+
+/** Removes a record page of a departed node once nothing on it is needed any more. */
 static void collect_record_pages(struct garbage_collector *collector)
 {
     GHashTableIter it;
     struct record_page *page;
     g_hash_table_iter_init(&it, collector->replica->pages);
     while (!collector->removal_in_flight && g_hash_table_iter_next(&it, NULL, (gpointer *)&page)) {
-        if (page->run_records->len || !node_is_departed(collector, page->label))
-            continue;
-        struct live_search search = {collector->replica, false};
-        completions_decode(page->completions_text ? page->completions_text : "", visit_completion,
-                           &search);
-        if (!search.found)
+        if (!page->run_records->len && is_node_departed(collector, page->label) &&
+            !has_live_completions(collector, page))
             remove_key(collector, page->key, page->mod_revision);
     }
 }
 
-/* A list of machines of a node that is away is removed once it says nothing of a machine on which
- * anything is on record: those that own them now list them, too. */
+/** Whether a task has a run record on any machine of the inventory. */
+static bool has_run_records(const struct machine_inventory *inventory)
+{
+    for (guint i = 0; i < inventory->machines->len; i++) {
+        const struct machine_record *machine = inventory->machines->pdata[i];
+        if (machine->run_records->len)
+            return true;
+    }
+    return false;
+}
+
+/**
+ * Removes an inventory of a departed node once none of its machines has run records: the machines'
+ * new owners list them as well.
+ */
 static void collect_inventories(struct garbage_collector *collector)
 {
     GHashTableIter it;
@@ -88,15 +112,12 @@
     g_hash_table_iter_init(&it, collector->replica->inventories);
     while (!collector->removal_in_flight &&
            g_hash_table_iter_next(&it, NULL, (gpointer *)&inventory)) {
-        bool needed = false;
-        for (guint i = 0; i < inventory->machines->len; i++)
-            needed = needed ||
-                     ((struct machine_record *)inventory->machines->pdata[i])->run_records->len;
-        if (!needed && node_is_departed(collector, inventory->label))
+        if (!has_run_records(inventory) && is_node_departed(collector, inventory->label))
             remove_key(collector, inventory->key, inventory->mod_revision);
     }
 }
 
+/** Whether this node is the one that collects, and the key-value store can be reached. */
 static bool may_collect(struct garbage_collector *collector)
 {
     if (kv_client_is_unavailable(collector->kv))
@@ -109,7 +130,7 @@
 static void on_tick(void *arg)
 {
     struct garbage_collector *collector = arg;
-    timer_start(collector->loop, &collector->tick_timer, EVERY_MS);
+    timer_start(collector->loop, &collector->tick_timer, COLLECTION_INTERVAL_MS);
     if (collector->removal_in_flight || !may_collect(collector))
         return;
     collect_record_pages(collector);
@@ -119,14 +140,14 @@
 struct garbage_collector *garbage_collector_new(struct loop *loop, struct kv_client *kv,
                                                 struct replica *replica,
                                                 struct membership *membership,
-                                                struct role_manager *manager)
+                                                struct role_manager *role_manager)
 {
     struct garbage_collector *collector = g_new0(struct garbage_collector, 1);
     collector->loop = loop;
     collector->kv = kv;
     collector->replica = replica;
     collector->membership = membership;
-    collector->role_manager = manager;
+    collector->role_manager = role_manager;
     timer_init(&collector->tick_timer, on_tick, collector);
     return collector;
 }
@@ -139,5 +160,5 @@
 
 void garbage_collector_start(struct garbage_collector *collector)
 {
-    timer_start(collector->loop, &collector->tick_timer, EVERY_MS);
+    timer_start(collector->loop, &collector->tick_timer, COLLECTION_INTERVAL_MS);
 }
--- a/src/scheduler/machine_health.c
+++ b/src/scheduler/machine_health.c
@@ -1,63 +1,77 @@
+/** Machine health, as the ends of tasks show it. */
 #include "machine_health.h"
 
 #include "log.h"
 #include "quota_ledger.h"
 
 enum {
-    MIN_MACHINE_SAMPLES = 5, /* tasks, before a machine can be slow */
-    MIN_JOB_SAMPLES = 3,     /* tasks of a job, before another is compared with them */
+    /** A machine needs this many compared tasks before it can be called slow. */
+    MIN_MACHINE_SAMPLES = 5,
+    /** A job needs this many tasks that succeeded before others are compared with them. */
+    MIN_JOB_SAMPLES = 3,
+    /** Bounds the table of run times by job. */
     MAX_RUN_TIMES = 10000,
-    QUARANTINE_JOB_COUNT = 2,     /* jobs that failed on a machine */
-    QUARANTINE_MS = 120000,       /* then it may try again, if something kept it */
-    FAULTY_JOB_MACHINE_COUNT = 3, /* machines on which only this job failed */
-    RETRY_BASE_DELAY_MS = 4000,   /* of a job that fails everywhere; doubled with each failure */
-    MAX_RETRY_DELAY_MS = 40000,   /* and at most */
+    /** A machine is quarantined once tasks of this many jobs have failed on it. */
+    QUARANTINE_JOB_COUNT = 2,
+    /** The autoscaler returns quarantined machines; one that it keeps is used again after this. */
+    QUARANTINE_MS = 120000,
+    /** A job is faulty once it has failed on this many machines where no other job has. */
+    FAULTY_JOB_MACHINE_COUNT = 3,
+    /** Delay before the next tasks of a faulty job; doubled with each failure, ... */
+    RETRY_BASE_DELAY_MS = 4000,
+    /** ... this many times at most, ... */
     MAX_RETRY_DOUBLINGS = 5,
-    AVOID_AFTER_LOSS_MS = 5000,    /* a machine on which a task was lost */
-    AVOID_AFTER_REPEAT_MS = 60000, /* a machine that failed tasks of the same job before */
-    AVOID_AFTER_ERROR_MS = 10000,  /* a machine on which a task failed */
+    /** ... and never longer than this. */
+    MAX_RETRY_DELAY_MS = 40000,
+    /** How long a machine is avoided after a task was lost on it. */
+    AVOID_AFTER_LOSS_MS = 5000,
+    /** How long a machine is avoided after a task exited with an error on it. */
+    AVOID_AFTER_ERROR_MS = 10000,
+    /** The same when a task of that job had already failed on it earlier. */
+    AVOID_AFTER_REPEAT_MS = 60000,
 };
 
-/* A machine is slow when its tasks take so many times as long as the others of their jobs. */
+/** A machine is slow when its tasks take this many times as long as on the median machine. */
 static const double SLOWDOWN_LIMIT = 1.7;
 
-/* Shorter tasks tell nothing of a machine. */
+/** Tasks of jobs with a shorter mean say nothing about a machine. */
 static const double MIN_MEAN_RUN_TIME_S = 0.5;
 
-/* The weight of the latest task in the slowdown of its machine. */
+/** Weight of the latest task in the moving average of its machine's slowdown. */
 static const double SLOWDOWN_WEIGHT = 0.25;
 
-static void quarantine_if_repeated(struct leader *leader, struct ledger_machine *machine,
-                                   const char *job_name)
+/** The run times of a job, added if there were none. */
+static struct job_run_time *ensure_run_time(struct leader *leader, const char *job_name)
 {
-    if (!machine->health.failed_jobs)
-        machine->health.failed_jobs = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    g_hash_table_add(machine->health.failed_jobs, g_strdup(job_name));
-    if (g_hash_table_size(machine->health.failed_jobs) >= QUARANTINE_JOB_COUNT) {
-        LOG_INFO("machine_sick", "machine=%s", machine->id.text);
-        machine->health.quarantined_until = time_add_ms(loop_now(leader->loop), QUARANTINE_MS);
-        g_hash_table_remove_all(machine->health.failed_jobs);
-    }
+    GHashTable *by_job = leader->run_times.by_job;
+    struct job_run_time *run_time = g_hash_table_lookup(by_job, job_name);
+    if (run_time)
+        return run_time;
+    if (g_hash_table_size(by_job) > MAX_RUN_TIMES)
+        g_hash_table_remove_all(by_job);
+    run_time = g_new0(struct job_run_time, 1);
+    g_hash_table_insert(by_job, g_strdup(job_name), run_time);
+    return run_time;
+}
+
+/** Adds a task's slowdown to the moving average of its machine. */
+static void add_slowdown_sample(struct machine_health *health, double slowdown)
+{
+    if (health->slowdown_sample_count == 0)
+        health->slowdown = slowdown;
+    else
+        health->slowdown = health->slowdown + (slowdown - health->slowdown) * SLOWDOWN_WEIGHT;
+    health->slowdown_sample_count++;
 }
 
 void machine_health_record_run_time(struct leader *leader, const char *job_name,
                                     struct ledger_machine *machine, double run_time_s)
 {
-    struct job_run_time *run_time = g_hash_table_lookup(leader->run_times.by_job, job_name);
-    if (!run_time) {
-        if (g_hash_table_size(leader->run_times.by_job) > MAX_RUN_TIMES)
-            g_hash_table_remove_all(leader->run_times.by_job);
-        run_time = g_new0(struct job_run_time, 1);
-        g_hash_table_insert(leader->run_times.by_job, g_strdup(job_name), run_time);
-    }
-    if (run_time->task_count >= MIN_JOB_SAMPLES && run_time->mean_s > MIN_MEAN_RUN_TIME_S) {
-        double slowdown = run_time_s / run_time->mean_s;
-        machine->health.slowdown =
-            machine->health.slowdown_sample_count++
-                ? machine->health.slowdown + (slowdown - machine->health.slowdown) * SLOWDOWN_WEIGHT
-                : slowdown;
-    }
-    run_time->mean_s += (run_time_s - run_time->mean_s) / ++run_time->task_count;
+    struct job_run_time *run_time = ensure_run_time(leader, job_name);
+    if (run_time->task_count >= MIN_JOB_SAMPLES && run_time->mean_s > MIN_MEAN_RUN_TIME_S)
+        add_slowdown_sample(&machine->health, run_time_s / run_time->mean_s);
+    run_time->task_count++;
+    run_time->mean_s += (run_time_s - run_time->mean_s) / run_time->task_count;
 }
 
 static gint compare_doubles(gconstpointer a, gconstpointer b)
@@ -87,23 +101,26 @@
            machine->health.slowdown > SLOWDOWN_LIMIT * MAX(leader->run_times.median_slowdown, 1);
 }
 
-/* Tasks of other jobs have failed on the machine, too. */
+/** Whether tasks of other jobs have failed on the machine, too. */
 static bool has_failed_other_jobs(struct leader *leader, const char *machine_name,
                                   const char *job_name)
 {
-    struct ledger_machine *machine = quota_ledger_find_machine(leader, machine_name);
+    const struct ledger_machine *machine = quota_ledger_find_machine(leader, machine_name);
     if (!machine)
         return false;
-    guint failed_job_count =
-        machine->health.failed_jobs ? g_hash_table_size(machine->health.failed_jobs) : 0;
-    bool includes_this_job =
-        failed_job_count && g_hash_table_contains(machine->health.failed_jobs, job_name);
-    return time_before(loop_now(leader->loop), machine->health.quarantined_until) ||
-           failed_job_count > includes_this_job;
+    if (time_before(loop_now(leader->loop), machine->health.quarantined_until))
+        return true;
+    GHashTable *failed_jobs = machine->health.failed_jobs;
+    if (!failed_jobs)
+        return false;
+    guint this_job_count = g_hash_table_contains(failed_jobs, job_name) ? 1 : 0;
+    return g_hash_table_size(failed_jobs) > this_job_count;
 }
 
-/* Machines on which only this job has failed, as far as is known. When several machines are sick at
- * once, a large job comes to all of them within a moment, and is no worse than others. */
+/**
+ * Number of machines on which only this job has failed, as far as is known. When several machines
+ * are faulty at once, a large job tries all of them within moments, and is not to blame.
+ */
 static guint count_exclusive_failures(struct leader *leader, struct ledger_job *job)
 {
     guint machine_count = 0;
@@ -115,22 +132,63 @@
     return machine_count;
 }
 
-/* A machine that failed a task gets nothing new for a while. If it has failed the same job before,
- * in another try, it has the job's image by now and would be chosen next: it is left out for
- * longer, whether the job is taken for the one at fault or not. */
+/**
+ * Avoids a machine on which a task exited with an error. If a task of the same job had failed there
+ * in an earlier attempt, the machine is avoided for longer: it has the job's image by now, and
+ * placement would prefer it.
+ */
 static void avoid_failed_machine(struct leader *leader, struct ledger_job *job,
                                  struct ledger_machine *machine)
 {
     mono_time now = loop_now(leader->loop);
-    bool is_same_try = time_before(now, machine->health.avoid_until);
+    bool is_same_attempt = time_before(now, machine->health.avoid_until);
     bool has_failed_before = !g_hash_table_add(job->failures.machines, g_strdup(machine->id.text));
     int64_t avoid_ms =
-        has_failed_before && !is_same_try ? AVOID_AFTER_REPEAT_MS : AVOID_AFTER_ERROR_MS;
+        has_failed_before && !is_same_attempt ? AVOID_AFTER_REPEAT_MS : AVOID_AFTER_ERROR_MS;
     mono_time until = time_add_ms(now, avoid_ms);
     if (time_before(machine->health.avoid_until, until))
         machine->health.avoid_until = until;
 }
 
+/** Whether the job itself is at fault: no task of it ever succeeded, and only it fails. */
+static bool is_job_faulty(struct leader *leader, struct ledger_job *job)
+{
+    const struct job *job_record = replica_get_job(leader->replica, job->id.text);
+    return job_record && job_record->completed_count == 0 &&
+           count_exclusive_failures(leader, job) >= FAULTY_JOB_MACHINE_COUNT;
+}
+
+/** Delays the next tasks of a faulty job, the longer the more often it has failed. */
+static void delay_faulty_job(struct leader *leader, struct ledger_job *job)
+{
+    mono_time now = loop_now(leader->loop);
+    /* Tasks that were started together fail together: that counts as one failure. */
+    if (time_before(now, job->failures.retry_at))
+        return;
+    job->failures.count++;
+    int64_t delay_ms = (int64_t)RETRY_BASE_DELAY_MS
+                       << MIN(job->failures.count, MAX_RETRY_DOUBLINGS);
+    delay_ms = MIN(delay_ms, MAX_RETRY_DELAY_MS);
+    job->failures.retry_at = time_add_ms(now, delay_ms);
+    LOG_INFO("job_retry_delayed", "job=%s machines=%u delay_ms=%" G_GINT64_FORMAT, job->id.text,
+             g_hash_table_size(job->failures.machines), delay_ms);
+}
+
+/** Notes that the job failed on the machine, and quarantines the machine after several jobs. */
+static void quarantine_if_repeated(struct leader *leader, struct ledger_machine *machine,
+                                   const char *job_name)
+{
+    struct machine_health *health = &machine->health;
+    if (!health->failed_jobs)
+        health->failed_jobs = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    g_hash_table_add(health->failed_jobs, g_strdup(job_name));
+    if (g_hash_table_size(health->failed_jobs) < QUARANTINE_JOB_COUNT)
+        return;
+    LOG_INFO("machine_quarantined", "machine=%s", machine->id.text);
+    health->quarantined_until = time_add_ms(loop_now(leader->loop), QUARANTINE_MS);
+    g_hash_table_remove_all(health->failed_jobs);
+}
+
 void machine_health_record_failure(struct leader *leader, struct ledger_job *job,
                                    struct ledger_machine *machine, enum exit_cause cause)
 {
@@ -140,24 +198,11 @@
         machine->health.avoid_until = time_add_ms(loop_now(leader->loop), AVOID_AFTER_LOSS_MS);
         return;
     }
-    struct job *job_record = replica_get_job(leader->replica, job->id.text);
     if (!job->failures.machines)
         job->failures.machines = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     avoid_failed_machine(leader, job, machine);
-    bool is_job_faulty = job_record && job_record->completed_count == 0 &&
-                         count_exclusive_failures(leader, job) >= FAULTY_JOB_MACHINE_COUNT;
-    /* Its tasks fail within a moment of one another: that is one try, not many. */
-    if (is_job_faulty && time_before(loop_now(leader->loop), job->failures.retry_at))
-        return;
-    if (is_job_faulty) {
-        job->failures.count++;
-        int64_t delay_ms =
-            MIN(MAX_RETRY_DELAY_MS,
-                (int64_t)RETRY_BASE_DELAY_MS << MIN(job->failures.count, MAX_RETRY_DOUBLINGS));
-        job->failures.retry_at = time_add_ms(loop_now(leader->loop), delay_ms);
-        LOG_INFO("job_failing", "job=%s machines=%u pause_ms=%" G_GINT64_FORMAT, job->id.text,
-                 g_hash_table_size(job->failures.machines), delay_ms);
-        return;
-    }
-    quarantine_if_repeated(leader, machine, job->id.text);
+    if (is_job_faulty(leader, job))
+        delay_faulty_job(leader, job);
+    else
+        quarantine_if_repeated(leader, machine, job->id.text);
 }
--- a/src/scheduler/scheduling_policy.c
+++ b/src/scheduler/scheduling_policy.c
@@ -1,19 +1,21 @@
+/** What objectives, machine types and the operators' policy file say to the scheduler. */
 #include "scheduling_policy.h"
 
 #include <math.h>
 
-/* Of a class of which nothing is expected. */
+/** Patience of a job whose class has no objective for waiting times. */
 enum { DEFAULT_PATIENCE_S = 60 };
 
+/** The quickest boot while no machine type is known: longer than any objective. */
 static const double NO_TYPE_BOOT_S = 1e9;
 
 const GArray *scheduling_policy_machine_types(struct leader *leader)
 {
-    return cloud_provider_get_types(leader->cloud) ? cloud_provider_get_types(leader->cloud)
-                                                   : leader->replica->machine_types;
+    const GArray *listed = cloud_provider_get_types(leader->cloud);
+    return listed ? listed : leader->replica->machine_types;
 }
 
-/* Of all machine types; without any, longer than any wait. */
+/** The shortest boot time of all machine types; NO_TYPE_BOOT_S without any. */
 static double quickest_boot_s(struct leader *leader)
 {
     double quickest_s = NO_TYPE_BOOT_S;
@@ -32,42 +34,51 @@
     return slowest_s;
 }
 
-/* How long a task may wait if the objective is to be met; patience if it says nothing of that. */
+/** How long a task may wait if the objective is to be met; `default_s` if it does not say. */
 static double max_wait_s(const struct objective *objective, const struct job_spec *spec,
                          double default_s)
 {
-    if (objective->kind == OBJECTIVE_WAIT)
+    switch (objective->kind) {
+    case OBJECTIVE_WAIT:
         return objective->within_s;
-    if (objective->kind == OBJECTIVE_FINISHED)
+    case OBJECTIVE_FINISHED:
         return objective->within_s - spec->expected_run_s;
-    if (objective->kind == OBJECTIVE_DEADLINE && spec->deadline_s >= 0)
-        return spec->deadline_s - spec->expected_run_s;
+    case OBJECTIVE_DEADLINE:
+        return spec->deadline_s >= 0 ? spec->deadline_s - spec->expected_run_s : default_s;
+    case OBJECTIVE_OTHER:
+        break;
+    }
     return default_s;
 }
 
-double scheduling_policy_patience_s(struct leader *leader, const struct job *job_record)
+/** The shortest wait that an objective of the job's class allows and a new machine can meet. */
+static double class_patience_s(struct leader *leader, const struct job_spec *spec)
 {
-    const struct job_spec *spec = job_record->spec;
     double patience_s = DEFAULT_PATIENCE_S;
     double quickest_s = quickest_boot_s(leader);
-    for (guint i = 0; i < leader->settings->objectives->len; i++) {
-        const struct objective *objective =
-            &g_array_index(leader->settings->objectives, struct objective, i);
+    const GArray *objectives = leader->settings->objectives;
+    for (guint i = 0; i < objectives->len; i++) {
+        const struct objective *objective = &g_array_index(objectives, struct objective, i);
         if (strcmp(objective->class, spec->job_class) != 0)
             continue;
         double wait_s = max_wait_s(objective, spec, patience_s);
         if (wait_s > quickest_s)
             patience_s = MIN(patience_s, wait_s);
     }
-    /* The deadline of a job that needs this one leaves it less, the longer the way there. */
-    if (spec->deadline_s < 0 && job_record->inherited_deadline.ms != NO_DEADLINE.ms) {
-        double due_s =
-            (double)(job_record->inherited_deadline.ms - job_record->eligible_at.ms) / 1000;
-        patience_s = MIN(patience_s, MAX(due_s - spec->expected_run_s, quickest_s));
-    }
     return patience_s;
 }
 
+double scheduling_policy_patience_s(struct leader *leader, const struct job *job_record)
+{
+    const struct job_spec *spec = job_record->spec;
+    double patience_s = class_patience_s(leader, spec);
+    if (spec->deadline_s >= 0 || job_record->inherited_deadline.ms == NO_DEADLINE.ms)
+        return patience_s;
+    /* Jobs that depend on this one have deadlines: it has to leave them enough time. */
+    double due_s = (double)(job_record->inherited_deadline.ms - job_record->eligible_at.ms) / 1000;
+    return MIN(patience_s, MAX(due_s - spec->expected_run_s, quickest_boot_s(leader)));
+}
+
 double scheduling_policy_used_cpus(struct leader *leader)
 {
     double sum = 0;
@@ -82,14 +93,14 @@
     inputs[INPUT_PEAK_CPUS].number = leader->autoscaler.peak_cpus;
 }
 
-/* Inputs that tell of the load and the job. */
+/** Sets the inputs that describe the load and a job. */
 static void set_job_inputs(struct leader *leader, const struct ledger_job *job,
-                           const struct job_spec *spec, struct policy_value *value)
+                           const struct job_spec *spec, struct policy_value *inputs)
 {
-    scheduling_policy_set_load_inputs(leader, value);
-    value[INPUT_TEAM].text = spec->team_name;
-    value[INPUT_CLASS].text = spec->job_class;
-    value[INPUT_PRIORITY].text = job_priority_name(job->priority);
+    scheduling_policy_set_load_inputs(leader, inputs);
+    inputs[INPUT_TEAM].text = spec->team_name;
+    inputs[INPUT_CLASS].text = spec->job_class;
+    inputs[INPUT_PRIORITY].text = job_priority_name(job->priority);
 }
 
 double scheduling_policy_spare_cpus(struct leader *leader)
