--- a/src/scheduler/autoscaler_plan.c
+++ b/src/scheduler/autoscaler_plan.c
@@ -1,9 +1,6 @@
 /** The plan of a scale-out. */
 #include "autoscaler_plan.h"
 
-/** Bounds the plan of one run; the next run goes on from there. */
-enum { MAX_PLANNED_MACHINES = 200 };
-
 struct scale_out_plan *scale_out_plan_new(struct leader *leader)
 {
     struct scale_out_plan *plan = g_new0(struct scale_out_plan, 1);
--- a/src/scheduler/autoscaler_plan.h
+++ b/src/scheduler/autoscaler_plan.h
@@ -7,6 +7,9 @@
 
 #include "autoscaler_offers.h"
 
+/** Bounds the plan of one run of the autoscaler; the next run goes on from there. */
+enum { MAX_PLANNED_MACHINES = 200 };
+
 /** Machines to rent by one offer. */
 struct planned_machines {
     struct machine_offer offer;
--- /dev/null
+++ b/tests/test_autoscaler.c
@@ -0,0 +1,220 @@
+/** The autoscaler's decisions, taken on the leader of a world, and that only its orders act. */
+#include "world.h"
+
+#include "autoscaler_capacity.h"
+#include "autoscaler_orders.h"
+#include "autoscaler_plan.h"
+#include "autoscaler_scale_in.h"
+#include "shard.h"
+
+/** Half of the world's only machine type, so that a machine holds two such tasks. */
+static const struct resources HALF_MACHINE = {{4000}, {0}, {1000}};
+
+/** The leader, once it knows machine types and rented machines. */
+static struct leader *ready_leader(struct world *world)
+{
+    world_run(world, 4000);
+    struct leader *leader = world_leader(world)->leader;
+    assert_true(cloud_provider_is_listed(leader->cloud));
+    return leader;
+}
+
+/** A plan that knows of no pending machines, whatever the world has requested by itself. */
+static struct scale_out_plan *new_plan_without_pending(struct leader *leader)
+{
+    struct scale_out_plan *plan = scale_out_plan_new(leader);
+    g_array_set_size(plan->pending, 0);
+    return plan;
+}
+
+static const struct planned_machines *planned(const struct scale_out_plan *plan, guint index)
+{
+    return &g_array_index(plan->offers, struct planned_machines, index);
+}
+
+static int count_requested(struct leader *leader, const struct machine_offer *offer)
+{
+    return cloud_provider_count_requested(leader->cloud, offer->type->name, offer->zone,
+                                          offer->is_spot);
+}
+
+static void plan_acts_only_once_it_is_ordered(void **state)
+{
+    struct leader *leader = ready_leader(*state);
+    struct job_spec spec = {.may_use_spot = true};
+    struct capacity_request request = {&spec, HALF_MACHINE, NULL, true};
+    struct scale_out_plan *plan = new_plan_without_pending(leader);
+    assert_int_equal(scale_out_plan_request(plan, leader, &request, 5), 0);
+    assert_int_equal(plan->offers->len, 1);
+    assert_int_equal(plan->machine_count, 3);
+    const struct machine_offer *offer = &planned(plan, 0)->offer;
+    assert_true(offer->is_spot);
+    int requested = count_requested(leader, offer);
+    struct scale_out_plan *second_plan = scale_out_plan_new(leader);
+    assert_int_equal(count_requested(leader, offer), requested);
+    autoscaler_order_scale_out(leader->cloud, plan);
+    assert_int_equal(count_requested(leader, offer), requested + 3);
+    scale_out_plan_free(second_plan);
+    scale_out_plan_free(plan);
+}
+
+static void plan_keeps_to_zone_and_kind(void **state)
+{
+    struct leader *leader = ready_leader(*state);
+    struct job_spec spec = {.may_use_spot = false};
+    struct capacity_request request = {&spec, HALF_MACHINE, "b", false};
+    struct scale_out_plan *plan = new_plan_without_pending(leader);
+    assert_int_equal(scale_out_plan_request(plan, leader, &request, 4), 0);
+    assert_int_equal(plan->offers->len, 1);
+    assert_int_equal(planned(plan, 0)->machine_count, 2);
+    assert_string_equal(planned(plan, 0)->offer.zone, "b");
+    assert_false(planned(plan, 0)->offer.is_spot);
+    /* What is planned is pending from then on: it holds a task of half a machine once more. */
+    assert_int_equal(scale_out_plan_request(plan, leader, &request, 1), 0);
+    assert_int_equal(plan->machine_count, 3);
+    assert_int_equal(scale_out_plan_request(plan, leader, &request, 1), 0);
+    assert_int_equal(plan->machine_count, 3);
+    scale_out_plan_free(plan);
+}
+
+static void plan_is_bounded_and_says_what_is_unmet(void **state)
+{
+    struct leader *leader = ready_leader(*state);
+    struct job_spec spec = {.may_use_spot = true};
+    struct capacity_request too_large = {&spec, {{64000}, {0}, {1000}}, NULL, true};
+    struct capacity_request request = {&spec, HALF_MACHINE, NULL, true};
+    struct scale_out_plan *plan = new_plan_without_pending(leader);
+    assert_int_equal(scale_out_plan_request(plan, leader, &too_large, 7), 7);
+    assert_int_equal(plan->machine_count, 0);
+    assert_int_equal(scale_out_plan_request(plan, leader, &request, 2 * MAX_PLANNED_MACHINES + 9),
+                     9);
+    assert_int_equal(plan->machine_count, MAX_PLANNED_MACHINES);
+    scale_out_plan_free(plan);
+}
+
+/** Offers in a silent zone are used only when there is no other. */
+static void offers_avoid_silent_zones(void **state)
+{
+    struct leader *leader = ready_leader(*state);
+    struct job_spec spec = {.may_use_spot = true};
+    struct capacity_request anywhere = {&spec, HALF_MACHINE, NULL, true};
+    struct capacity_request in_zone = {&spec, HALF_MACHINE, "a", true};
+    struct machine_offer offer;
+    leader->autoscaler.zone_silent_until[0] = time_add_ms(loop_now(leader->loop), 1000);
+    assert_true(machine_offer_find(leader, &anywhere, 1, &offer));
+    assert_string_equal(offer.zone, "b");
+    assert_true(machine_offer_find(leader, &in_zone, 1, &offer));
+    assert_string_equal(offer.zone, "a");
+}
+
+static void claims_use_spot_machines_first(void **state)
+{
+    (void)state;
+    struct job_spec spec = {.may_use_spot = true};
+    struct capacity_request request = {&spec, HALF_MACHINE, "a", false};
+    struct resources machine = {{8000}, {0}, {32000}};
+    GArray *pending = g_array_new(FALSE, FALSE, sizeof(struct pending_capacity));
+    pending_capacity_add(pending, "g8", "a", false, machine);
+    pending_capacity_add(pending, "g8", "b", true, machine);
+    pending_capacity_add(pending, "g8", "a", true, machine);
+    assert_int_equal(pending_capacity_claim(pending, &request, 3), 0);
+    const struct pending_capacity *capacity = (const struct pending_capacity *)pending->data;
+    assert_int_equal(capacity[0].available.cpus.milli, 4000);
+    assert_int_equal(capacity[1].available.cpus.milli, 8000);
+    assert_int_equal(capacity[2].available.cpus.milli, 0);
+    /* Jobs that may not use spot machines leave them alone, and one zone is no help to another. */
+    spec.may_use_spot = false;
+    request.zone = NULL;
+    assert_int_equal(pending_capacity_claim(pending, &request, 3), 2);
+    assert_int_equal(capacity[1].available.cpus.milli, 8000);
+    g_array_unref(pending);
+}
+
+/** A machine that is there and idle, as the ledger has it. */
+static struct ledger_machine *idle_machine(struct world *world, struct leader **leader)
+{
+    world->capacity = 0;
+    struct worker *worker = world_worker(world, 0, "a", true);
+    *leader = ready_leader(world);
+    struct ledger_machine *machine = g_hash_table_lookup((*leader)->ledger.machines, worker->id);
+    assert_non_null(machine);
+    assert_true(machine->is_reported);
+    return machine;
+}
+
+/** The reason for which the machine is among the decisions, or -1; frees them. */
+static int reason_of(GArray *decisions, const struct ledger_machine *machine)
+{
+    int reason = -1;
+    for (guint i = 0; i < decisions->len; i++) {
+        const struct scale_in_decision *decision =
+            &g_array_index(decisions, struct scale_in_decision, i);
+        if (machine_id_equal(decision->machine, machine->id))
+            reason = (int)decision->reason;
+    }
+    g_array_unref(decisions);
+    return reason;
+}
+
+static void unusable_machines_have_a_reason(void **state)
+{
+    struct leader *leader;
+    struct ledger_machine *machine = idle_machine(*state, &leader);
+    mono_time later = time_add_ms(loop_now(leader->loop), 1000);
+    assert_int_equal(reason_of(autoscaler_find_unusable(leader), machine), -1);
+    machine->health.quarantined_until = later;
+    assert_int_equal(reason_of(autoscaler_find_unusable(leader), machine),
+                     SCALE_IN_REASON_QUARANTINED);
+    /* Services that run on it already are well. */
+    machine->usage.allocated.cpus.milli = 1000;
+    assert_int_equal(reason_of(autoscaler_find_unusable(leader), machine), -1);
+    machine->usage.allocated.cpus.milli = 0;
+    machine->health.quarantined_until = (mono_time){0};
+    machine->flags |= MACHINE_RECLAIMED;
+    assert_int_equal(reason_of(autoscaler_find_unusable(leader), machine),
+                     SCALE_IN_REASON_RECLAIMED);
+    machine->flags |= MACHINE_UNREACHABLE;
+    assert_int_equal(reason_of(autoscaler_find_unusable(leader), machine),
+                     SCALE_IN_REASON_UNREACHABLE);
+}
+
+/** On-demand machines are mostly only cut off: they are kept until their lease has expired. */
+static void unreachable_on_demand_machines_are_kept_until_their_lease_expires(void **state)
+{
+    struct leader *leader;
+    struct ledger_machine *machine = idle_machine(*state, &leader);
+    machine->is_spot = false;
+    machine->flags |= MACHINE_UNREACHABLE;
+    assert_int_equal(reason_of(autoscaler_find_unusable(leader), machine), -1);
+    machine->flags |= MACHINE_LEASE_EXPIRED;
+    assert_int_equal(reason_of(autoscaler_find_unusable(leader), machine),
+                     SCALE_IN_REASON_UNREACHABLE);
+}
+
+static void idle_machines_are_returned_only_once_it_is_ordered(void **state)
+{
+    struct leader *leader;
+    struct ledger_machine *machine = idle_machine(*state, &leader);
+    assert_int_equal(reason_of(autoscaler_find_idle(leader), machine), -1);
+    machine->idle_since = time_add_ms(machine->idle_since, -3600000);
+    GArray *decisions = autoscaler_find_idle(leader);
+    assert_false(cloud_provider_is_scaling_in(leader->cloud, machine->id.text));
+    autoscaler_order_scale_in(leader->cloud, decisions);
+    assert_true(cloud_provider_is_scaling_in(leader->cloud, machine->id.text));
+    assert_int_equal(reason_of(decisions, machine), SCALE_IN_REASON_IDLE);
+}
+
+int main(void)
+{
+    const struct CMUnitTest tests[] = {
+        WORLD_TEST(plan_acts_only_once_it_is_ordered),
+        WORLD_TEST(plan_keeps_to_zone_and_kind),
+        WORLD_TEST(plan_is_bounded_and_says_what_is_unmet),
+        WORLD_TEST(offers_avoid_silent_zones),
+        cmocka_unit_test(claims_use_spot_machines_first),
+        WORLD_TEST(unusable_machines_have_a_reason),
+        WORLD_TEST(unreachable_on_demand_machines_are_kept_until_their_lease_expires),
+        WORLD_TEST(idle_machines_are_returned_only_once_it_is_ordered),
+    };
+    return cmocka_run_group_tests(tests, NULL, NULL);
+}
