--- a/src/scheduler/autoscaler.c
+++ b/src/scheduler/autoscaler.c
@@ -75,8 +75,8 @@
     autoscaler_measure_services(leader);
     if (!scheduling_policy_machine_types(leader) || !cloud_provider_is_listed(leader->cloud))
         return;
-    /* The plan is made anew each time: calls of the cloud are few, and orders that are out of date
-     * would hold up those that are needed now. */
+    /* Each run replaces the plan of the last one: the cloud allows few calls, and outdated orders
+     * would delay those that are needed now. */
     cloud_provider_drop_unsent(leader->cloud);
     struct scale_out_plan *plan = autoscaler_plan_scale_out(leader);
     autoscaler_order_scale_out(leader->cloud, plan);
--- a/src/scheduler/autoscaler_capacity.h
+++ b/src/scheduler/autoscaler_capacity.h
@@ -19,7 +19,7 @@
 
 /** What tasks require of the machines that are to hold them. */
 struct capacity_request {
-    /** Says which machine types, zones and kinds the tasks may use. */
+    /** Determines which machine types, zones and kinds the tasks may use. */
     const struct job_spec *spec;
     /** Resources of one task. */
     struct resources task_resources;
--- a/src/scheduler/autoscaler_orders.h
+++ b/src/scheduler/autoscaler_orders.h
@@ -8,7 +8,7 @@
 void autoscaler_order_scale_out(struct cloud_provider *cloud, const struct scale_out_plan *plan);
 /** Orders the machines of an array of struct scale_in_decision to be returned. */
 void autoscaler_order_scale_in(struct cloud_provider *cloud, const GArray *decisions);
-/** Tells the owners of machines that the cloud has confirmed to be gone. */
+/** Notifies the owners of machines that the cloud has confirmed to be gone. */
 void autoscaler_announce_departed(struct leader *leader);
 
 #endif
--- a/src/scheduler/autoscaler_plan.c
+++ b/src/scheduler/autoscaler_plan.c
@@ -4,6 +4,7 @@
 struct scale_out_plan *scale_out_plan_new(struct leader *leader)
 {
     struct scale_out_plan *plan = g_new0(struct scale_out_plan, 1);
+    plan->leader = leader;
     plan->pending = pending_capacity_list(leader);
     plan->offers = g_array_new(FALSE, FALSE, sizeof(struct planned_machines));
     return plan;
@@ -43,14 +44,14 @@
                          resources_of_machine_type(offer->type));
 }
 
-int64_t scale_out_plan_request(struct scale_out_plan *plan, struct leader *leader,
-                               const struct capacity_request *request, int64_t task_count)
+int64_t scale_out_plan_request(struct scale_out_plan *plan, const struct capacity_request *request,
+                               int64_t task_count)
 {
     task_count = pending_capacity_claim(plan->pending, request, task_count);
     while (task_count > 0) {
         struct machine_offer offer;
         if (plan->machine_count >= MAX_PLANNED_MACHINES ||
-            !machine_offer_find(leader, request, task_count, &offer))
+            !machine_offer_find(plan->leader, request, task_count, &offer))
             return task_count;
         add_machine(plan, &offer);
         task_count = pending_capacity_claim(plan->pending, request, task_count);
--- a/src/scheduler/autoscaler_plan.h
+++ b/src/scheduler/autoscaler_plan.h
@@ -17,6 +17,8 @@
 };
 
 struct scale_out_plan {
+    /** Whose offers are used. */
+    struct leader *leader;
     /** struct pending_capacity: machines that are pending already, and those that are planned. */
     GArray *pending;
     /** struct planned_machines, one for each offer, in the order in which they were planned. */
@@ -32,7 +34,7 @@
  * Plans capacity for `task_count` more tasks: first what is pending and not claimed, then new
  * machines. Returns how many tasks found none, as no offer suits them or the plan is full.
  */
-int64_t scale_out_plan_request(struct scale_out_plan *plan, struct leader *leader,
-                               const struct capacity_request *request, int64_t task_count);
+int64_t scale_out_plan_request(struct scale_out_plan *plan, const struct capacity_request *request,
+                               int64_t task_count);
 
 #endif
--- a/src/scheduler/autoscaler_scale_in.h
+++ b/src/scheduler/autoscaler_scale_in.h
@@ -16,7 +16,7 @@
     SCALE_IN_REASON_RECLAIMED,
     /** Tasks take much longer on it than on others. */
     SCALE_IN_REASON_SLOW,
-    /** The cloud says that it failed to start. */
+    /** The cloud reports that it failed to start. */
     SCALE_IN_REASON_FAILED,
     /** It has not reported long after it should have booted. */
     SCALE_IN_REASON_BOOT_TIMEOUT,
--- a/src/scheduler/autoscaler_scale_out.c
+++ b/src/scheduler/autoscaler_scale_out.c
@@ -30,10 +30,10 @@
  * Plans machines for tasks of a job, in one zone (NULL: anywhere). On-demand machines are rented
  * for jobs that may use spot machines only once no more of these are to be had.
  */
-static void plan_tasks(struct leader *leader, struct scale_out_plan *plan,
-                       const struct ledger_job *job, const struct job_spec *spec,
-                       int64_t task_count, const char *zone, bool may_use_on_demand)
+static void plan_tasks(struct scale_out_plan *plan, const struct ledger_job *job, const char *zone,
+                       int64_t task_count, bool may_use_on_demand)
 {
+    const struct job_spec *spec = job->queue.job_record->spec;
     struct capacity_request request = {
         .spec = spec,
         .task_resources = job->task_resources,
@@ -41,24 +41,24 @@
         .spot_only = spec->may_use_spot,
     };
     if (spec->may_use_spot)
-        task_count = scale_out_plan_request(plan, leader, &request, task_count);
+        task_count = scale_out_plan_request(plan, &request, task_count);
     request.spot_only = false;
     if (!spec->may_use_spot || may_use_on_demand)
-        scale_out_plan_request(plan, leader, &request, task_count);
+        scale_out_plan_request(plan, &request, task_count);
 }
 
 /**
  * Number of the job's waiting tasks that its team's limit allows, after the jobs that come before
  * it in the team's queue. Adds them to the team's demand.
  */
-static int64_t take_team_demand(struct leader *leader, struct ledger_job *job,
-                                struct job *job_record)
+static int64_t take_team_demand(struct leader *leader, struct ledger_job *job)
 {
     struct ledger_team *team = &leader->ledger.teams[job->team_index];
     struct resources remaining =
         resources_remaining(quota_ledger_remaining_limit(team), team->demand);
-    int64_t allowed_tasks = MIN(quota_ledger_count_allowed_tasks(leader, job, job_record),
-                                resources_fit_count(remaining, job->task_resources));
+    int64_t allowed_tasks =
+        MIN(quota_ledger_count_allowed_tasks(leader, job, job->queue.job_record),
+            resources_fit_count(remaining, job->task_resources));
     /* Tasks of a gang for which resources are reserved need no machines. */
     int64_t task_count = MAX(allowed_tasks - job->gang.reserved_task_count, 0);
     struct resources demand = resources_of_tasks(job->task_resources, task_count);
@@ -71,66 +71,70 @@
  * The zone in which a job that needs a single zone has tasks already, where the others must go;
  * NULL when there is none.
  */
-static const char *find_settled_zone(struct leader *leader, struct ledger_job *job,
-                                     const struct job_spec *spec)
+static const char *find_settled_zone(struct leader *leader, struct ledger_job *job)
 {
+    if (!job->queue.job_record->spec->needs_single_zone)
+        return NULL;
     const GPtrArray *zones = leader->settings->zones;
-    for (guint i = 0; spec->needs_single_zone && i < zones->len; i++)
+    for (guint i = 0; i < zones->len; i++)
         if (placement_count_tasks_in_zone(leader, job, zones->pdata[i]))
             return zones->pdata[i];
     return NULL;
 }
 
 /** Spreads the tasks of a job that needs separate zones: each takes half of its tasks at most. */
-static void plan_separate_zones(struct leader *leader, struct scale_out_plan *plan,
-                                struct ledger_job *job, const struct job_spec *spec,
+static void plan_separate_zones(struct scale_out_plan *plan, struct ledger_job *job,
                                 int64_t task_count, bool may_use_on_demand)
 {
-    const GPtrArray *zones = leader->settings->zones;
+    const struct job_spec *spec = job->queue.job_record->spec;
+    const GPtrArray *zones = plan->leader->settings->zones;
     for (guint i = 0; i < zones->len && task_count > 0; i++) {
         const char *zone = zones->pdata[i];
-        int64_t tasks_in_zone = placement_count_tasks_in_zone(leader, job, zone);
+        int64_t tasks_in_zone = placement_count_tasks_in_zone(plan->leader, job, zone);
         int64_t max_more_tasks = (spec->task_count + 1) / 2 - tasks_in_zone;
         int64_t zone_tasks = CLAMP(max_more_tasks, 0, task_count);
-        plan_tasks(leader, plan, job, spec, zone_tasks, zone, may_use_on_demand);
+        plan_tasks(plan, job, zone, zone_tasks, may_use_on_demand);
         task_count -= zone_tasks;
     }
 }
 
-static void plan_job(struct leader *leader, struct scale_out_plan *plan, struct ledger_job *job,
-                     struct job *job_record, bool may_use_on_demand)
+static void plan_job(struct scale_out_plan *plan, struct ledger_job *job, bool may_use_on_demand)
 {
-    const struct job_spec *spec = job_record->spec;
-    int64_t task_count = take_team_demand(leader, job, job_record);
-    if (spec->needs_separate_zones)
-        plan_separate_zones(leader, plan, job, spec, task_count, may_use_on_demand);
+    int64_t task_count = take_team_demand(plan->leader, job);
+    if (job->queue.job_record->spec->needs_separate_zones)
+        plan_separate_zones(plan, job, task_count, may_use_on_demand);
     else
-        plan_tasks(leader, plan, job, spec, task_count, find_settled_zone(leader, job, spec),
-                   may_use_on_demand);
+        plan_tasks(plan, job, find_settled_zone(plan->leader, job), task_count, may_use_on_demand);
+}
+
+/** Work of the job's waiting tasks that its team's limit allows, in CPU seconds. */
+static double waiting_cpu_s(struct leader *leader, struct ledger_job *job)
+{
+    struct job *job_record = job->queue.job_record;
+    return (double)quota_ledger_count_allowed_tasks(leader, job, job_record) *
+           job_record->spec->expected_run_s * (double)job->task_resources.cpus.milli / 1000;
 }
 
 /** Plans all waiting jobs of a rank, team by team in the order of their queues. */
-static void plan_rank(struct leader *leader, struct scale_out_plan *plan, int rank,
-                      struct backlog *backlog)
+static void plan_rank(struct scale_out_plan *plan, int rank, struct backlog *backlog)
 {
+    struct leader *leader = plan->leader;
     for (int i = 0; i < leader->ledger.team_count; i++) {
         const GPtrArray *ready_jobs = leader->ledger.teams[i].ready_jobs;
         for (guint k = 0; k < ready_jobs->len; k++) {
             struct ledger_job *job = ready_jobs->pdata[k];
-            struct job *job_record = job->queue.job_record;
             if (job_queue_rank(leader, job) != rank)
                 continue;
-            backlog->cpu_s += (double)quota_ledger_count_allowed_tasks(leader, job, job_record) *
-                              job_record->spec->expected_run_s *
-                              (double)job->task_resources.cpus.milli / 1000;
-            bool may_use_on_demand = scheduling_policy_may_rent_on_demand(
-                leader, job, job_record->spec, backlog->cpu_s / backlog->available_cpus);
-            plan_job(leader, plan, job, job_record, may_use_on_demand);
+            backlog->cpu_s += waiting_cpu_s(leader, job);
+            double backlog_s = backlog->cpu_s / backlog->available_cpus;
+            plan_job(plan, job,
+                     scheduling_policy_may_rent_on_demand(leader, job, job->queue.job_record->spec,
+                                                          backlog_s));
         }
     }
 }
 
-static void plan_spare_cpus(struct leader *leader, struct scale_out_plan *plan)
+static void plan_spare_cpus(struct scale_out_plan *plan)
 {
     const struct job_spec any_job = {.may_use_spot = true};
     const struct capacity_request request = {
@@ -138,10 +142,10 @@
         .task_resources = SPARE_TASK,
         .spot_only = true,
     };
-    double missing_cpus =
-        scheduling_policy_spare_cpus(leader) - resources_cpus(autoscaler_total_free(leader));
+    double missing_cpus = scheduling_policy_spare_cpus(plan->leader) -
+                          resources_cpus(autoscaler_total_free(plan->leader));
     if (missing_cpus > 0)
-        scale_out_plan_request(plan, leader, &request, (int64_t)ceil(missing_cpus));
+        scale_out_plan_request(plan, &request, (int64_t)ceil(missing_cpus));
 }
 
 struct scale_out_plan *autoscaler_plan_scale_out(struct leader *leader)
@@ -155,9 +159,9 @@
     };
     for (int rank = 0; rank < RANK_COUNT; rank++) {
         if (rank == FIRST_RANK_AFTER_SERVICES)
-            autoscaler_plan_for_services(leader, plan);
-        plan_rank(leader, plan, rank, &backlog);
+            autoscaler_plan_for_services(plan);
+        plan_rank(plan, rank, &backlog);
     }
-    plan_spare_cpus(leader, plan);
+    plan_spare_cpus(plan);
     return plan;
 }
--- a/src/scheduler/autoscaler_services.c
+++ b/src/scheduler/autoscaler_services.c
@@ -15,7 +15,7 @@
     MIN_OBSERVED_INTERVALS = 2,
 };
 
-/** What the services that run tell of those to come. */
+/** Services in the ledger, from which those to come are estimated. */
 struct service_sample {
     int64_t task_count;
     struct resources total;
@@ -114,21 +114,21 @@
 }
 
 /** Plans capacity for service tasks in a zone; returns how many found none. */
-static int64_t plan_in_zone(struct leader *leader, struct scale_out_plan *plan, const char *zone,
-                            int64_t task_count)
+static int64_t plan_in_zone(struct scale_out_plan *plan, const char *zone, int64_t task_count)
 {
     const struct job_spec any_service = {.form = FORM_SERVICE};
     const struct capacity_request request = {
         .spec = &any_service,
-        .task_resources = leader->autoscaler.mean_service_request,
+        .task_resources = plan->leader->autoscaler.mean_service_request,
         .zone = zone,
     };
-    return scale_out_plan_request(plan, leader, &request, task_count);
+    return scale_out_plan_request(plan, &request, task_count);
 }
 
 /** Gives each zone what it lacks; returns how many tasks found no machine in their zone. */
-static int64_t plan_in_all_zones(struct leader *leader, struct scale_out_plan *plan)
+static int64_t plan_in_all_zones(struct scale_out_plan *plan)
 {
+    struct leader *leader = plan->leader;
     int64_t tasks_per_zone = target_tasks_per_zone(leader);
     int64_t unmet_tasks = 0;
     const GPtrArray *zones = leader->settings->zones;
@@ -137,7 +137,7 @@
         const char *zone = zones->pdata[i];
         shortfall_tasks[i] = tasks_per_zone - count_service_capacity(leader, zone);
         if (shortfall_tasks[i] > 0)
-            unmet_tasks += plan_in_zone(leader, plan, zone, shortfall_tasks[i]);
+            unmet_tasks += plan_in_zone(plan, zone, shortfall_tasks[i]);
     }
     return unmet_tasks;
 }
@@ -146,24 +146,25 @@
  * A zone in which no more machines are to be had is helped by capacity in the others, to which
  * replicas that may run anywhere are relocated.
  */
-static void plan_elsewhere(struct leader *leader, struct scale_out_plan *plan, int64_t unmet_tasks)
+static void plan_elsewhere(struct scale_out_plan *plan, int64_t unmet_tasks)
 {
+    struct leader *leader = plan->leader;
     const GPtrArray *zones = leader->settings->zones;
     int64_t *shortfall_tasks = leader->autoscaler.service_shortfall_tasks;
     for (guint i = 0; i < zones->len; i++) {
         shortfall_tasks[i] += unmet_tasks;
         if (shortfall_tasks[i] > 0 && shortfall_tasks[i] <= unmet_tasks)
-            plan_in_zone(leader, plan, zones->pdata[i], shortfall_tasks[i]);
+            plan_in_zone(plan, zones->pdata[i], shortfall_tasks[i]);
     }
 }
 
-void autoscaler_plan_for_services(struct leader *leader, struct scale_out_plan *plan)
+void autoscaler_plan_for_services(struct scale_out_plan *plan)
 {
-    if (!leader->autoscaler.has_services)
+    if (!plan->leader->autoscaler.has_services)
         return;
-    int64_t unmet_tasks = plan_in_all_zones(leader, plan);
+    int64_t unmet_tasks = plan_in_all_zones(plan);
     if (unmet_tasks > 0)
-        plan_elsewhere(leader, plan, unmet_tasks);
+        plan_elsewhere(plan, unmet_tasks);
 }
 
 bool autoscaler_release_service_capacity(struct leader *leader,
--- a/src/scheduler/feature_switch.h
+++ b/src/scheduler/feature_switch.h
@@ -8,7 +8,7 @@
 
 #include "scheduler_internal.h"
 
-/** Turns the switch if that is due. To be called now and then while this node leads. */
+/** Turns the switch if that is due. To be called regularly while this node leads. */
 void feature_switch_update(struct leader *leader);
 
 #endif
--- a/src/scheduler/machine_health.c
+++ b/src/scheduler/machine_health.c
@@ -34,7 +34,7 @@
 /** A machine is slow when its tasks take this many times as long as on the median machine. */
 static const double SLOWDOWN_LIMIT = 1.7;
 
-/** Tasks of jobs with a shorter mean say nothing about a machine. */
+/** Tasks of jobs with a shorter mean are no measure of a machine. */
 static const double MIN_MEAN_RUN_TIME_S = 0.5;
 
 /** Weight of the latest task in the moving average of its machine's slowdown. */
--- a/src/scheduler/scheduling_policy.c
+++ b/src/scheduler/scheduling_policy.c
@@ -1,4 +1,4 @@
-/** What objectives, machine types and the operators' policy file say to the scheduler. */
+/** What objectives, machine types and the operators' policy file prescribe to the scheduler. */
 #include "scheduling_policy.h"
 
 #include <math.h>
@@ -34,7 +34,7 @@
     return slowest_s;
 }
 
-/** How long a task may wait if the objective is to be met; `default_s` if it does not say. */
+/** How long a task may wait if the objective is to be met; `default_s` if it sets no limit. */
 static double max_wait_s(const struct objective *objective, const struct job_spec *spec,
                          double default_s)
 {
--- a/src/scheduler/scheduling_policy.h
+++ b/src/scheduler/scheduling_policy.h
@@ -1,4 +1,4 @@
-/** What objectives, machine types and the operators' policy file say to the scheduler. */
+/** What objectives, machine types and the operators' policy file prescribe to the scheduler. */
 #ifndef LL_SCHEDULING_POLICY_H
 #define LL_SCHEDULING_POLICY_H
 
--- a/tests/test_autoscaler.c
+++ b/tests/test_autoscaler.c
@@ -44,7 +44,7 @@
     struct job_spec spec = {.may_use_spot = true};
     struct capacity_request request = {&spec, HALF_MACHINE, NULL, true};
     struct scale_out_plan *plan = new_plan_without_pending(leader);
-    assert_int_equal(scale_out_plan_request(plan, leader, &request, 5), 0);
+    assert_int_equal(scale_out_plan_request(plan, &request, 5), 0);
     assert_int_equal(plan->offers->len, 1);
     assert_int_equal(plan->machine_count, 3);
     const struct machine_offer *offer = &planned(plan, 0)->offer;
@@ -64,15 +64,15 @@
     struct job_spec spec = {.may_use_spot = false};
     struct capacity_request request = {&spec, HALF_MACHINE, "b", false};
     struct scale_out_plan *plan = new_plan_without_pending(leader);
-    assert_int_equal(scale_out_plan_request(plan, leader, &request, 4), 0);
+    assert_int_equal(scale_out_plan_request(plan, &request, 4), 0);
     assert_int_equal(plan->offers->len, 1);
     assert_int_equal(planned(plan, 0)->machine_count, 2);
     assert_string_equal(planned(plan, 0)->offer.zone, "b");
     assert_false(planned(plan, 0)->offer.is_spot);
     /* What is planned is pending from then on: it holds a task of half a machine once more. */
-    assert_int_equal(scale_out_plan_request(plan, leader, &request, 1), 0);
+    assert_int_equal(scale_out_plan_request(plan, &request, 1), 0);
     assert_int_equal(plan->machine_count, 3);
-    assert_int_equal(scale_out_plan_request(plan, leader, &request, 1), 0);
+    assert_int_equal(scale_out_plan_request(plan, &request, 1), 0);
     assert_int_equal(plan->machine_count, 3);
     scale_out_plan_free(plan);
 }
@@ -84,10 +84,9 @@
     struct capacity_request too_large = {&spec, {{64000}, {0}, {1000}}, NULL, true};
     struct capacity_request request = {&spec, HALF_MACHINE, NULL, true};
     struct scale_out_plan *plan = new_plan_without_pending(leader);
-    assert_int_equal(scale_out_plan_request(plan, leader, &too_large, 7), 7);
+    assert_int_equal(scale_out_plan_request(plan, &too_large, 7), 7);
     assert_int_equal(plan->machine_count, 0);
-    assert_int_equal(scale_out_plan_request(plan, leader, &request, 2 * MAX_PLANNED_MACHINES + 9),
-                     9);
+    assert_int_equal(scale_out_plan_request(plan, &request, 2 * MAX_PLANNED_MACHINES + 9), 9);
     assert_int_equal(plan->machine_count, MAX_PLANNED_MACHINES);
     scale_out_plan_free(plan);
 }
