--- a/src/api/api.c
+++ b/src/api/api.c
@@ -18,7 +18,8 @@
                         .settings = setup->settings,
                         .shard = setup->shard,
                         .rpc = setup->bus,
-                        .peers = setup->peers,
+                        .cancel_broadcast = setup->cancel_broadcast,
+                        .failure_detector = setup->failure_detector,
                         .membership = setup->members,
                         .max_waiting = MAX(MIN_WAITING_LIMIT, setup->settings->max_open_files / 4)};
     g_queue_init(&api->unanswered);
@@ -38,10 +39,11 @@
 static bool is_ready(struct api *api)
 {
     if (!api->replica->is_ready || !api->replica->machine_types ||
-        failure_detector_is_isolated(api->peers))
+        failure_detector_is_isolated(api->failure_detector))
         return false;
-    mono_time now = loop_now(api->loop), quiet = cancel_broadcast_known_until(api->peers);
-    return failure_detector_find_served_node(api->peers) ||
+    mono_time now = loop_now(api->loop),
+              quiet = cancel_broadcast_known_until(api->cancel_broadcast);
+    return failure_detector_find_served_node(api->failure_detector) ||
            (quiet.us && time_ms_since(now, quiet) < MAX_READY_STALENESS_MS / 2) ||
            time_ms_since(now, api->replica->fresh_at) < MAX_READY_STALENESS_MS;
 }
@@ -113,7 +115,7 @@
 static bool forward_to_peer(struct api *api, struct http_responder *responder, connection_ref from,
                             const struct http_request *request)
 {
-    const char *peer = failure_detector_find_served_node(api->peers);
+    const char *peer = failure_detector_find_served_node(api->failure_detector);
     if (!peer || !is_job_path(request->path) || api->waiting_count >= api->max_waiting ||
         (!membership_all_nodes_support(api->membership, NODE_VERSION_JOB_DAG) &&
          names_dependencies(request)))
--- a/src/api/api.h
+++ b/src/api/api.h
@@ -2,7 +2,7 @@
 #ifndef LL_FRONTEND_H
 #define LL_FRONTEND_H
 
-#include "peers.h"
+#include "failure_detector.h"
 #include "shard.h"
 
 struct api;
@@ -14,7 +14,8 @@
     struct replica *view;
     struct membership *members;
     struct node_rpc *bus;
-    struct peers *peers;
+    struct cancel_broadcast *cancel_broadcast;
+    struct failure_detector *failure_detector;
     struct shard *shard;
     const struct settings *settings;
 };
--- a/src/api/api_internal.h
+++ b/src/api/api_internal.h
@@ -20,7 +20,8 @@
     const struct settings *settings;
     struct shard *shard;
     struct node_rpc *rpc;
-    struct peers *peers;
+    struct cancel_broadcast *cancel_broadcast;
+    struct failure_detector *failure_detector;
     struct membership *membership;
     int waiting_count, max_waiting; /* requests that wait for the state service */
     GQueue unanswered;              /* struct api_request: not answered yet, oldest first */
--- a/src/api/api_request.c
+++ b/src/api/api_request.c
@@ -61,7 +61,7 @@
     struct api *api = request->api;
     if (request->action == API_ACTION_CANCEL) {
         /* Its user may hear of it from now on, from whichever node. */
-        cancel_broadcast_finish(api->peers, request->job, outcome);
+        cancel_broadcast_finish(api->cancel_broadcast, request->job, outcome);
     }
     if (request->is_answered) {
         api_request_free(request); /* its user asks again */
@@ -69,7 +69,7 @@
         /* It is on record, so this may be said from now on. */
         LOG_DEBUG("answered", "job=%s action=%d", request->job.text, request->action);
         if (request->action == API_ACTION_CANCEL) {
-            cancel_broadcast_announce(api->peers, request->job, outcome->at_revision,
+            cancel_broadcast_announce(api->cancel_broadcast, request->job, outcome->at_revision,
                                       on_cancel_announced, request);
             return;
         }
--- a/src/api/api_response.c
+++ b/src/api/api_response.c
@@ -36,7 +36,7 @@
                    const struct job *job)
 {
     if (job->state == JOB_CANCELLED)
-        cancel_broadcast_confirm(api->peers, job->id, job->cancelled_at);
+        cancel_broadcast_confirm(api->cancel_broadcast, job->id, job->cancelled_at);
     api_reply(responder, to, 200, encode_job_status(job));
 }
 
--- a/src/api/cancel.c
+++ b/src/api/cancel.c
@@ -20,6 +20,6 @@
         value = api_encode_live_job(spec, job->submitted_at.ms, true);
         json_object_put(spec);
     }
-    cancel_broadcast_begin(request->api->peers, request->job);
+    cancel_broadcast_begin(request->api->cancel_broadcast, request->job);
     api_request_write_job(request, job->mod_revision, value);
 }
--- /dev/null
+++ b/src/cluster/cancel_broadcast.c
@@ -0,0 +1,342 @@
+/**
+ * @file
+ * Cancellations of jobs that a node's replica may not show yet.
+ */
+#include "cancel_broadcast.h"
+
+#include "log.h"
+
+enum {
+    /** Local cancellations that are remembered. */
+    MAX_LOCAL_CANCELS = 4000,
+    /** Cancellations in one health report; one more shows that it is incomplete. */
+    MAX_SHARED_CANCELS = 1000,
+    /** How long a user's response waits for the other nodes to acknowledge an announcement. */
+    ANNOUNCE_TIMEOUT_MS = 100,
+};
+
+/** A cancellation that this node has confirmed to a user, or has sent to the key-value store. */
+struct local_cancel {
+    /** In the order in which they came. */
+    GList link;
+    job_id job;
+    /** 0: not confirmed to any user by this node. */
+    revision committed_at;
+    /** Transactions that may have been committed, or may yet be. */
+    int pending_txns;
+    mono_time known_since;
+};
+
+/** A cancellation that another node has shared. */
+struct remote_cancel {
+    /** 0: possible, not known to be committed. */
+    revision committed_at;
+    mono_time confirmed_not_before;
+};
+
+struct cancel_broadcast {
+    struct loop *loop;
+    struct node_rpc *rpc;
+    struct replica *replica;
+    const struct settings *settings;
+    struct actor *listener;
+    /** Job id -> struct local_cancel, which owns the key. */
+    GHashTable *local_cancels;
+    /** Their links, oldest first. */
+    GQueue local_cancel_order;
+    /** Of all that this node confirmed. */
+    revision newest_committed;
+    /** The newest revision of the local cancellations that were forgotten. */
+    revision evicted_up_to;
+    /** Some that were forgotten may still be committed. */
+    bool has_evicted_pending;
+    /** Job id -> struct remote_cancel. */
+    GHashTable *remote_cancels;
+    mono_time known_until;
+};
+
+/** Whether the replica shows that the job has ended. */
+static bool has_ended(const struct job *job)
+{
+    return job && job->is_known && job->state != JOB_ACTIVE;
+}
+
+static void notify_listener(struct cancel_broadcast *broadcast, job_id job)
+{
+    if (broadcast->listener)
+        actor_send(broadcast->loop, broadcast->listener, MSG_CANCELLED, g_memdup2(&job, sizeof job),
+                   g_free);
+}
+
+/* ---- local cancellations ---- */
+
+static void drop_local(struct cancel_broadcast *broadcast, struct local_cancel *cancel)
+{
+    g_queue_unlink(&broadcast->local_cancel_order, &cancel->link);
+    g_hash_table_remove(broadcast->local_cancels, cancel->job.text);
+}
+
+/**
+ * Resolves transactions of unknown outcome by what the replica shows. Once the job has ended, the
+ * compares of a transaction that is still under way fail.
+ */
+static void resolve_local(struct cancel_broadcast *broadcast, struct local_cancel *cancel)
+{
+    if (cancel->committed_at.value || !cancel->pending_txns)
+        return;
+    const struct job *job = replica_get_job(broadcast->replica, cancel->job.text);
+    if (!has_ended(job))
+        return;
+    cancel->pending_txns = 0;
+    if (job->state == JOB_CANCELLED)
+        cancel->committed_at = job->cancelled_at;
+}
+
+/** Forgets the oldest. Nodes that may lack them learn from the reports that these are incomplete.
+ */
+static void evict_oldest_local(struct cancel_broadcast *broadcast)
+{
+    while (broadcast->local_cancel_order.length > MAX_LOCAL_CANCELS) {
+        struct local_cancel *cancel = broadcast->local_cancel_order.head->data;
+        resolve_local(broadcast, cancel);
+        broadcast->evicted_up_to.value =
+            MAX(broadcast->evicted_up_to.value, cancel->committed_at.value);
+        if (cancel->pending_txns && !cancel->committed_at.value)
+            broadcast->has_evicted_pending = true;
+        drop_local(broadcast, cancel);
+    }
+}
+
+static struct local_cancel *get_or_add_local(struct cancel_broadcast *broadcast, job_id job)
+{
+    struct local_cancel *cancel = g_hash_table_lookup(broadcast->local_cancels, job.text);
+    if (cancel)
+        return cancel;
+    cancel = g_new0(struct local_cancel, 1);
+    cancel->job = job;
+    cancel->link.data = cancel;
+    cancel->known_since = loop_now(broadcast->loop);
+    g_hash_table_insert(broadcast->local_cancels, cancel->job.text, cancel);
+    g_queue_push_tail_link(&broadcast->local_cancel_order, &cancel->link);
+    evict_oldest_local(broadcast);
+    return cancel;
+}
+
+void cancel_broadcast_begin(struct cancel_broadcast *broadcast, job_id job)
+{
+    get_or_add_local(broadcast, job)->pending_txns++;
+}
+
+/* The replica may lose its watch at this very moment and never show the cancellation, so the
+ * listener acts on it without the replica, on this node as well as where it is shared. */
+void cancel_broadcast_confirm(struct cancel_broadcast *broadcast, job_id job, revision committed_at)
+{
+    struct local_cancel *cancel = get_or_add_local(broadcast, job);
+    bool is_new =
+        !cancel->committed_at.value && !has_ended(replica_get_job(broadcast->replica, job.text));
+    if (!cancel->committed_at.value || committed_at.value < cancel->committed_at.value)
+        cancel->committed_at = committed_at;
+    broadcast->newest_committed.value = MAX(broadcast->newest_committed.value, committed_at.value);
+    if (is_new)
+        notify_listener(broadcast, job);
+}
+
+void cancel_broadcast_finish(struct cancel_broadcast *broadcast, job_id job,
+                             const struct txn_outcome *outcome)
+{
+    enum txn_status status = outcome->status;
+    if (status == TXN_COMMITTED)
+        cancel_broadcast_confirm(broadcast, job, outcome->at_revision);
+    struct local_cancel *cancel = g_hash_table_lookup(broadcast->local_cancels, job.text);
+    if (!cancel)
+        return;
+    if (status == TXN_UNKNOWN)
+        notify_listener(broadcast, job);
+    else if (cancel->pending_txns)
+        cancel->pending_txns--;
+    if (!cancel->pending_txns && !cancel->committed_at.value && status != TXN_COMMITTED)
+        drop_local(broadcast, cancel);
+}
+
+revision cancel_broadcast_get_newest(const struct cancel_broadcast *broadcast)
+{
+    return broadcast->newest_committed;
+}
+
+/** Whether a node whose replica stands at that revision may lack the cancellation. */
+static bool may_be_missing_at(const struct local_cancel *cancel, revision replica_revision)
+{
+    if (cancel->committed_at.value)
+        return cancel->committed_at.value > replica_revision.value;
+    return cancel->pending_txns > 0;
+}
+
+bool cancel_broadcast_collect(struct cancel_broadcast *broadcast, revision replica_revision,
+                              GArray *notices)
+{
+    for (GList *link = broadcast->local_cancel_order.head; link; link = link->next) {
+        struct local_cancel *cancel = link->data;
+        if (notices->len > MAX_SHARED_CANCELS)
+            return false;
+        resolve_local(broadcast, cancel);
+        if (!may_be_missing_at(cancel, replica_revision))
+            continue;
+        struct cancel_notice notice = {cancel->job, cancel->committed_at};
+        g_array_append_val(notices, notice);
+    }
+    return notices->len <= MAX_SHARED_CANCELS && !broadcast->has_evicted_pending &&
+           broadcast->evicted_up_to.value <= replica_revision.value;
+}
+
+/* ---- remote cancellations ---- */
+
+/** When a user can first have been told of what another node shares now. */
+static mono_time earliest_confirmation(const struct cancel_broadcast *broadcast)
+{
+    mono_time fresh_at = broadcast->replica->fresh_at;
+    return time_before(fresh_at, broadcast->known_until) ? broadcast->known_until : fresh_at;
+}
+
+void cancel_broadcast_add_remote(struct cancel_broadcast *broadcast,
+                                 const struct cancel_notice *notice)
+{
+    struct remote_cancel *cancel = g_hash_table_lookup(broadcast->remote_cancels, notice->job.text);
+    bool is_committed = notice->committed_at.value != 0;
+    bool is_news = !cancel || (is_committed && !cancel->committed_at.value);
+    if (!cancel) {
+        cancel = g_new0(struct remote_cancel, 1);
+        cancel->confirmed_not_before = earliest_confirmation(broadcast);
+        g_hash_table_insert(broadcast->remote_cancels, g_strdup(notice->job.text), cancel);
+    }
+    cancel->committed_at.value = MAX(cancel->committed_at.value, notice->committed_at.value);
+    if (is_news) {
+        LOG_INFO("cancel_learned", "job=%s committed=%d", notice->job.text, is_committed);
+        notify_listener(broadcast, notice->job);
+    }
+}
+
+void cancel_broadcast_expire_remote(struct cancel_broadcast *broadcast)
+{
+    const struct replica *replica = broadcast->replica;
+    GHashTableIter iter;
+    struct remote_cancel *cancel;
+    g_hash_table_iter_init(&iter, broadcast->remote_cancels);
+    while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&cancel)) {
+        bool is_over = cancel->committed_at.value
+                           ? cancel->committed_at.value <= replica->applied_revision.value
+                           : time_before(cancel->confirmed_not_before, replica->fresh_at);
+        if (is_over)
+            g_hash_table_iter_remove(&iter);
+    }
+}
+
+mono_time cancel_broadcast_known_until(const struct cancel_broadcast *broadcast)
+{
+    return broadcast->known_until;
+}
+
+void cancel_broadcast_set_known_until(struct cancel_broadcast *broadcast, mono_time until)
+{
+    broadcast->known_until = until;
+}
+
+/* ---- announcements ---- */
+
+/** An announcement under way to all other nodes. */
+struct cancel_announcement {
+    guint responses_pending;
+    void (*done)(void *arg);
+    void *arg;
+};
+
+static void on_announce_response(void *arg, int status, const cJSON *message)
+{
+    (void)status;
+    (void)message;
+    struct cancel_announcement *announcement = arg;
+    if (--announcement->responses_pending)
+        return;
+    announcement->done(announcement->arg);
+    g_free(announcement);
+}
+
+void cancel_broadcast_announce(struct cancel_broadcast *broadcast, job_id job,
+                               revision committed_at, void (*done)(void *arg), void *arg)
+{
+    const GArray *siblings = broadcast->settings->siblings;
+    const struct cancel_notice notice = {job, committed_at};
+    if (!siblings->len) {
+        done(arg);
+        return;
+    }
+    struct cancel_announcement *announcement = g_new(struct cancel_announcement, 1);
+    *announcement = (struct cancel_announcement){siblings->len, done, arg};
+    for (guint i = 0; i < siblings->len; i++)
+        node_rpc_call(broadcast->rpc, g_array_index(siblings, struct sibling, i).label,
+                      RPC_KIND_CANCELLED, cancel_notice_encode(&notice), ANNOUNCE_TIMEOUT_MS,
+                      on_announce_response, announcement);
+}
+
+static int on_cancelled_message(void *ctx, const char *from, const cJSON *message, cJSON **response)
+{
+    (void)from;
+    (void)response;
+    struct cancel_notice notice;
+    if (!cancel_notice_decode(message, &notice))
+        return 400;
+    cancel_broadcast_add_remote(ctx, &notice);
+    return 200;
+}
+
+/* ---- status ---- */
+
+void cancel_broadcast_set_listener(struct cancel_broadcast *broadcast, struct actor *listener)
+{
+    broadcast->listener = listener;
+}
+
+enum cancel_status cancel_broadcast_get_status(const struct cancel_broadcast *broadcast, job_id job)
+{
+    const struct local_cancel *local = g_hash_table_lookup(broadcast->local_cancels, job.text);
+    const struct remote_cancel *remote = g_hash_table_lookup(broadcast->remote_cancels, job.text);
+    if ((local && local->committed_at.value) || (remote && remote->committed_at.value))
+        return CANCEL_COMMITTED;
+    return local || remote ? CANCEL_POSSIBLE : CANCEL_NONE;
+}
+
+mono_time cancel_broadcast_confirmed_not_before(const struct cancel_broadcast *broadcast,
+                                                job_id job)
+{
+    const struct local_cancel *local = g_hash_table_lookup(broadcast->local_cancels, job.text);
+    const struct remote_cancel *remote = g_hash_table_lookup(broadcast->remote_cancels, job.text);
+    if (!local && !remote)
+        return loop_now(broadcast->loop);
+    if (!local)
+        return remote->confirmed_not_before;
+    if (!remote || !time_before(remote->confirmed_not_before, local->known_since))
+        return local->known_since;
+    return remote->confirmed_not_before;
+}
+
+struct cancel_broadcast *cancel_broadcast_new(struct loop *loop, struct node_rpc *rpc,
+                                              struct replica *replica,
+                                              const struct settings *settings)
+{
+    struct cancel_broadcast *broadcast = g_new0(struct cancel_broadcast, 1);
+    broadcast->loop = loop;
+    broadcast->rpc = rpc;
+    broadcast->replica = replica;
+    broadcast->settings = settings;
+    broadcast->local_cancels = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
+    broadcast->remote_cancels = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    g_queue_init(&broadcast->local_cancel_order);
+    node_rpc_register(rpc, RPC_KIND_CANCELLED, on_cancelled_message, broadcast);
+    return broadcast;
+}
+
+void cancel_broadcast_free(struct cancel_broadcast *broadcast)
+{
+    g_hash_table_unref(broadcast->local_cancels);
+    g_hash_table_unref(broadcast->remote_cancels);
+    g_free(broadcast);
+}
--- /dev/null
+++ b/src/cluster/failure_detector.c
@@ -0,0 +1,201 @@
+/**
+ * @file
+ * Asks the other nodes for their health while the key-value store does not serve this node.
+ */
+#include "failure_detector.h"
+
+enum {
+    /** Between two rounds of questions while the key-value store is unavailable. */
+    POLL_INTERVAL_MS = 500,
+    /** Between two looks at whether it is. */
+    IDLE_INTERVAL_MS = POLL_INTERVAL_MS / 2,
+    /** Added to the time that a node must have been up: see has_shared_since(). */
+    UPTIME_MARGIN_MS = 1000,
+};
+
+/** What a node reported in the latest round, or that it did not. */
+struct peer_health {
+    bool is_reachable;
+    /** The key-value store serves it. */
+    bool is_served;
+    /** It has shared every cancellation that this node's replica may not show. */
+    bool has_shared_cancels;
+    int64_t uptime_ms;
+};
+
+struct failure_detector {
+    struct failure_detector_setup setup;
+    mono_time started_at;
+    struct timer poll_timer;
+    mono_time asked_at;
+    guint responses_pending;
+    /** Label -> struct peer_health. */
+    GHashTable *health_by_label;
+    /** Nobody responded in the latest round. */
+    bool is_isolated;
+};
+
+static void on_poll_timer(void *arg);
+
+static int on_health_question(void *ctx, const char *from, const cJSON *message, cJSON **response)
+{
+    (void)from;
+    const struct failure_detector *detector = ctx;
+    const struct failure_detector_setup *setup = &detector->setup;
+    struct peer_question question = peer_question_decode(message);
+    struct health_report report = {
+        .is_served = !kv_client_is_unavailable(setup->kv),
+        .question_number = question.number,
+        .newest_committed = cancel_broadcast_get_newest(setup->cancel_broadcast),
+        .uptime_ms = time_ms_since(loop_now(setup->loop), detector->started_at),
+        .cancels = g_array_new(FALSE, FALSE, sizeof(struct cancel_notice))};
+    report.has_all_cancels = cancel_broadcast_collect(setup->cancel_broadcast,
+                                                      question.replica_revision, report.cancels);
+    *response = health_report_encode(&report);
+    health_report_clear(&report);
+    return 200;
+}
+
+struct failure_detector *failure_detector_new(const struct failure_detector_setup *setup)
+{
+    struct failure_detector *detector = g_new0(struct failure_detector, 1);
+    detector->setup = *setup;
+    detector->started_at = loop_now(setup->loop);
+    detector->health_by_label = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    timer_init(&detector->poll_timer, on_poll_timer, detector);
+    node_rpc_register(setup->rpc, RPC_KIND_HEALTH, on_health_question, detector);
+    return detector;
+}
+
+void failure_detector_free(struct failure_detector *detector)
+{
+    timer_stop(detector->setup.loop, &detector->poll_timer);
+    g_hash_table_unref(detector->health_by_label);
+    g_free(detector);
+}
+
+void failure_detector_start(struct failure_detector *detector)
+{
+    timer_start(detector->setup.loop, &detector->poll_timer, POLL_INTERVAL_MS);
+}
+
+const char *failure_detector_find_served_node(const struct failure_detector *detector)
+{
+    if (!kv_client_is_unavailable(detector->setup.kv))
+        return NULL;
+    GHashTableIter iter;
+    char *label;
+    struct peer_health *peer;
+    g_hash_table_iter_init(&iter, detector->health_by_label);
+    while (g_hash_table_iter_next(&iter, (gpointer *)&label, (gpointer *)&peer))
+        if (peer->is_reachable && peer->is_served)
+            return label;
+    return NULL;
+}
+
+bool failure_detector_is_isolated(const struct failure_detector *detector)
+{
+    return detector->is_isolated && kv_client_is_unavailable(detector->setup.kv);
+}
+
+bool failure_detector_is_unreachable(const struct failure_detector *detector, const char *label)
+{
+    const struct peer_health *peer = g_hash_table_lookup(detector->health_by_label, label);
+    return kv_client_is_unavailable(detector->setup.kv) && peer && !peer->is_reachable &&
+           !failure_detector_find_served_node(detector);
+}
+
+/**
+ * Whether a node is not served either, and has shared every cancellation which it confirmed to a
+ * user, or may have, since this node's replica was last fresh. A node that was restarted since then
+ * does not know what its earlier process confirmed. Clocks may differ in rate by a thousandth.
+ */
+static bool has_shared_since(const struct peer_health *peer, int64_t replica_age_ms)
+{
+    int64_t min_uptime_ms = replica_age_ms + replica_age_ms / 1000;
+    return peer->is_reachable && !peer->is_served && peer->has_shared_cancels &&
+           peer->uptime_ms > min_uptime_ms;
+}
+
+/**
+ * Evaluates a round to which all nodes have responded or failed to. If each of them has shared its
+ * cancellations, this node knows of all that users were told of until the round began.
+ */
+static void finish_round(struct failure_detector *detector)
+{
+    const struct failure_detector_setup *setup = &detector->setup;
+    guint peer_count = setup->settings->siblings->len;
+    int64_t replica_age_ms =
+        time_ms_since(loop_now(setup->loop), setup->replica->fresh_at) + UPTIME_MARGIN_MS;
+    bool have_all_shared = g_hash_table_size(detector->health_by_label) == peer_count;
+    detector->is_isolated = peer_count > 0;
+    GHashTableIter iter;
+    struct peer_health *peer;
+    g_hash_table_iter_init(&iter, detector->health_by_label);
+    while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&peer)) {
+        have_all_shared = have_all_shared && has_shared_since(peer, replica_age_ms);
+        detector->is_isolated = detector->is_isolated && !peer->is_reachable;
+    }
+    if (have_all_shared)
+        cancel_broadcast_set_known_until(setup->cancel_broadcast, detector->asked_at);
+}
+
+/**
+ * Takes the cancellations of a report. Returns whether they were all that this node may lack. A
+ * copy of an earlier response proves nothing about what was confirmed since, so it is ignored.
+ */
+static bool take_shared_cancels(struct failure_detector *detector,
+                                const struct health_report *report, uint64_t question_number)
+{
+    if (report->question_number != question_number)
+        return false;
+    for (guint i = 0; i < report->cancels->len; i++)
+        cancel_broadcast_add_remote(detector->setup.cancel_broadcast,
+                                    &g_array_index(report->cancels, struct cancel_notice, i));
+    return report->has_all_cancels;
+}
+
+static void on_health_response(void *ctx, const struct peer_response *response)
+{
+    struct failure_detector *detector = ctx;
+    struct peer_health *peer = g_new0(struct peer_health, 1);
+    struct health_report report;
+    if (response->status == 200 && health_report_decode(response->message, &report)) {
+        peer->is_reachable = true;
+        peer->is_served = report.is_served;
+        peer->uptime_ms = report.uptime_ms;
+        peer->has_shared_cancels =
+            take_shared_cancels(detector, &report, response->question_number);
+        health_report_clear(&report);
+    }
+    g_hash_table_replace(detector->health_by_label, g_strdup(response->label), peer);
+    if (--detector->responses_pending == 0)
+        finish_round(detector);
+}
+
+/** While the key-value store serves this node, what the others reported earlier means nothing. */
+static void forget_round(struct failure_detector *detector)
+{
+    g_hash_table_remove_all(detector->health_by_label);
+    detector->is_isolated = false;
+    cancel_broadcast_expire_remote(detector->setup.cancel_broadcast);
+}
+
+static void on_poll_timer(void *arg)
+{
+    struct failure_detector *detector = arg;
+    const struct failure_detector_setup *setup = &detector->setup;
+    bool is_unavailable = kv_client_is_unavailable(setup->kv);
+    timer_start(setup->loop, &detector->poll_timer,
+                is_unavailable ? POLL_INTERVAL_MS : IDLE_INTERVAL_MS);
+    lease_proxy_note_absent_nodes(setup->lease_proxy);
+    if (!is_unavailable) {
+        forget_round(detector);
+        return;
+    }
+    if (detector->responses_pending)
+        return;
+    detector->asked_at = loop_now(setup->loop);
+    detector->responses_pending =
+        peer_poll_ask_all(setup->poll, RPC_KIND_HEALTH, on_health_response, detector);
+}
--- /dev/null
+++ b/src/cluster/peer_poll.c
@@ -0,0 +1,79 @@
+/**
+ * @file
+ * Sends one question to every other node and hands over the responses.
+ */
+#include "peer_poll.h"
+
+/** How long a node has for its response. */
+enum { RESPONSE_TIMEOUT_MS = 450 };
+
+struct peer_poll {
+    struct loop *loop;
+    struct node_rpc *rpc;
+    const struct replica *replica;
+    const struct settings *settings;
+    /** The number of the latest question. */
+    uint64_t question_count;
+};
+
+/** A question under way to one node. */
+struct pending_question {
+    char *label;
+    mono_time asked_at;
+    uint64_t number;
+    peer_response_callback callback;
+    void *ctx;
+};
+
+struct peer_poll *peer_poll_new(struct loop *loop, struct node_rpc *rpc,
+                                const struct replica *replica, const struct settings *settings)
+{
+    struct peer_poll *poll = g_new0(struct peer_poll, 1);
+    poll->loop = loop;
+    poll->rpc = rpc;
+    poll->replica = replica;
+    poll->settings = settings;
+    return poll;
+}
+
+void peer_poll_free(struct peer_poll *poll)
+{
+    g_free(poll);
+}
+
+static void on_response(void *arg, int status, const cJSON *message)
+{
+    struct pending_question *pending = arg;
+    const struct peer_response response = {.label = pending->label,
+                                           .asked_at = pending->asked_at,
+                                           .question_number = pending->number,
+                                           .status = status,
+                                           .message = message};
+    pending->callback(pending->ctx, &response);
+    g_free(pending->label);
+    g_free(pending);
+}
+
+static void ask_one(struct peer_poll *poll, const char *label, const char *kind,
+                    peer_response_callback callback, void *ctx)
+{
+    struct pending_question *pending = g_new(struct pending_question, 1);
+    *pending = (struct pending_question){.label = g_strdup(label),
+                                         .asked_at = loop_now(poll->loop),
+                                         .number = ++poll->question_count,
+                                         .callback = callback,
+                                         .ctx = ctx};
+    const struct peer_question question = {.number = pending->number,
+                                           .replica_revision = poll->replica->applied_revision};
+    node_rpc_call(poll->rpc, label, kind, peer_question_encode(&question), RESPONSE_TIMEOUT_MS,
+                  on_response, pending);
+}
+
+guint peer_poll_ask_all(struct peer_poll *poll, const char *kind, peer_response_callback callback,
+                        void *ctx)
+{
+    const GArray *siblings = poll->settings->siblings;
+    for (guint i = 0; i < siblings->len; i++)
+        ask_one(poll, g_array_index(siblings, struct sibling, i).label, kind, callback, ctx);
+    return siblings->len;
+}
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -28,14 +28,27 @@
     node->garbage_collector =
         garbage_collector_new(loop, node->kv, node->replica, node->membership, node->role_manager);
     node->rpc = node_rpc_new(loop, http_client, settings);
-    node->peers = peers_new(loop, node->rpc, node->kv, node->replica, settings);
+    node->peer_poll = peer_poll_new(loop, node->rpc, node->replica, settings);
+    node->cancel_broadcast = cancel_broadcast_new(loop, node->rpc, node->replica, settings);
+    node->lease_proxy = lease_proxy_new(loop, node->rpc, node->peer_poll, node->replica, settings);
+    node->failure_detector = failure_detector_new(
+        &(struct failure_detector_setup){.loop = loop,
+                                         .rpc = node->rpc,
+                                         .kv = node->kv,
+                                         .replica = node->replica,
+                                         .settings = settings,
+                                         .poll = node->peer_poll,
+                                         .cancel_broadcast = node->cancel_broadcast,
+                                         .lease_proxy = node->lease_proxy});
     node->shard = shard_new(&(struct shard_setup){.loop = loop,
                                                   .net = http_client,
                                                   .store = node->kv,
                                                   .view = node->replica,
                                                   .members = node->membership,
                                                   .bus = node->rpc,
-                                                  .peers = node->peers,
+                                                  .cancel_broadcast = node->cancel_broadcast,
+                                                  .lease_proxy = node->lease_proxy,
+                                                  .failure_detector = node->failure_detector,
                                                   .settings = settings});
     node->leader = leader_new(&(struct leader_setup){.loop = loop,
                                                      .net = http_client,
@@ -53,7 +66,8 @@
                                                  .view = node->replica,
                                                  .members = node->membership,
                                                  .bus = node->rpc,
-                                                 .peers = node->peers,
+                                                 .cancel_broadcast = node->cancel_broadcast,
+                                                 .failure_detector = node->failure_detector,
                                                  .shard = node->shard,
                                                  .settings = settings});
     return node;
@@ -65,7 +79,7 @@
     membership_start(node->membership);
     role_assigner_start(node->role_assigner);
     garbage_collector_start(node->garbage_collector);
-    peers_start(node->peers);
+    failure_detector_start(node->failure_detector);
     shard_start(node->shard);
     leader_start(node->leader);
 }
@@ -75,7 +89,10 @@
     api_free(node->api);
     leader_free(node->leader);
     shard_free(node->shard);
-    peers_free(node->peers);
+    failure_detector_free(node->failure_detector);
+    lease_proxy_free(node->lease_proxy);
+    cancel_broadcast_free(node->cancel_broadcast);
+    peer_poll_free(node->peer_poll);
     node_rpc_free(node->rpc);
     garbage_collector_free(node->garbage_collector);
     role_assigner_free(node->role_assigner);
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -20,7 +20,10 @@
     struct role_manager *role_manager; /* of the keeper */
     struct garbage_collector *garbage_collector;
     struct node_rpc *rpc;
-    struct peers *peers;
+    struct peer_poll *peer_poll;
+    struct cancel_broadcast *cancel_broadcast;
+    struct lease_proxy *lease_proxy;
+    struct failure_detector *failure_detector;
     struct shard *shard;
     struct leader *leader;
     struct api *api;
--- a/src/shard/agent_session.c
+++ b/src/shard/agent_session.c
@@ -280,7 +280,7 @@
 static bool may_renew_leases(struct shard *shard)
 {
     mono_time known_until = shard->replica->fresh_at,
-              no_cancellation_until = cancel_broadcast_known_until(shard->peers);
+              no_cancellation_until = cancel_broadcast_known_until(shard->cancel_broadcast);
     if (time_before(known_until, no_cancellation_until))
         known_until = no_cancellation_until;
     return time_ms_since(loop_now(shard->loop), known_until) < shard_max_renewal_ms(shard);
@@ -299,7 +299,7 @@
 {
     return !membership_has_valid_lease(shard->membership) &&
            membership_is_visible(shard->membership) &&
-           failure_detector_is_unreachable(shard->peers, owner) &&
+           failure_detector_is_unreachable(shard->failure_detector, owner) &&
            time_ms_since(loop_now(shard->loop), shard->replica->fresh_at) <
                shard_max_renewal_ms(shard);
 }
@@ -397,7 +397,7 @@
     }
     if (!request->forwarded_by && may_renew_for_peer(shard, owner)) {
         GArray *stop_commands = stop_commands_for_over_jobs(shard, heartbeat);
-        lease_proxy_note_renewal(shard->peers);
+        lease_proxy_note_renewal(shard->lease_proxy);
         reply_json(responder, from, 200,
                    agent_commands_encode(shard->epoch, 0,
                                          (struct agent_command *)stop_commands->data,
--- a/src/shard/machines.c
+++ b/src/shard/machines.c
@@ -132,7 +132,7 @@
     struct job *job = replica_get_job(shard->replica, id.text);
     if (job && job->is_known && job->state != JOB_ACTIVE)
         return true;
-    enum cancel_status cancellation = cancel_broadcast_get_status(shard->peers, id);
+    enum cancel_status cancellation = cancel_broadcast_get_status(shard->cancel_broadcast, id);
     return cancellation == CANCEL_COMMITTED ||
            (cancellation == CANCEL_POSSIBLE && !membership_has_valid_lease(shard->membership));
 }
@@ -146,9 +146,10 @@
     run->grace_s = 0; /* what it would save is of no use any more */
     if (run->job_over_since.us)
         return;
-    run->job_over_since = cancel_broadcast_get_status(shard->peers, run->job)
-                              ? cancel_broadcast_confirmed_not_before(shard->peers, run->job)
-                              : shard->replica->previous_fresh_at;
+    run->job_over_since =
+        cancel_broadcast_get_status(shard->cancel_broadcast, run->job)
+            ? cancel_broadcast_confirmed_not_before(shard->cancel_broadcast, run->job)
+            : shard->replica->previous_fresh_at;
     if (!run->job_over_since.us)
         run->job_over_since = loop_now(shard->loop);
 }
@@ -268,13 +269,14 @@
     if (machine->fencing_token < machine->owner_epoch.value)
         return time_ms_since(now, machine->owned_at) >
                    (int64_t)(settings->cancel_timeout_s * 1002) + 1000 &&
-               lease_proxy_leases_expired(shard->peers, machine->owned_at, lease_ms,
+               lease_proxy_leases_expired(shard->lease_proxy, machine->owned_at, lease_ms,
                                           max_renewal_ms);
     mono_time last_renewal_at = time_before(machine->last_answered_at, machine->token_seen_at)
                                     ? machine->token_seen_at
                                     : machine->last_answered_at;
     return time_ms_since(now, last_renewal_at) > lease_ms &&
-           lease_proxy_leases_expired(shard->peers, last_renewal_at, lease_ms, max_renewal_ms);
+           lease_proxy_leases_expired(shard->lease_proxy, last_renewal_at, lease_ms,
+                                      max_renewal_ms);
 }
 
 void shard_end_all_runs(struct shard *shard, struct machine *machine, const char *reason)
--- a/src/shard/shard.c
+++ b/src/shard/shard.c
@@ -49,7 +49,9 @@
     shard->replica = setup->view;
     shard->membership = setup->members;
     shard->node_rpc = setup->bus;
-    shard->peers = setup->peers;
+    shard->cancel_broadcast = setup->cancel_broadcast;
+    shard->lease_proxy = setup->lease_proxy;
+    shard->failure_detector = setup->failure_detector;
     shard->settings = setup->settings;
     shard->redirects = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     shard->returned_machines = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
@@ -72,7 +74,7 @@
     timer_init(&shard->status_timer, send_status, shard);
     timer_init(&shard->placement_timer, shard_place_tasks, shard);
     replica_add_listener(shard->replica, &shard->actor);
-    cancel_broadcast_set_listener(shard->peers, &shard->actor);
+    cancel_broadcast_set_listener(shard->cancel_broadcast, &shard->actor);
     node_rpc_register(shard->node_rpc, "deal", handle_dispatch_message, shard);
     return shard;
 }
--- a/src/shard/shard.h
+++ b/src/shard/shard.h
@@ -3,9 +3,9 @@
 #ifndef LL_SHARD_H
 #define LL_SHARD_H
 
+#include "failure_detector.h"
 #include "membership.h"
 #include "node_rpc.h"
-#include "peers.h"
 #include "replica.h"
 
 struct shard;
@@ -18,7 +18,9 @@
     struct replica *view;
     struct membership *members;
     struct node_rpc *bus;
-    struct peers *peers;
+    struct cancel_broadcast *cancel_broadcast;
+    struct lease_proxy *lease_proxy;
+    struct failure_detector *failure_detector;
     const struct settings *settings;
 };
 
--- a/src/shard/shard_internal.h
+++ b/src/shard/shard_internal.h
@@ -129,7 +129,9 @@
     struct replica *replica;
     struct membership *membership;
     struct node_rpc *node_rpc;
-    struct peers *peers;
+    struct cancel_broadcast *cancel_broadcast;
+    struct lease_proxy *lease_proxy;
+    struct failure_detector *failure_detector;
     GHashTable *redirects; /* machine -> struct redirect */
     /* Machines that the cloud took back: what still comes from them is old. */
     GHashTable *returned_machines, *older_returned_machines;
--- a/tests/test_gap.c
+++ b/tests/test_gap.c
@@ -358,7 +358,7 @@
     job_id job;
     assert_true(job_id_parse(&job, victim));
     for (int node = 0; node < WORLD_NODES; node++) {
-        assert_int_equal(cancel_broadcast_get_status(world->nodes[node]->peers, job),
+        assert_int_equal(cancel_broadcast_get_status(world->nodes[node]->cancel_broadcast, job),
                          CANCEL_COMMITTED);
         assert_true(node == 1 ||
                     replica_get_job(world->nodes[node]->replica, victim)->state == JOB_ACTIVE);
