--- /dev/null
+++ b/src/cluster/leader_election.c
@@ -0,0 +1,226 @@
+/**
+ * @file
+ * Election of the leader, and the shard map that the leader writes.
+ */
+#include "leader_election.h"
+
+#include "json_fields.h"
+#include "log.h"
+#include "shard_map.h"
+
+/** How much later each node stands for election than the one before it. */
+enum { STAGGER_MS = 30 };
+
+/** Field names in the values of the leader's key and of the map. */
+static const char FIELD_EPOCH[] = "e";
+static const char FIELD_NODES[] = "n";
+static const char FIELD_LABEL[] = "n";
+static const char FIELD_INCARNATION[] = "i";
+
+/** A node that is left out of the map. */
+struct node_exclusion {
+    char *label;
+    mono_time until;
+};
+
+struct leader_election {
+    struct leader_election_setup setup;
+    /** struct node_exclusion. */
+    GArray *exclusions;
+    bool is_leaderless;
+    mono_time leaderless_since;
+    bool epoch_is_requested;
+    bool write_in_flight;
+};
+
+static void clear_exclusion(gpointer data)
+{
+    g_free(((struct node_exclusion *)data)->label);
+}
+
+struct leader_election *leader_election_new(const struct leader_election_setup *setup)
+{
+    struct leader_election *election = g_new0(struct leader_election, 1);
+    election->setup = *setup;
+    election->exclusions = g_array_new(FALSE, FALSE, sizeof(struct node_exclusion));
+    g_array_set_clear_func(election->exclusions, clear_exclusion);
+    return election;
+}
+
+void leader_election_free(struct leader_election *election)
+{
+    g_array_unref(election->exclusions);
+    g_free(election);
+}
+
+void leader_election_request_epoch(struct leader_election *election, const char *why)
+{
+    if (!election->epoch_is_requested)
+        LOG_INFO("epoch_raise", "why=%s", why);
+    election->epoch_is_requested = true;
+}
+
+/* ---- exclusions ---- */
+
+void leader_election_exclude_node(struct leader_election *election, const char *label,
+                                  int64_t duration_ms)
+{
+    struct node_exclusion exclusion = {g_strdup(label),
+                                       time_add_ms(loop_now(election->setup.loop), duration_ms)};
+    g_array_append_val(election->exclusions, exclusion);
+    LOG_INFO("node_excluded", "other=%s ms=%" G_GINT64_FORMAT, label, duration_ms);
+}
+
+static void expire_exclusions(struct leader_election *election)
+{
+    mono_time now = loop_now(election->setup.loop);
+    GArray *exclusions = election->exclusions;
+    for (guint i = 0; i < exclusions->len;)
+        if (time_before(g_array_index(exclusions, struct node_exclusion, i).until, now))
+            g_array_remove_index_fast(exclusions, i);
+        else
+            i++;
+}
+
+/** Whether the node is to be left out of the map; this node itself never is. */
+static bool is_excluded(const struct leader_election *election, const char *label)
+{
+    if (strcmp(label, election->setup.label) == 0)
+        return false;
+    for (guint i = 0; i < election->exclusions->len; i++) {
+        const struct node_exclusion *exclusion =
+            &g_array_index(election->exclusions, struct node_exclusion, i);
+        if (strcmp(exclusion->label, label) == 0)
+            return true;
+    }
+    return false;
+}
+
+/* ---- the map ---- */
+
+static json_object *encode_process(const char *label, lease_id incarnation)
+{
+    json_object *process = json_object_new_object();
+    json_put_text(process, FIELD_LABEL, label);
+    json_put_u64(process, FIELD_INCARNATION, incarnation.value);
+    return process;
+}
+
+/** The next map: all live nodes that are not excluded, by label. */
+static json_object *encode_next_map(const struct leader_election *election)
+{
+    const struct replica *replica = election->setup.replica;
+    json_object *map = json_object_new_object();
+    json_object *nodes = json_object_new_array();
+    json_put_u64(map, FIELD_EPOCH, replica->shard_map_epoch.value + 1);
+    GList *labels = g_list_sort(g_hash_table_get_keys(replica->nodes), (GCompareFunc)strcmp);
+    for (GList *link = labels; link; link = link->next) {
+        const struct node_record *node = g_hash_table_lookup(replica->nodes, link->data);
+        if (!is_excluded(election, node->label))
+            json_object_array_add(nodes, encode_process(node->label, node->incarnation));
+    }
+    g_list_free(labels);
+    json_object_object_add(map, FIELD_NODES, nodes);
+    return map;
+}
+
+/** Whether the map does not name just the nodes that the next one would. */
+static bool map_is_stale(const struct leader_election *election)
+{
+    const struct replica *replica = election->setup.replica;
+    guint expected_len = 0;
+    GHashTableIter iter;
+    struct node_record *node;
+    g_hash_table_iter_init(&iter, replica->nodes);
+    while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&node)) {
+        if (is_excluded(election, node->label))
+            continue;
+        if (!shard_map_contains(replica, node->label, node->incarnation))
+            return true;
+        expected_len++;
+    }
+    return expected_len != replica->shard_map->len;
+}
+
+/* ---- writing ---- */
+
+static void on_write_replicated(void *arg, bool ok)
+{
+    struct leader_election *election = arg;
+    (void)ok;
+    election->write_in_flight = false;
+    election->setup.on_settled(election->setup.ctx);
+}
+
+static void on_write_done(void *arg, const struct txn_outcome *outcome)
+{
+    struct leader_election *election = arg;
+    struct replica *replica = election->setup.replica;
+    if (outcome->status == TXN_LEASE_EXPIRED)
+        election->setup.on_lease_refused(election->setup.ctx);
+    if (outcome->status == TXN_COMMITTED)
+        election->epoch_is_requested = false;
+    if (outcome->status == TXN_COMMITTED || outcome->status == TXN_CONFLICT)
+        replica_await_revision(replica, outcome->at_revision, on_write_replicated, election);
+    else
+        replica_read_barrier(replica, on_write_replicated, election);
+}
+
+static void write_map(struct leader_election *election, const struct candidate *self,
+                      bool is_election)
+{
+    const struct leader_election_setup *setup = &election->setup;
+    const revision no_leader = {0};
+    char *node_key = key_node(setup->label);
+    struct txn *txn = txn_new();
+    txn_compare(txn, node_key, self->mod_revision);
+    txn_compare(txn, KEY_LEADER, is_election ? no_leader : setup->replica->leader_mod_revision);
+    txn_compare(txn, KEY_MAP, setup->replica->shard_map_mod_revision);
+    if (is_election)
+        txn_put(txn, KEY_LEADER, encode_process(setup->label, self->incarnation),
+                self->incarnation);
+    txn_put(txn, KEY_MAP, encode_next_map(election), (lease_id){0});
+    election->write_in_flight = true;
+    kv_client_commit(setup->kv, KV_LANE_LEASE, txn, on_write_done, election);
+    g_free(node_key);
+}
+
+/**
+ * How long this node waits, once there is no leader, before it stands for election. Nodes do so one
+ * after another, so that mostly the first one has no rival.
+ */
+static int64_t election_delay_ms(const struct leader_election *election)
+{
+    int nodes_ahead = 0;
+    GHashTableIter iter;
+    char *label;
+    g_hash_table_iter_init(&iter, election->setup.replica->nodes);
+    while (g_hash_table_iter_next(&iter, (gpointer *)&label, NULL))
+        nodes_ahead += strcmp(label, election->setup.label) < 0;
+    return (int64_t)nodes_ahead * STAGGER_MS;
+}
+
+static bool election_is_due(struct leader_election *election)
+{
+    mono_time now = loop_now(election->setup.loop);
+    if (!election->is_leaderless) {
+        election->is_leaderless = true;
+        election->leaderless_since = now;
+    }
+    return time_ms_since(now, election->leaderless_since) >= election_delay_ms(election);
+}
+
+void leader_election_step(struct leader_election *election, const struct candidate *self)
+{
+    expire_exclusions(election);
+    if (election->write_in_flight)
+        return;
+    if (!election->setup.replica->leader_label) {
+        if (election_is_due(election))
+            write_map(election, self, true);
+        return;
+    }
+    election->is_leaderless = false;
+    if (self->is_leader && (election->epoch_is_requested || map_is_stale(election)))
+        write_map(election, self, false);
+}
--- a/src/cluster/membership.h
+++ b/src/cluster/membership.h
@@ -1,42 +1,57 @@
-/* Which nodes live, who leads, and the map. */
+/**
+ * @file
+ * This node's membership in the cluster: its lease, its key, and whether it leads.
+ *
+ * Every node writes a key `ll/n/LABEL` on its lease; the nodes whose keys exist are alive. One of
+ * them is the leader (leader_election.h), which writes the shard map (shard_map.h).
+ */
 #ifndef LL_MEMBERSHIP_H
 #define LL_MEMBERSHIP_H
 
 #include "replica.h"
 #include "settings.h"
+#include "shard_map.h"
 
 struct membership;
 
-/* wants_singleton_roles: this node's operators have switched duties on, as its key then says. */
+/**
+ * @param wants_singleton_roles  this node's operators have enabled singleton roles; announced in
+ * its key
+ */
 struct membership *membership_new(struct loop *loop, struct kv_client *kv, struct replica *replica,
                                   const struct settings *settings, bool wants_singleton_roles);
 void membership_free(struct membership *membership);
 void membership_start(struct membership *membership);
 
-/* Whether this node may start and write: its own lease surely holds. */
+/** Whether this node may start tasks and write: it has joined, and its lease is certain to hold. */
 bool membership_has_valid_lease(const struct membership *membership);
-/* The view shows this process's own key, whether its lease surely holds or not. */
+
+/** Whether the replica shows this process's own key, even if its lease may have ended. */
 bool membership_is_visible(const struct membership *membership);
-/* The leader's key is this process's, whether its lease surely holds or not. */
+
+/** Whether the leader's key names this process, even if its lease may have ended. */
 bool membership_is_recorded_leader(const struct membership *membership);
-/* And the lease surely holds: it may act. */
+
+/** Whether this process is the leader and may act as such: its lease is certain to hold. */
 bool membership_is_leader(const struct membership *membership);
-/* The version of this node's own key, on which its writes are conditioned. */
+
+/** The revision of this node's own key, which its transactions compare. */
 revision membership_get_mod_revision(const struct membership *membership);
+
+/** The lease of this process, which identifies it; 0: it has none. */
 lease_id membership_get_incarnation(const struct membership *membership);
 
-/* Whether every node, alive or not, has once been of a version that understands that one, and none
- * that lives is older: as a node is not taken back to an older one after that, nobody will ever
- * read what it would not understand. */
+/**
+ * Whether every node, alive or not, has run a version that understands this one, and none that is
+ * alive runs an older one. Nodes are not downgraded after that, so no node will ever read a record
+ * that it does not understand.
+ */
 bool membership_all_nodes_support(struct membership *membership, enum node_version version);
 
-/* Asks the leader's node to raise the epoch; what was dealt under the old one is void. */
+/** Makes this node, if it leads, start a new epoch; what was dispatched in the old one is void. */
 void membership_raise_epoch(struct membership *membership, const char *why);
-/* The leader leaves a node out of the map for a while. */
-void membership_exclude_node(struct membership *membership, const char *label, int64_t duration_ms);
 
-/* The owner of a machine by rendezvous hashing over the map's nodes; NULL when there is no map. */
-const char *shard_map_get_owner(const struct replica *replica, const char *machine);
-bool shard_map_contains(const struct replica *replica, const char *label, lease_id incarnation);
+/** Makes this node, if it leads, leave a node out of the shard map for that time. */
+void membership_exclude_node(struct membership *membership, const char *label, int64_t duration_ms);
 
 #endif
--- /dev/null
+++ b/src/cluster/node_lease.c
@@ -0,0 +1,148 @@
+/**
+ * @file
+ * The lease on which this process's keys hang.
+ */
+#include "node_lease.h"
+
+#include "kv_codec.h"
+#include "log.h"
+
+enum {
+    TTL_MS = 4000,
+    RENEW_INTERVAL_MS = 1000,
+    /** After a renewal that was not answered. */
+    RENEW_RETRY_MS = 300,
+    REQUEST_TIMEOUT_MS = 1500,
+    RENEW_TIMEOUT_MS = 1000,
+    /** This node's clock may be slower than the store's by a thousandth. */
+    CLOCK_MARGIN_MS = TTL_MS / 1000 + 1,
+};
+
+struct node_lease {
+    struct node_lease_setup setup;
+    /** 0: none. */
+    lease_id id;
+    /** The lease is certain to hold until then. */
+    mono_time valid_until;
+    mono_time request_sent_at;
+    bool request_in_flight;
+    struct timer renew_timer;
+};
+
+static void on_renew_timer(void *arg);
+
+struct node_lease *node_lease_new(const struct node_lease_setup *setup)
+{
+    struct node_lease *lease = g_new0(struct node_lease, 1);
+    lease->setup = *setup;
+    timer_init(&lease->renew_timer, on_renew_timer, lease);
+    return lease;
+}
+
+void node_lease_free(struct node_lease *lease)
+{
+    timer_stop(lease->setup.loop, &lease->renew_timer);
+    g_free(lease);
+}
+
+lease_id node_lease_get_id(const struct node_lease *lease)
+{
+    return lease->id;
+}
+
+bool node_lease_is_valid(const struct node_lease *lease)
+{
+    return time_before(loop_now(lease->setup.loop), lease->valid_until);
+}
+
+/** The word for a reason in the log. */
+static const char *loss_text(enum lease_loss reason)
+{
+    switch (reason) {
+    case LEASE_ENDED:
+        return "ended";
+    case LEASE_REFUSED:
+        return "refused";
+    case LEASE_KEY_GONE:
+        return "key gone";
+    }
+    return "unknown";
+}
+
+void node_lease_drop(struct node_lease *lease, enum lease_loss reason)
+{
+    if (!lease->id.value)
+        return;
+    LOG_INFO("lease_lost", "lease=%" G_GUINT64_FORMAT " why=%s", lease->id.value,
+             loss_text(reason));
+    lease->id.value = 0;
+    lease->valid_until = (mono_time){0};
+    timer_stop(lease->setup.loop, &lease->renew_timer);
+    lease->setup.on_lost(lease->setup.ctx);
+}
+
+/** The store counts from when it got the request, which is no earlier than when it was sent. */
+static void extend_validity(struct node_lease *lease)
+{
+    lease->valid_until = time_add_ms(lease->request_sent_at, TTL_MS - CLOCK_MARGIN_MS);
+}
+
+static void send_request(struct node_lease *lease, const char *path, const char *body,
+                         int timeout_ms, http_response_callback callback)
+{
+    lease->request_in_flight = true;
+    lease->request_sent_at = loop_now(lease->setup.loop);
+    kv_client_request(lease->setup.kv, KV_LANE_LEASE, "POST", path, body, timeout_ms, timeout_ms, 0,
+                      callback, lease);
+}
+
+static void on_granted(void *arg, const struct http_response *response)
+{
+    struct node_lease *lease = arg;
+    lease->request_in_flight = false;
+    json_object *body =
+        response->status == 200 ? json_parse(response->body, response->body_bytes) : NULL;
+    if (kv_decode_lease(body, &lease->id)) {
+        extend_validity(lease);
+        timer_start(lease->setup.loop, &lease->renew_timer, RENEW_INTERVAL_MS);
+    }
+    json_object_put(body);
+    lease->setup.on_change(lease->setup.ctx);
+}
+
+void node_lease_request(struct node_lease *lease)
+{
+    if (lease->request_in_flight || lease->id.value)
+        return;
+    char body[32];
+    g_snprintf(body, sizeof body, "{\"TtlMs\":%d}", TTL_MS);
+    send_request(lease, "/grants", body, REQUEST_TIMEOUT_MS, on_granted);
+}
+
+static void on_renewed(void *arg, const struct http_response *response)
+{
+    struct node_lease *lease = arg;
+    lease->request_in_flight = false;
+    if (!lease->id.value)
+        return;
+    if (response->status == 404) {
+        node_lease_drop(lease, LEASE_ENDED);
+        lease->setup.on_change(lease->setup.ctx);
+        return;
+    }
+    bool is_renewed = response->status == 200;
+    if (is_renewed)
+        extend_validity(lease);
+    timer_start(lease->setup.loop, &lease->renew_timer,
+                is_renewed ? RENEW_INTERVAL_MS : RENEW_RETRY_MS);
+}
+
+static void on_renew_timer(void *arg)
+{
+    struct node_lease *lease = arg;
+    if (lease->request_in_flight || !lease->id.value)
+        return;
+    char *path = g_strdup_printf("/grants/%" G_GUINT64_FORMAT "/renew", lease->id.value);
+    send_request(lease, path, "{}", RENEW_TIMEOUT_MS, on_renewed);
+    g_free(path);
+}
