--- a/src/cloud/cloud_provider.c
+++ b/src/cloud/cloud_provider.c
@@ -63,7 +63,7 @@
     intent_log_close(cloud->intents);
     cloud_provider_reset(cloud);
     if (change->is_gained && role_manager_holds(cloud->role_manager, ROLE_AUTOSCALER) &&
-        role_manager_get_token(cloud->role_manager, ROLE_AUTOSCALER).v == change->token.v)
+        role_manager_get_token(cloud->role_manager, ROLE_AUTOSCALER).value == change->token.value)
         recover_open_intents(cloud);
 }
 
--- a/src/cluster/membership.c
+++ b/src/cluster/membership.c
@@ -236,11 +236,11 @@
         enum singleton_role role = (enum singleton_role)i;
         const struct role_record *record =
             role_records_get(membership->replica->singleton_roles, role);
-        if (!record->token.v || strcmp(record->holder.label, membership->settings->label) != 0 ||
+        if (!record->token.value || strcmp(record->holder.label, membership->settings->label) != 0 ||
             txn_write_count(txn) >= max_writes)
             continue;
         char *key = key_role(role);
-        txn_compare(txn, key, (revision){record->token.v});
+        txn_compare(txn, key, (revision){record->token.value});
         txn_delete(txn, key);
         g_free(key);
     }
--- a/src/singleton/intent_log.h
+++ b/src/singleton/intent_log.h
@@ -1,8 +1,13 @@
-/* What the holder of a duty is about to do outside the state service, recorded before it is done.
+/**
+ * @file
+ * A write-ahead log of what the holder of a singleton role does outside the key-value store.
  *
- * Intents that come while a transaction is under way go into the next one together: writes are
- * what the state service has least of. An intent leaves its page once it is settled; that write
- * waits a moment for others. */
+ * An intent is recorded before its action begins, so that a later holder carries out what an
+ * earlier one may have begun. Intents stand on pages, one key each. Those that are added while a
+ * transaction is under way are written together by the next one, as writes are the scarcest
+ * resource of the key-value store. Once an action is finished its intent is settled, and leaves its
+ * page with a later write, which waits a while for others.
+ */
 #ifndef LL_INTENT_LOG_H
 #define LL_INTENT_LOG_H
 
@@ -11,45 +16,65 @@
 struct intent_log;
 
 enum intent_state {
-    INTENT_UNKNOWN, /* not in the log, or dropped as its version of the map is over */
-    INTENT_QUEUED,  /* not recorded yet, for all that this node knows */
+    /** Not in the log; or dropped, as the key on which it depends has changed. */
+    INTENT_UNKNOWN,
+    /** Not recorded yet, as far as this node knows. */
+    INTENT_QUEUED,
     INTENT_RECORDED,
 };
 
+/** What the log works with; all of it outlives the log. */
 struct intent_log_config {
     struct loop *loop;
     struct kv_client *kv;
     struct role_manager *role_manager;
     const struct role_records *records;
     enum singleton_role role;
-    /* A key on whose version intents may depend: they are recorded only while it stands. */
+    /** Intents may depend on a revision of this key: they are recorded only while it is the same.
+     */
     const char *guard_key;
-    void *ctx;                                 /* of the functions */
-    revision (*get_guard_revision)(void *ctx); /* of that key, as the replica has it */
-    void (*await_revision)(void *ctx, revision at, role_await_callback done,
-                           void *arg);         /* as of role_manager_config */
-    void (*on_write)(void *ctx, guint writes); /* so many are on their way to the state service */
-    void (*on_change)(void *ctx); /* what intent_log_get_state tells of some has changed */
+    /** Of the functions below. */
+    void *ctx;
+    /** The revision of the guard key in the replica. */
+    revision (*get_guard_revision)(void *ctx);
+    /** As in struct role_manager_config. */
+    void (*await_revision)(void *ctx, revision revision_needed, role_await_callback callback,
+                           void *arg);
+    /** A transaction with that number of writes is being sent. */
+    void (*on_write)(void *ctx, guint write_count);
+    /** What intent_log_get_state() returns has changed for some intents. */
+    void (*on_change)(void *ctx);
 };
 
-struct intent_log *intent_log_new(const struct intent_log_config *setup);
+struct intent_log *intent_log_new(const struct intent_log_config *config);
 void intent_log_free(struct intent_log *log);
 
-/* The duty was gained: takes over what earlier holders recorded and did not settle. */
+/** To be called when the role was gained: takes over what earlier holders left unsettled. */
 void intent_log_open(struct intent_log *log);
-/* The duty was lost: forgets all. */
+
+/** To be called when the role was lost: forgets everything. */
 void intent_log_close(struct intent_log *log);
 
-/* Queues an intent to be recorded, unless the log has it. condition: the version of the key on
- * which it depends; {0}: on none. */
+/**
+ * Queues an intent to be recorded; does nothing if the log has it, or is closed.
+ *
+ * @param guard_revision  the revision of the guard key on which the intent depends; 0: on none
+ */
 void intent_log_add(struct intent_log *log, const struct intent *intent, revision guard_revision);
+
 enum intent_state intent_log_get_state(const struct intent_log *log, enum intent_kind kind,
                                        const char *name);
-/* It was done, or never will be: it need not be known any more. */
+
+/** Notes that the action is finished, or will never be carried out. */
 void intent_log_settle(struct intent_log *log, enum intent_kind kind, const char *name);
-/* All that are open, recorded or not: const struct intent *, in no order, a new array. */
+
+/**
+ * Returns a new array of all intents that are not settled, recorded or not (const struct intent *,
+ * valid until the log changes), in no order.
+ */
 GPtrArray *intent_log_list_open(const struct intent_log *log);
-/* Whether the log is open and nothing in it is. */
+
+/** Whether the log is open, holds nothing, and no transaction is under way. */
 bool intent_log_is_empty(const struct intent_log *log);
 
 #endif
--- a/src/singleton/role_codec.c
+++ b/src/singleton/role_codec.c
@@ -1,41 +1,56 @@
+/**
+ * @file
+ * Keys and values of singleton roles in the key-value store.
+ */
 #include "role_codec.h"
 
 #include <stdlib.h>
 
-static const char *const names[ROLE_COUNT] = {"fleet", "cleanup"};
+/** The words for the roles. They are part of the stored keys. */
+static const char *const role_names[ROLE_COUNT] = {"fleet", "cleanup"};
 
-/* Of the array that describes a request to rent. */
-enum scale_out_field {
+/** Field names in the stored values. */
+static const char FIELD_LABEL[] = "n";
+static const char FIELD_INCARNATION[] = "i";
+static const char FIELD_TOKEN[] = "t";
+static const char FIELD_SCALE_INS[] = "return";
+static const char FIELD_SCALE_OUTS[] = "rent";
+
+/** The elements of the array that stands for an intent to scale out. */
+enum scale_out_element {
     SCALE_OUT_REQUEST_ID,
     SCALE_OUT_MACHINE_TYPE,
     SCALE_OUT_ZONE,
     SCALE_OUT_IS_SPOT,
     SCALE_OUT_MACHINE_COUNT,
-    SCALE_OUT_FIELD_COUNT
+    SCALE_OUT_ELEMENT_COUNT,
 };
 
+/* ---- keys ---- */
+
 const char *singleton_role_name(enum singleton_role role)
 {
-    return names[role];
+    return role_names[role];
 }
 
 char *key_role(enum singleton_role role)
 {
-    return g_strconcat(KEY_ROLE_PREFIX, names[role], NULL);
+    return g_strconcat(KEY_ROLE_PREFIX, role_names[role], NULL);
 }
 
-char *key_intent_page(enum singleton_role role, int page)
+char *key_intent_page(enum singleton_role role, int page_number)
 {
-    return g_strdup_printf(KEY_INTENT_PREFIX "%s/%d", names[role], page);
+    return g_strdup_printf(KEY_INTENT_PREFIX "%s/%d", role_names[role], page_number);
 }
 
-static bool find_role_by_name(const char *name, size_t len, enum singleton_role *role)
+static bool find_role_by_name(const char *name, size_t name_len, enum singleton_role *role)
 {
-    for (int i = 0; i < ROLE_COUNT; i++)
-        if (strlen(names[i]) == len && strncmp(names[i], name, len) == 0) {
+    for (int i = 0; i < ROLE_COUNT; i++) {
+        if (strlen(role_names[i]) == name_len && strncmp(role_names[i], name, name_len) == 0) {
             *role = (enum singleton_role)i;
             return true;
         }
+    }
     return false;
 }
 
@@ -47,100 +62,117 @@
     return find_role_by_name(name, strlen(name), role);
 }
 
-bool key_intent_page_parse(const char *key, enum singleton_role *role, int *page)
+bool key_intent_page_parse(const char *key, enum singleton_role *role, int *page_number)
 {
     if (!g_str_has_prefix(key, KEY_INTENT_PREFIX))
         return false;
-    const char *name = key + strlen(KEY_INTENT_PREFIX), *slash = strchr(name, '/');
+    const char *name = key + strlen(KEY_INTENT_PREFIX);
+    const char *slash = strchr(name, '/');
     if (!slash || !find_role_by_name(name, (size_t)(slash - name), role))
         return false;
-    *page = (int)strtol(slash + 1, NULL, 10);
-    return *page >= 0;
+    *page_number = (int)strtol(slash + 1, NULL, 10);
+    return *page_number >= 0;
 }
 
+/* ---- holders ---- */
+
 json_object *role_holder_encode(const struct role_holder *holder)
 {
     json_object *value = json_object_new_object();
-    json_put_text(value, "n", holder->label);
-    json_put_u64(value, "i", holder->incarnation.value);
+    json_put_text(value, FIELD_LABEL, holder->label);
+    json_put_u64(value, FIELD_INCARNATION, holder->incarnation.value);
     return value;
 }
 
-bool role_holder_decode(json_object *value, struct role_holder *out)
+bool role_holder_decode(json_object *value, struct role_holder *holder)
 {
-    return json_copy_text(value, "n", out->label, sizeof out->label) &&
-           json_get_u64(value, "i", &out->incarnation.value);
+    return json_copy_text(value, FIELD_LABEL, holder->label, sizeof holder->label) &&
+           json_get_u64(value, FIELD_INCARNATION, &holder->incarnation.value);
 }
 
+/* ---- intents ---- */
+
 static json_object *encode_scale_out(const struct intent *intent)
 {
-    json_object *fields = json_object_new_array();
-    json_object_array_add(fields, json_object_new_string(intent->name));
-    json_object_array_add(fields, json_object_new_string(intent->type_name));
-    json_object_array_add(fields, json_object_new_string(intent->zone));
-    json_object_array_add(fields, json_object_new_boolean(intent->is_spot));
-    json_object_array_add(fields, json_object_new_int(intent->machine_count));
-    return fields;
+    json_object *elements = json_object_new_array();
+    json_object_array_add(elements, json_object_new_string(intent->name));
+    json_object_array_add(elements, json_object_new_string(intent->type_name));
+    json_object_array_add(elements, json_object_new_string(intent->zone));
+    json_object_array_add(elements, json_object_new_boolean(intent->is_spot));
+    json_object_array_add(elements, json_object_new_int(intent->machine_count));
+    return elements;
 }
 
 json_object *intents_encode(fencing_token token, const GPtrArray *intents)
 {
     json_object *value = json_object_new_object();
-    json_object *returns = json_object_new_array(), *rents = json_object_new_array();
+    json_object *scale_ins = json_object_new_array();
+    json_object *scale_outs = json_object_new_array();
     for (guint i = 0; i < intents->len; i++) {
         const struct intent *intent = intents->pdata[i];
         if (intent->kind == INTENT_SCALE_IN)
-            json_object_array_add(returns, json_object_new_string(intent->name));
+            json_object_array_add(scale_ins, json_object_new_string(intent->name));
         else
-            json_object_array_add(rents, encode_scale_out(intent));
+            json_object_array_add(scale_outs, encode_scale_out(intent));
     }
-    json_put_u64(value, "t", token.v);
-    json_object_object_add(value, "return", returns);
-    json_object_object_add(value, "rent", rents);
+    json_put_u64(value, FIELD_TOKEN, token.value);
+    json_object_object_add(value, FIELD_SCALE_INS, scale_ins);
+    json_object_object_add(value, FIELD_SCALE_OUTS, scale_outs);
     return value;
 }
 
-static bool copy_text(json_object *text, char *out, size_t size)
+/** Returns false if the item is no string, or too long. */
+static bool copy_text(json_object *item, char *out, size_t size)
+{
+    return json_object_is_type(item, json_type_string) &&
+           g_strlcpy(out, json_object_get_string(item), size) < size;
+}
+
+static bool decode_scale_in(json_object *item, struct intent *intent)
 {
-    return json_object_is_type(text, json_type_string) &&
-           g_strlcpy(out, json_object_get_string(text), size) < size;
+    intent->kind = INTENT_SCALE_IN;
+    return copy_text(item, intent->name, sizeof intent->name);
 }
 
-static bool decode_scale_out(json_object *fields, struct intent *out)
+static bool decode_scale_out(json_object *elements, struct intent *intent)
 {
-    if (!json_object_is_type(fields, json_type_array) ||
-        json_object_array_length(fields) != SCALE_OUT_FIELD_COUNT)
+    if (!json_object_is_type(elements, json_type_array) ||
+        json_object_array_length(elements) != SCALE_OUT_ELEMENT_COUNT)
         return false;
-    json_object *spot = json_object_array_get_idx(fields, SCALE_OUT_IS_SPOT);
-    json_object *number = json_object_array_get_idx(fields, SCALE_OUT_MACHINE_COUNT);
-    out->kind = INTENT_SCALE_OUT;
-    out->is_spot = json_object_get_boolean(spot);
-    out->machine_count = json_object_get_int(number);
-    return copy_text(json_object_array_get_idx(fields, SCALE_OUT_REQUEST_ID), out->name,
-                     sizeof out->name) &&
-           copy_text(json_object_array_get_idx(fields, SCALE_OUT_MACHINE_TYPE), out->type_name,
-                     sizeof out->type_name) &&
-           copy_text(json_object_array_get_idx(fields, SCALE_OUT_ZONE), out->zone,
-                     sizeof out->zone) &&
-           json_object_is_type(spot, json_type_boolean) &&
-           json_object_is_type(number, json_type_int) && out->machine_count > 0;
+    json_object *request_id = json_object_array_get_idx(elements, SCALE_OUT_REQUEST_ID);
+    json_object *type_name = json_object_array_get_idx(elements, SCALE_OUT_MACHINE_TYPE);
+    json_object *zone = json_object_array_get_idx(elements, SCALE_OUT_ZONE);
+    json_object *is_spot = json_object_array_get_idx(elements, SCALE_OUT_IS_SPOT);
+    json_object *machine_count = json_object_array_get_idx(elements, SCALE_OUT_MACHINE_COUNT);
+    intent->kind = INTENT_SCALE_OUT;
+    intent->is_spot = json_object_get_boolean(is_spot);
+    intent->machine_count = json_object_get_int(machine_count);
+    return copy_text(request_id, intent->name, sizeof intent->name) &&
+           copy_text(type_name, intent->type_name, sizeof intent->type_name) &&
+           copy_text(zone, intent->zone, sizeof intent->zone) &&
+           json_object_is_type(is_spot, json_type_boolean) &&
+           json_object_is_type(machine_count, json_type_int) && intent->machine_count > 0;
 }
 
-bool intents_decode(json_object *value, fencing_token *token, GPtrArray *out)
+typedef bool (*intent_decoder)(json_object *item, struct intent *intent);
+
+static bool decode_list(json_object *list, intent_decoder decode, GPtrArray *intents)
 {
-    json_object *returns = json_get_array(value, "return"), *rents = json_get_array(value, "rent");
-    bool ok = returns && rents && json_get_u64(value, "t", &token->v);
-    for (size_t i = 0; ok && i < json_object_array_length(returns); i++) {
-        struct intent intent = {.kind = INTENT_SCALE_IN};
-        ok = copy_text(json_object_array_get_idx(returns, i), intent.name, sizeof intent.name);
-        if (ok)
-            g_ptr_array_add(out, g_memdup2(&intent, sizeof intent));
-    }
-    for (size_t i = 0; ok && i < json_object_array_length(rents); i++) {
+    for (size_t i = 0; i < json_object_array_length(list); i++) {
         struct intent intent = {0};
-        ok = decode_scale_out(json_object_array_get_idx(rents, i), &intent);
-        if (ok)
-            g_ptr_array_add(out, g_memdup2(&intent, sizeof intent));
+        if (!decode(json_object_array_get_idx(list, i), &intent))
+            return false;
+        g_ptr_array_add(intents, g_memdup2(&intent, sizeof intent));
     }
-    return ok;
+    return true;
+}
+
+bool intents_decode(json_object *value, fencing_token *token, GPtrArray *intents)
+{
+    json_object *scale_ins = json_get_array(value, FIELD_SCALE_INS);
+    json_object *scale_outs = json_get_array(value, FIELD_SCALE_OUTS);
+    if (!scale_ins || !scale_outs || !json_get_u64(value, FIELD_TOKEN, &token->value))
+        return false;
+    return decode_list(scale_ins, decode_scale_in, intents) &&
+           decode_list(scale_outs, decode_scale_out, intents);
 }
--- a/src/singleton/role_codec.h
+++ b/src/singleton/role_codec.h
@@ -1,10 +1,16 @@
-/* Keys and values of duties in the state service.
+/**
+ * @file
+ * Keys and values of singleton roles in the key-value store.
  *
- * ll/duty/DUTY who holds it, on the holder's lease; ll/pending/DUTY/N pages of intents that are not
- * settled yet, on no lease. Keys are read in their order, page by page: intents come after the map,
- * so that whoever reads a map has all that was recorded under earlier ones. */
-#ifndef LL_DUTY_CODEC_H
-#define LL_DUTY_CODEC_H
+ * `ll/duty/ROLE` says who holds a role; it is on the holder's lease. `ll/pending/ROLE/N` are pages
+ * of intents that are not settled yet; they are on no lease.
+ *
+ * All keys are read in their order, page by page. The pages of intents come after the shard map, so
+ * that a node which has read a map has also read every intent that was recorded under an earlier
+ * one.
+ */
+#ifndef LL_ROLE_CODEC_H
+#define LL_ROLE_CODEC_H
 
 #include "json_fields.h"
 #include "role_types.h"
@@ -12,23 +18,35 @@
 #define KEY_ROLE_PREFIX "ll/duty/"
 #define KEY_INTENT_PREFIX "ll/pending/"
 
-/* The word for a duty in keys and logs. */
+/** The word for a role in keys and in the log. */
 const char *singleton_role_name(enum singleton_role role);
 
-/* A new text each. */
+/** Returns a new string. */
 char *key_role(enum singleton_role role);
-char *key_intent_page(enum singleton_role role, int page);
-/* Read the parts of such keys; false: it is none of a known duty. */
+/** Returns a new string. */
+char *key_intent_page(enum singleton_role role, int page_number);
+
+/** Returns false if the key is not that of a known role's record. */
 bool key_role_parse(const char *key, enum singleton_role *role);
-bool key_intent_page_parse(const char *key, enum singleton_role *role, int *page);
+/** Returns false if the key is not that of a page of a known role's intents. */
+bool key_intent_page_parse(const char *key, enum singleton_role *role, int *page_number);
 
-/* The value of a duty's record. */
+/** Returns the new value of a role's record. */
 json_object *role_holder_encode(const struct role_holder *holder);
-bool role_holder_decode(json_object *value, struct role_holder *out);
+/** Returns false if the value is malformed. */
+bool role_holder_decode(json_object *value, struct role_holder *holder);
 
-/* The value of a page: the token under which it is written, and its intents (struct intent *). */
+/**
+ * Returns the new value of a page of intents.
+ *
+ * @param token    of the holder that writes the page
+ * @param intents  const struct intent *
+ */
 json_object *intents_encode(fencing_token token, const GPtrArray *intents);
-/* Adds the intents of a page, new ones; false if any of it is malformed. */
-bool intents_decode(json_object *value, fencing_token *token, GPtrArray *out);
+/**
+ * Appends new copies of a page's intents (struct intent *). Returns false if any of it is
+ * malformed; what comes before that is appended all the same.
+ */
+bool intents_decode(json_object *value, fencing_token *token, GPtrArray *intents);
 
 #endif
--- a/src/singleton/role_manager.h
+++ b/src/singleton/role_manager.h
@@ -1,12 +1,15 @@
-/* The duties of one node: claims, releases, hand-overs, and whether it may act.
+/**
+ * @file
+ * The singleton roles of one node: claims, releases, hand-overs, and whether it may act.
  *
- * An act is safe if it is a transaction guarded by the token (role_manager_add_guard), or if it was
- * recorded as an intent by such a transaction before (intent_log.h): a replaced holder's
- * transaction is refused, and what it recorded its successor does anyway. role_manager_may_act
- * keeps a holder from beginning what would be refused; by itself it proves nothing, as a process
- * may stand still between the check and the act. */
-#ifndef LL_DUTIES_H
-#define LL_DUTIES_H
+ * An action of a role's holder is safe if it is a transaction guarded by the fencing token
+ * (role_manager_add_guard()), or if such a transaction recorded it as an intent before
+ * (intent_log.h): once the holder has been replaced its transactions are refused, and what it
+ * recorded its successor carries out. role_manager_may_act() only avoids beginning what would be
+ * refused. By itself it proves nothing, as the process may be suspended between check and action.
+ */
+#ifndef LL_ROLE_MANAGER_H
+#define LL_ROLE_MANAGER_H
 
 #include "event_loop.h"
 #include "kv_client.h"
@@ -14,57 +17,75 @@
 
 struct role_manager;
 
+/** @param ok  false: the replica did not reach the revision in time */
 typedef void (*role_await_callback)(void *arg, bool ok);
 
-/* What the package needs of the node around it. */
+/** What the role manager needs of the node; all of it outlives the manager. */
 struct role_manager_config {
     struct loop *loop;
     struct kv_client *kv;
-    const struct role_records *records; /* the replica of the records */
-    const char *label;                  /* of this node */
-    void *ctx;                          /* of the functions */
-    /* The lease that this process's keys hang on; 0: it has none. */
+    /** The node's replica of the records. */
+    const struct role_records *records;
+    /** Of this node. */
+    const char *label;
+    /** Of the functions below. */
+    void *ctx;
+    /** The lease on which this process's keys hang; 0: it has none. */
     lease_id (*get_lease)(void *ctx);
-    /* Whether that lease surely holds at this moment. */
+    /** Whether that lease is certain to hold at this moment. */
     bool (*lease_is_valid)(void *ctx);
-    /* Calls back once the replica is at a revision; {0}: at one that is the newest by now. */
-    void (*await_revision)(void *ctx, revision at, role_await_callback done, void *arg);
-    /* Adds what a claim of the duty is conditioned on besides; NULL: nothing. */
+    /** Calls back once the replica is at that revision; 0: at what is the newest one by now. */
+    void (*await_revision)(void *ctx, revision revision_needed, role_await_callback callback,
+                           void *arg);
+    /** Adds compares to the transaction of a claim; may be NULL. */
     void (*add_claim_compares)(void *ctx, enum singleton_role role, struct txn *txn);
 };
 
-/* To listeners: a duty was gained or lost. */
+/** The message to listeners when a role was gained or lost; its body is a struct role_change. */
 enum { MSG_ROLE_CHANGE = 500 };
 
 struct role_change {
     enum singleton_role role;
     bool is_gained;
+    /** Of the holding that begins or ends. */
     fencing_token token;
 };
 
-struct role_manager *role_manager_new(const struct role_manager_config *setup);
+struct role_manager *role_manager_new(const struct role_manager_config *config);
 void role_manager_free(struct role_manager *manager);
-/* Sends MSG_ROLE_CHANGE with a struct role_change. What the listener has queued for a lost duty it
- * must drop. */
+
+/**
+ * Sends MSG_ROLE_CHANGE to the listener from now on. When a role is lost the listener must drop
+ * what it has queued for it.
+ */
 void role_manager_add_listener(struct role_manager *manager, struct actor *listener);
 
-/* From now on claims the duty whenever nobody holds it. */
+/** From now on claims the role whenever nobody holds it. */
 void role_manager_claim(struct role_manager *manager, enum singleton_role role);
-/* Claims it no more, and gives it up if it is held. */
+
+/** Claims the role no longer, and gives it up if this process holds it. */
 void role_manager_release(struct role_manager *manager, enum singleton_role role);
-/* Gives the duty to a living process. False: it is not held. Whether the successor took it is
- * known from the records; if it could not, this node holds on. */
+
+/**
+ * Gives the role to another live process. Returns false if this one does not hold it. Whether the
+ * successor has it is known from the records; if it could not take it, this process keeps it.
+ */
 bool role_manager_hand_over(struct role_manager *manager, enum singleton_role role,
                             const struct role_holder *successor);
-/* The replica has changed, or the lease. */
+
+/** Does what is due; to be called when the replica or the lease has changed. */
 void role_manager_reconcile(struct role_manager *manager);
 
-/* Whether this process holds the duty, whether its lease surely holds or not. */
+/** Whether this process holds the role by the replica, even if its lease may have ended. */
 bool role_manager_holds(const struct role_manager *manager, enum singleton_role role);
-/* Whether it surely holds it at this moment, by a clock that is read anew. */
+
+/** Whether this process holds the role and its lease is certain to hold; reads the clock anew. */
 bool role_manager_may_act(struct role_manager *manager, enum singleton_role role);
+
+/** The token of the current holding, or of the latest one. */
 fencing_token role_manager_get_token(const struct role_manager *manager, enum singleton_role role);
-/* Conditions a transaction on the token: it is refused once there is another holder, or none. */
+
+/** Makes the transaction fail once this holding of the role has ended. */
 void role_manager_add_guard(const struct role_manager *manager, enum singleton_role role,
                             struct txn *txn);
 
--- a/src/singleton/role_records.c
+++ b/src/singleton/role_records.c
@@ -1,16 +1,22 @@
+/**
+ * @file
+ * A node's replica of the records of singleton roles and of the pages of intents.
+ */
 #include "role_records.h"
 
 #include "log.h"
 
 struct role_records {
     struct role_record by_role[ROLE_COUNT];
-    GHashTable *pages;           /* key -> struct intent_page */
-    GHashTable *scale_in_counts; /* machine -> number of pages that say so */
+    /** Key -> struct intent_page. */
+    GHashTable *pages;
+    /** Machine id -> in how many pages an intent names it for scale-in. */
+    GHashTable *scale_in_counts;
 };
 
-static void intent_page_free(gpointer p)
+static void intent_page_free(gpointer data)
 {
-    struct intent_page *page = p;
+    struct intent_page *page = data;
     g_ptr_array_unref(page->intents);
     g_free(page);
 }
@@ -35,66 +41,76 @@
 {
     struct role_record record = {0};
     if (value && !role_holder_decode(value, &record.holder))
-        LOG_ERROR("duty_unreadable", "duty=%s", singleton_role_name(role));
-    /* A record that cannot be read still is one: nobody may act or claim beside its holder. */
+        LOG_ERROR("role_record_malformed", "role=%s", singleton_role_name(role));
+    /* Somebody holds the role all the same: nobody may claim it or act in it. */
     if (value)
-        record.token.v = mod_revision.value;
+        record.token.value = mod_revision.value;
     records->by_role[role] = record;
 }
 
-/* Counts a machine's return in (by 1) or out (by -1). */
-static void count_scale_in(struct role_records *records, const char *machine, int by,
-                           GPtrArray *changed)
+/** Adds `increment` (1 or -1) to the number of pages that name the machine. */
+static void count_scale_in(struct role_records *records, const char *machine, int increment,
+                           GPtrArray *changed_machines)
 {
-    int count = GPOINTER_TO_INT(g_hash_table_lookup(records->scale_in_counts, machine)) + by;
+    int count = GPOINTER_TO_INT(g_hash_table_lookup(records->scale_in_counts, machine)) + increment;
     if (count > 0)
         g_hash_table_replace(records->scale_in_counts, g_strdup(machine), GINT_TO_POINTER(count));
     else
         g_hash_table_remove(records->scale_in_counts, machine);
-    g_ptr_array_add(changed, g_strdup(machine));
+    g_ptr_array_add(changed_machines, g_strdup(machine));
 }
 
 static void count_page_scale_ins(struct role_records *records, const struct intent_page *page,
-                                 int by, GPtrArray *changed)
+                                 int increment, GPtrArray *changed_machines)
 {
     for (guint i = 0; i < page->intents->len; i++) {
         const struct intent *intent = page->intents->pdata[i];
         if (intent->kind == INTENT_SCALE_IN)
-            count_scale_in(records, intent->name, by, changed);
+            count_scale_in(records, intent->name, increment, changed_machines);
     }
 }
 
-static void apply_page(struct role_records *records, const char *key, struct intent_page place,
-                       json_object *value, GPtrArray *changed)
+static struct intent_page *decode_page(const char *key, const struct intent_page *position,
+                                       json_object *value)
 {
-    struct intent_page *old = g_hash_table_lookup(records->pages, key);
-    if (old)
-        count_page_scale_ins(records, old, -1, changed);
-    g_hash_table_remove(records->pages, key);
-    if (!value)
-        return;
-    struct intent_page *page = g_memdup2(&place, sizeof place);
+    struct intent_page *page = g_memdup2(position, sizeof *position);
     fencing_token token;
     page->intents = g_ptr_array_new_with_free_func(g_free);
     if (!intents_decode(value, &token, page->intents))
-        LOG_ERROR("intents_unreadable", "key=%s", key);
+        LOG_ERROR("intent_page_malformed", "key=%s", key);
+    return page;
+}
+
+/** Replaces a page; `position` has all of the new one but its intents. */
+static void apply_page(struct role_records *records, const char *key,
+                       const struct intent_page *position, json_object *value,
+                       GPtrArray *changed_machines)
+{
+    const struct intent_page *old_page = g_hash_table_lookup(records->pages, key);
+    if (old_page)
+        count_page_scale_ins(records, old_page, -1, changed_machines);
+    g_hash_table_remove(records->pages, key);
+    if (!value)
+        return;
+    struct intent_page *page = decode_page(key, position, value);
     g_hash_table_replace(records->pages, g_strdup(key), page);
-    count_page_scale_ins(records, page, 1, changed);
+    count_page_scale_ins(records, page, 1, changed_machines);
 }
 
 bool role_records_apply(struct role_records *records, const char *key, json_object *value,
                         revision mod_revision, GPtrArray *changed_machines)
 {
+    struct intent_page position = {.mod_revision = mod_revision};
     enum singleton_role role;
-    int number;
-    if (key_role_parse(key, &role))
+    if (key_role_parse(key, &role)) {
         apply_record(records, role, value, mod_revision);
-    else if (key_intent_page_parse(key, &role, &number))
-        apply_page(records, key, (struct intent_page){role, number, mod_revision, NULL}, value,
-                   changed_machines);
-    else
-        return false;
-    return true;
+        return true;
+    }
+    if (key_intent_page_parse(key, &position.role, &position.number)) {
+        apply_page(records, key, &position, value, changed_machines);
+        return true;
+    }
+    return false;
 }
 
 const struct role_record *role_records_get(const struct role_records *records,
@@ -103,22 +119,13 @@
     return &records->by_role[role];
 }
 
-const struct intent_page *role_records_get_page(const struct role_records *records,
-                                                enum singleton_role role, int number)
-{
-    char *key = key_intent_page(role, number);
-    const struct intent_page *page = g_hash_table_lookup(records->pages, key);
-    g_free(key);
-    return page;
-}
-
 GPtrArray *role_records_list_pages(const struct role_records *records, enum singleton_role role)
 {
     GPtrArray *pages = g_ptr_array_new();
-    GHashTableIter it;
+    GHashTableIter iter;
     struct intent_page *page;
-    g_hash_table_iter_init(&it, records->pages);
-    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&page))
+    g_hash_table_iter_init(&iter, records->pages);
+    while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&page))
         if (page->role == role)
             g_ptr_array_add(pages, page);
     return pages;
--- a/src/singleton/role_records.h
+++ b/src/singleton/role_records.h
@@ -1,15 +1,22 @@
-/* A node's replica of the records of duties and of the pages of intents, kept up by its view. */
-#ifndef LL_DUTY_TABLE_H
-#define LL_DUTY_TABLE_H
+/**
+ * @file
+ * A node's replica of the records of singleton roles and of the pages of intents.
+ *
+ * The replica (replica.h) feeds it with each key that it reads. No machine which an intent names
+ * for scale-in may get new tasks, on any node; that is looked up here.
+ */
+#ifndef LL_ROLE_RECORDS_H
+#define LL_ROLE_RECORDS_H
 
 #include "role_codec.h"
 
-/* A page of intents as it stands in the state service. */
+/** A page of intents as it stands in the key-value store. */
 struct intent_page {
     enum singleton_role role;
     int number;
     revision mod_revision;
-    GPtrArray *intents; /* struct intent */
+    /** struct intent. */
+    GPtrArray *intents;
 };
 
 struct role_records;
@@ -17,19 +24,25 @@
 struct role_records *role_records_new(void);
 void role_records_free(struct role_records *records);
 
-/* Takes the value of one of the package's keys (NULL: it was removed); false: it is another key.
- * Machines whose return was recorded, or is not any more, are added to changed (char *). */
+/**
+ * Takes the value of a key, if it is one of this package's.
+ *
+ * @param value             NULL: the key was deleted
+ * @param changed_machines  gets the ids (new strings) of the machines for which
+ *                          role_records_is_scaling_in() may have changed
+ * @return false: the key is another package's
+ */
 bool role_records_apply(struct role_records *records, const char *key, json_object *value,
                         revision mod_revision, GPtrArray *changed_machines);
 
+/** Never NULL: a role that nobody holds has a record without token. */
 const struct role_record *role_records_get(const struct role_records *records,
                                            enum singleton_role role);
-/* The page, or NULL. */
-const struct intent_page *role_records_get_page(const struct role_records *records,
-                                                enum singleton_role role, int number);
-/* All pages of a duty (const struct intent_page *), in no order: a new array. */
+
+/** Returns a new array of all pages of a role (const struct intent_page *), in no order. */
 GPtrArray *role_records_list_pages(const struct role_records *records, enum singleton_role role);
-/* Whether it is on record that the machine is to be returned: nothing may be placed on it. */
+
+/** Whether an intent to return the machine is on record. */
 bool role_records_is_scaling_in(const struct role_records *records, const char *machine);
 
 #endif
--- a/src/singleton/role_types.h
+++ b/src/singleton/role_types.h
@@ -1,47 +1,60 @@
-/* What the modules of the duty package and their users have in common.
+/**
+ * @file
+ * Types that the modules of this package share with their users.
  *
- * A duty is work that one node does for all of them. Its record is a key of the state service that
- * hangs on the holder's lease; the revision at which the record was written is the fencing token,
- * so that tokens rise also when a record went away with its lease. */
-#ifndef LL_DUTY_TYPES_H
-#define LL_DUTY_TYPES_H
+ * A singleton role is work that one node does for the whole cluster. Who holds it is recorded in a
+ * key of the key-value store, on the holder's lease. The revision at which that key was written is
+ * the fencing token of the holder: revisions only rise, so a later holder always has a higher
+ * token, also if the key was deleted with its lease in between.
+ */
+#ifndef LL_ROLE_TYPES_H
+#define LL_ROLE_TYPES_H
 
 #include "types.h"
 
-/* The duties; singleton_role_name gives each a word. */
+/** The singleton roles; singleton_role_name() has the word for each. */
 enum singleton_role {
-    ROLE_AUTOSCALER,        /* renting and returning machines */
-    ROLE_GARBAGE_COLLECTOR, /* removing what nodes that are away left in the state service */
+    /** Scales the cluster out and in. */
+    ROLE_AUTOSCALER,
+    /** Deletes what departed nodes left in the key-value store. */
+    ROLE_GARBAGE_COLLECTOR,
     ROLE_COUNT,
 };
 
-/* The fencing token of one holding of a duty: the revision of its record. 0: none. */
+/** Identifies one holding of a role: the revision of its record. 0: none. */
 typedef struct {
-    uint64_t v;
+    uint64_t value;
 } fencing_token;
 
-/* A process that holds a duty: its node's label, and the lease that its keys hang on. */
+/** A process that holds a role. */
 struct role_holder {
+    /** Of its node. */
     char label[64];
+    /** The lease on which its keys hang; no other process ever has the same one. */
     lease_id incarnation;
 };
 
-/* Who holds a duty. */
+/** Who holds a role, by the key-value store. */
 struct role_record {
     struct role_holder holder;
-    fencing_token token; /* 0: nobody holds it */
+    /** 0: nobody holds the role. */
+    fencing_token token;
 };
 
-/* What the holder of a duty is about to do outside the state service. */
+/** What the holder of a role is about to do outside the key-value store. */
 enum intent_kind {
-    INTENT_SCALE_IN,  /* of a machine to the cloud */
-    INTENT_SCALE_OUT, /* of machines, by the name of the request */
+    /** Return one machine to the cloud. */
+    INTENT_SCALE_IN,
+    /** Request machines of the cloud. */
+    INTENT_SCALE_OUT,
 };
 
+/** A write-ahead record of such an action: see intent_log.h. */
 struct intent {
     enum intent_kind kind;
-    char name[128]; /* the machine, or the request */
-    /* Of a request to rent: */
+    /** The machine's id, or the id of the scale-out request. */
+    char name[128];
+    /* The following is set for INTENT_SCALE_OUT only. */
     char type_name[48], zone[48];
     bool is_spot;
     int machine_count;
--- a/tests/duty_history.c
+++ b/tests/duty_history.c
@@ -67,11 +67,11 @@
     fencing_token token = {0};
     if (!intents_decode(value, &token, intents))
         note_wrong(history, "intents that cannot be read: %s", text);
-    if (!token.v || token.v != history->current[role])
+    if (!token.value || token.value != history->current[role])
         note_wrong(history,
                    "intents under token %" G_GUINT64_FORMAT " while %" G_GUINT64_FORMAT
                    " is current",
-                   token.v, history->current[role]);
+                   token.value, history->current[role]);
     for (guint i = 0; i < intents->len; i++) {
         const struct intent *intent = intents->pdata[i];
         g_hash_table_add(intent->kind == INTENT_SCALE_OUT ? history->rent_intents
--- a/tests/test_duties.c
+++ b/tests/test_duties.c
@@ -532,7 +532,7 @@
 
 static uint64_t token_of(struct world *world, enum singleton_role role)
 {
-    return role_records_get(world->nodes[0]->replica->singleton_roles, role)->token.v;
+    return role_records_get(world->nodes[0]->replica->singleton_roles, role)->token.value;
 }
 
 static void all_claim_in_the_same_instant(void **state)
