--- a/src/api/api.h
+++ b/src/api/api.h
@@ -3,7 +3,7 @@
 #ifndef LL_API_H
 #define LL_API_H
 
-#include "peers.h"
+#include "failure_detector.h"
 #include "shard.h"
 
 struct api;
@@ -15,7 +15,8 @@
     struct replica *replica;
     struct membership *membership;
     struct node_rpc *rpc;
-    struct peers *peers;
+    struct cancel_broadcast *cancel_broadcast;
+    struct failure_detector *failure_detector;
     struct shard *shard;
     const struct settings *settings;
 };
--- a/src/api/api_internal.h
+++ b/src/api/api_internal.h
@@ -23,7 +23,8 @@
     const struct settings *settings;
     struct shard *shard;
     struct node_rpc *rpc;
-    struct peers *peers;
+    struct cancel_broadcast *cancel_broadcast;
+    struct failure_detector *failure_detector;
     struct membership *membership;
     /** Requests that wait for the key-value store or for a peer, and how many may. */
     int waiting_count, max_waiting;
--- a/src/api/job_write.c
+++ b/src/api/job_write.c
@@ -52,7 +52,7 @@
 {
     LOG_DEBUG("answered", "job=%s action=%d", request->job.text, request->action);
     if (request->action == API_ACTION_CANCEL) {
-        cancel_broadcast_announce(request->api->peers, request->job, at_revision,
+        cancel_broadcast_announce(request->api->cancel_broadcast, request->job, at_revision,
                                   on_cancel_announced, request);
         return;
     }
@@ -86,7 +86,7 @@
     api_request_resume resume = write->resume;
     g_free(write);
     if (request->action == API_ACTION_CANCEL)
-        cancel_broadcast_finish(request->api->peers, request->job, outcome);
+        cancel_broadcast_finish(request->api->cancel_broadcast, request->job, outcome);
     if (request->is_answered)
         api_request_free(request); /* its user repeats it */
     else if (outcome->status == TXN_COMMITTED)
@@ -139,6 +139,6 @@
 {
     size_t max_bytes = kv_client_limits(request->api->kv)->max_value_bytes;
     json_object *value = encode_cancelled_job_within(job, max_bytes);
-    cancel_broadcast_begin(request->api->peers, request->job);
+    cancel_broadcast_begin(request->api->cancel_broadcast, request->job);
     api_request_write_job(request, job->mod_revision, value, resume);
 }
