--- a/src/shard/agent_session.c
+++ b/src/shard/agent_session.c
@@ -1,6 +1,7 @@
-#include "shard_internal.h"
+#include "agent_session_internal.h"
 
 #include "log.h"
+#include "task_placement_internal.h"
 
 enum {
     PUSH_TIMEOUT_MS = 2500,
@@ -18,9 +19,9 @@
 {
     /* Commands of earlier owners are not counted in unsettled: their tokens were lower than ours.
      */
-    return (run->run_commands_in_flight == 0 &&
-            machine->fencing_token >= machine->owner_epoch.value) ||
-           machine->fencing_token > run->sent_fencing_token.value;
+    return (run->start.in_flight == 0 &&
+            machine->heartbeat.fencing_token >= machine->lease.owner_epoch.value) ||
+           machine->heartbeat.fencing_token > run->start.fencing_token.value;
 }
 
 static void add_run_command(struct shard *shard, struct machine *machine, struct task_run *run,
@@ -29,38 +30,38 @@
     mono_time now = loop_now(shard->loop);
     struct agent_command command = {
         .job = run->job, .task_index = run->index, .attempt = run->attempt};
-    if (run->phase == TASK_RUN_RELEASED && !is_push && run->is_reported &&
-        run->reported_state == TASK_EXITED && shard_can_clear_attempt(machine, run)) {
+    if (run->phase == TASK_RUN_RELEASED && !is_push && run->reported.visibility == RUN_REPORTED &&
+        run->reported.state == TASK_EXITED && shard_can_clear_attempt(machine, run)) {
         command.verb = COMMAND_CLEAR;
         g_array_append_val(commands, command);
     }
     if (run->phase != TASK_RUN_RECORDED)
         return;
-    if (run->is_stopping) {
-        if (!run->is_reported || run->reported_state == TASK_EXITED)
+    if (run->stop.is_requested) {
+        if (run->reported.visibility != RUN_REPORTED || run->reported.state == TASK_EXITED)
             return;
-        int64_t since_stop_ms = run->stop_sent_at.us ? time_ms_since(now, run->stop_sent_at) : -1;
+        int64_t since_stop_ms = run->stop.sent_at.us ? time_ms_since(now, run->stop.sent_at) : -1;
         if (is_push && since_stop_ms >= 0 && since_stop_ms < RESEND_INTERVAL_MS)
             return;
-        bool grace_is_over = since_stop_ms > (int64_t)(run->grace_s * 1000);
-        if (!run->stop_sent_at.us)
-            run->stop_sent_at = now;
+        bool grace_is_over = since_stop_ms > (int64_t)(run->stop.grace_s * 1000);
+        if (!run->stop.sent_at.us)
+            run->stop.sent_at = now;
         command.verb = COMMAND_STOP;
-        command.grace_period_s = grace_is_over ? 0 : run->grace_s;
+        command.grace_period_s = grace_is_over ? 0 : run->stop.grace_s;
         g_array_append_val(commands, command);
         return;
     }
-    if (run->is_reported ||
-        (run->run_sent_at.us && time_ms_since(now, run->run_sent_at) < RESEND_INTERVAL_MS))
+    if (run->reported.visibility == RUN_REPORTED ||
+        (run->start.sent_at.us && time_ms_since(now, run->start.sent_at) < RESEND_INTERVAL_MS))
         return;
     command.verb = COMMAND_RUN;
-    run->sent_fencing_token = shard->epoch;
-    run->run_sent_at = now;
+    run->start.fencing_token = shard->epoch;
+    run->start.sent_at = now;
     /* Only a later session proves that it is gone: sent once more, it may have been started in this
      * one, and a report from before may still come. */
-    run->sent_agent_epoch = machine->agent_epoch;
+    run->start.agent_epoch = machine->heartbeat.agent_epoch;
     if (is_push)
-        run->run_commands_in_flight++;
+        run->start.in_flight++;
     g_array_append_val(commands, command);
 }
 
@@ -72,7 +73,7 @@
     bool is_member = membership_has_valid_lease(shard->membership);
     for (guint i = 0; i < machine->runs->len && commands->len < 300; i++) {
         struct task_run *run = machine->runs->pdata[i];
-        if (is_member || (run->is_stopping && shard_job_is_over(shard, run->job)))
+        if (is_member || (run->stop.is_requested && shard_job_is_over(shard, run->job)))
             add_run_command(shard, machine, run, is_push, commands);
     }
     if (is_push || !is_member)
@@ -84,7 +85,7 @@
             .job = task->job, .task_index = task->task_index, .attempt = task->attempt};
         if (task->state == TASK_EXITED) {
             /* Earlier owners' commands carried lower tokens than ours. */
-            if (machine->fencing_token < machine->owner_epoch.value)
+            if (machine->heartbeat.fencing_token < machine->lease.owner_epoch.value)
                 continue;
             command.verb = COMMAND_CLEAR;
         } else {
@@ -105,9 +106,9 @@
 
 static bool is_newer_heartbeat(const struct machine *machine, const struct heartbeat *heartbeat)
 {
-    return heartbeat->agent_epoch > machine->agent_epoch ||
-           (heartbeat->agent_epoch == machine->agent_epoch &&
-            heartbeat->sequence > machine->heartbeat_sequence);
+    return heartbeat->agent_epoch > machine->heartbeat.agent_epoch ||
+           (heartbeat->agent_epoch == machine->heartbeat.agent_epoch &&
+            heartbeat->sequence > machine->heartbeat.sequence);
 }
 
 /* A machine keeps its type, its zone and its kind, and both are known here. What says otherwise
@@ -124,10 +125,10 @@
         !machine || !machine->type_name[0] ||
         (strcmp(machine->type_name, heartbeat->machine_type_name) == 0 &&
          strcmp(machine->zone, heartbeat->zone) == 0 && machine->is_spot == heartbeat->is_spot);
-    bool same_sequence_differs = machine && machine->has_reported &&
-                                 heartbeat->agent_epoch == machine->agent_epoch &&
-                                 heartbeat->sequence == machine->heartbeat_sequence &&
-                                 shard_heartbeat_hash(heartbeat) != machine->heartbeat_hash;
+    bool same_sequence_differs = machine && machine->heartbeat.has_reported &&
+                                 heartbeat->agent_epoch == machine->heartbeat.agent_epoch &&
+                                 heartbeat->sequence == machine->heartbeat.sequence &&
+                                 shard_heartbeat_hash(heartbeat) != machine->heartbeat.tasks_hash;
     if (zone_is_known && type_is_known && same_machine && !same_sequence_differs)
         return true;
     LOG_ERROR("report_contradicts",
@@ -153,14 +154,14 @@
          is_consistent_heartbeat(shard, machine, &heartbeat);
     /* An answer is no copy. If it counts less than what was known when it was asked for, the worker
      * has begun anew: what it lacks is gone, though its session may have the same number. */
-    bool agent_restarted = ok && machine->has_reported && is_probe &&
-                           (heartbeat.agent_epoch < machine->probed_agent_epoch ||
-                            (heartbeat.agent_epoch == machine->probed_agent_epoch &&
-                             heartbeat.sequence <= machine->probed_sequence));
+    bool agent_restarted = ok && machine->heartbeat.has_reported && is_probe &&
+                           (heartbeat.agent_epoch < machine->reachability.probed_agent_epoch ||
+                            (heartbeat.agent_epoch == machine->reachability.probed_agent_epoch &&
+                             heartbeat.sequence <= machine->reachability.probed_sequence));
     if (agent_restarted)
         LOG_INFO("worker_anew", "machine=%s", machine->id.text);
     if (agent_restarted ||
-        (ok && (!machine->has_reported || is_newer_heartbeat(machine, &heartbeat))))
+        (ok && (!machine->heartbeat.has_reported || is_newer_heartbeat(machine, &heartbeat))))
         shard_machine_apply_heartbeat(shard, machine, &heartbeat);
     if (ok) {
         shard_machine_reached(shard, machine);
@@ -176,23 +177,22 @@
     struct shard *shard = call->shard;
     struct machine *machine = shard_find_machine(shard, call->machine.text);
     if (machine) {
-        machine->push_in_flight = false;
+        bool push_again = machine->push == PUSH_IN_FLIGHT_AGAIN;
+        machine->push = PUSH_IDLE;
         bool outcome_known = response->status > 0 || response->status == HTTP_NOT_SENT;
         for (guint i = 0; i < call->commands->len; i++) {
             struct agent_command *command = &g_array_index(call->commands, struct agent_command, i);
             struct task_run *run =
                 shard_run_find(machine, command->job, command->task_index, command->attempt);
             if (run && command->verb == COMMAND_RUN && outcome_known) {
-                run->run_commands_in_flight--;
+                run->start.in_flight--;
                 if (response->status != 200)
-                    run->run_sent_at = (mono_time){0};
+                    run->start.sent_at = (mono_time){0};
             }
         }
         handle_agent_answer(shard, machine, response, false);
-        if (machine->push_pending) {
-            machine->push_pending = false;
+        if (push_again)
             shard_push_commands(shard, machine);
-        }
     }
     g_array_unref(call->commands);
     g_free(call);
@@ -201,13 +201,13 @@
 /* Sends straight to the worker what it should do now. */
 void shard_push_commands(struct shard *shard, struct machine *machine)
 {
-    if (machine->push_in_flight) {
-        machine->push_pending = true;
+    if (machine->push != PUSH_IDLE) {
+        machine->push = PUSH_IN_FLIGHT_AGAIN;
         return;
     }
-    if (!machine->has_reported || machine->is_gone)
+    if (!machine->heartbeat.has_reported || machine->is_gone)
         return;
-    if (!machine->is_reachable) { /* once it answers, it gets its orders */
+    if (!machine->reachability.is_confirmed) { /* once it answers, it gets its orders */
         shard_probe_agent(shard, machine);
         return;
     }
@@ -218,11 +218,11 @@
     }
     struct agent_call *call = g_new(struct agent_call, 1);
     *call = (struct agent_call){shard, machine->id, commands};
-    char *body = agent_commands_encode(shard->epoch, machine->agent_epoch,
+    char *body = agent_commands_encode(shard->epoch, machine->heartbeat.agent_epoch,
                                        (struct agent_command *)commands->data, commands->len);
     struct http_client_request request = {machine->address, "POST",         "/commands", body,
                                           strlen(body),     PUSH_TIMEOUT_MS};
-    machine->push_in_flight = true;
+    machine->push = PUSH_IN_FLIGHT;
     shard->net->request(shard->net, &request, handle_push_answer, call);
     g_free(body);
 }
@@ -233,12 +233,12 @@
     struct shard *shard = call->shard;
     struct machine *machine = shard_find_machine(shard, call->machine.text);
     if (machine) {
-        machine->probe_in_flight = false;
+        machine->reachability.probe_in_flight = false;
         if (!handle_agent_answer(shard, machine, response, true))
-            machine->probe_failures++;
+            machine->reachability.probe_failures++;
         else
             shard_push_commands(shard, machine);
-        if (machine->probe_failures == 2)
+        if (machine->reachability.probe_failures == 2)
             shard_request_status(shard);
     }
     g_free(call);
@@ -247,17 +247,19 @@
 void shard_probe_agent(struct shard *shard, struct machine *machine)
 {
     mono_time now = loop_now(shard->loop);
-    int64_t pause_ms = (int64_t)PROBE_INTERVAL_MS * (1 + MIN(machine->probe_failures / 3, 3));
-    if (machine->probe_in_flight || !machine->address[0] ||
-        (machine->last_probe_at.us && time_ms_since(now, machine->last_probe_at) < pause_ms))
+    int64_t pause_ms =
+        (int64_t)PROBE_INTERVAL_MS * (1 + MIN(machine->reachability.probe_failures / 3, 3));
+    if (machine->reachability.probe_in_flight || !machine->address[0] ||
+        (machine->reachability.last_probe_at.us &&
+         time_ms_since(now, machine->reachability.last_probe_at) < pause_ms))
         return;
     struct agent_call *call = g_new0(struct agent_call, 1);
     call->shard = shard;
     call->machine = machine->id;
-    machine->probe_in_flight = true;
-    machine->last_probe_at = now;
-    machine->probed_agent_epoch = machine->agent_epoch;
-    machine->probed_sequence = machine->heartbeat_sequence;
+    machine->reachability.probe_in_flight = true;
+    machine->reachability.last_probe_at = now;
+    machine->reachability.probed_agent_epoch = machine->heartbeat.agent_epoch;
+    machine->reachability.probed_sequence = machine->heartbeat.sequence;
     struct http_client_request request = {machine->address, "GET", "/status", NULL, 0,
                                           PROBE_TIMEOUT_MS};
     shard->net->request(shard->net, &request, handle_probe_answer, call);
@@ -360,8 +362,9 @@
         return false;
     for (guint i = 0; i < machine->runs->len; i++) {
         const struct task_run *run = machine->runs->pdata[i];
-        if (run->phase == TASK_RUN_RECORDED && !run->is_reported && run->job_over_since.us &&
-            time_ms_since(loop_now(shard->loop), run->job_over_since) >=
+        if (run->phase == TASK_RUN_RECORDED && run->reported.visibility != RUN_REPORTED &&
+            run->stop.job_over_since.us &&
+            time_ms_since(loop_now(shard->loop), run->stop.job_over_since) >=
                 shard_max_renewal_ms(shard))
             return true;
     }
@@ -431,7 +434,7 @@
         shard_machine_reconcile(shard, machine, -1);
         LOG_INFO("machine_up", "machine=%s type=%s zone=%s spot=%d", machine->id.text,
                  heartbeat->machine_type_name, heartbeat->zone, heartbeat->is_spot);
-    } else if (machine->has_reported) {
+    } else if (machine->heartbeat.has_reported) {
         return machine;
     }
     g_strlcpy(machine->address, heartbeat->address, sizeof machine->address);
@@ -447,10 +450,10 @@
 static bool shows_reachability(const struct machine *machine, const struct heartbeat *heartbeat,
                                const char *via)
 {
-    return (heartbeat->agent_epoch == machine->agent_epoch &&
-            heartbeat->sequence == machine->heartbeat_sequence + 1 &&
-            strcmp(via, machine->via_node) == 0) ||
-           heartbeat->fencing_token > machine->fencing_token;
+    return (heartbeat->agent_epoch == machine->heartbeat.agent_epoch &&
+            heartbeat->sequence == machine->heartbeat.sequence + 1 &&
+            strcmp(via, machine->heartbeat.via_node) == 0) ||
+           heartbeat->fencing_token > machine->heartbeat.fencing_token;
 }
 
 /* A report that is the first from a machine here may be an old copy, as nothing newer is known. It
@@ -459,18 +462,19 @@
 static bool accept_heartbeat(struct shard *shard, struct machine *machine,
                              const struct heartbeat *heartbeat, const char *via)
 {
-    bool is_accepted =
-        machine->has_reported || heartbeat->fencing_token >= machine->owner_epoch.value;
+    bool is_accepted = machine->heartbeat.has_reported ||
+                       heartbeat->fencing_token >= machine->lease.owner_epoch.value;
     if (is_accepted) {
-        bool is_reachable = !machine->has_reported || shows_reachability(machine, heartbeat, via);
+        bool is_reachable =
+            !machine->heartbeat.has_reported || shows_reachability(machine, heartbeat, via);
         shard_machine_apply_heartbeat(shard, machine, heartbeat);
         if (is_reachable)
             shard_machine_reached(shard, machine);
         else
-            machine->is_reachable = false;
+            machine->reachability.is_confirmed = false;
     }
-    g_strlcpy(machine->via_node, via, sizeof machine->via_node);
-    if (!is_accepted || !machine->is_reachable)
+    g_strlcpy(machine->heartbeat.via_node, via, sizeof machine->heartbeat.via_node);
+    if (!is_accepted || !machine->reachability.is_confirmed)
         shard_probe_agent(shard, machine);
     shard_request_placement(shard);
     return is_accepted;
@@ -483,8 +487,8 @@
     struct machine *machine = shard_find_machine(shard, heartbeat->machine.text);
     if (shard_machine_was_returned(shard, heartbeat->machine.text) ||
         !is_consistent_heartbeat(shard, machine, heartbeat) ||
-        (machine && (machine->is_gone ||
-                     (machine->has_reported && !is_newer_heartbeat(machine, heartbeat))))) {
+        (machine && (machine->is_gone || (machine->heartbeat.has_reported &&
+                                          !is_newer_heartbeat(machine, heartbeat))))) {
         /* Held back on its way: whoever sent it has long given up. Or its worker has begun anew,
          * which only its answer can tell. */
         reply_json(responder, from, 503, g_strdup("{}"));
@@ -498,7 +502,7 @@
         reply_json(responder, from, 503, g_strdup("{}"));
         return;
     }
-    machine->last_answered_at = loop_now(shard->loop);
+    machine->lease.last_answered_at = loop_now(shard->loop);
     GArray *commands = is_accepted && membership_has_valid_lease(shard->membership)
                            ? collect_commands(shard, machine, false)
                            : stop_commands_for_over_jobs(shard, heartbeat);
--- a/src/shard/completions.c
+++ b/src/shard/completions.c
@@ -24,7 +24,7 @@
 static GPtrArray *find_units(struct shard *shard, job_id job, uint32_t unit_number)
 {
     char *key = unit_key(job, unit_number);
-    GPtrArray *units = g_hash_table_lookup(shard->completion_units, key);
+    GPtrArray *units = g_hash_table_lookup(shard->records.completion_units, key);
     g_free(key);
     return units;
 }
@@ -68,7 +68,7 @@
     GPtrArray *units = find_units(shard, job, unit_number);
     if (!units) {
         units = g_ptr_array_new_with_free_func(unit_free);
-        g_hash_table_insert(shard->completion_units, unit_key(job, unit_number), units);
+        g_hash_table_insert(shard->records.completion_units, unit_key(job, unit_number), units);
     }
     unit = g_new0(struct completion_unit, 1);
     unit->job = job;
@@ -92,7 +92,7 @@
 {
     GHashTableIter iter;
     GPtrArray *units;
-    g_hash_table_iter_init(&iter, shard->completion_units);
+    g_hash_table_iter_init(&iter, shard->records.completion_units);
     while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&units))
         for (guint i = 0; i < units->len; i++)
             callback(shard, units->pdata[i], ctx);
@@ -143,7 +143,7 @@
     bitmap_grow(unit->bits, bit / 8 + 1);
     unit->bits->data[bit / 8] |= (guint8)(1 << (bit % 8));
     unit->is_unwritten = unit->changed_in_txn = true;
-    shard->is_dirty = true;
+    shard->records.is_dirty = true;
 }
 
 struct settings_reader {
@@ -296,7 +296,7 @@
 bool shard_completion_is_written(struct shard *shard, const struct task_run *run,
                                  page_predicate is_written, const void *ctx)
 {
-    if (!run->is_completed || !shard_find_live_job(shard, run->job))
+    if (run->end.proof != RUN_END_COMPLETED || !shard_find_live_job(shard, run->job))
         return true;
     GPtrArray *units = find_units(shard, run->job, run->index / COMPLETION_UNIT_TASKS);
     for (guint i = 0; units && i < units->len; i++) {
@@ -335,7 +335,7 @@
     bool has_unplaced = false;
     GHashTableIter iter;
     GPtrArray *units;
-    g_hash_table_iter_init(&iter, shard->completion_units);
+    g_hash_table_iter_init(&iter, shard->records.completion_units);
     while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&units)) {
         if (!shard_find_live_job(shard, ((struct completion_unit *)units->pdata[0])->job)) {
             g_hash_table_iter_remove(&iter); /* over: it goes with the next write of its page */
--- a/src/shard/machine_inventory.c
+++ b/src/shard/machine_inventory.c
@@ -18,9 +18,9 @@
 
 static struct own_inventory *get_inventory(struct shard *shard, int number)
 {
-    while ((int)shard->inventories->len <= number)
-        g_ptr_array_add(shard->inventories, g_new0(struct own_inventory, 1));
-    return shard->inventories->pdata[number];
+    while ((int)shard->records.inventories->len <= number)
+        g_ptr_array_add(shard->records.inventories, g_new0(struct own_inventory, 1));
+    return shard->records.inventories->pdata[number];
 }
 
 /* Makes what we hold of our lists agree with the view. */
@@ -29,7 +29,7 @@
     GHashTableIter iter;
     struct machine_inventory *inventory;
     struct machine *machine;
-    for (guint i = 0; i < shard->inventories->len; i++)
+    for (guint i = 0; i < shard->records.inventories->len; i++)
         *get_inventory(shard, (int)i) = (struct own_inventory){0};
     g_hash_table_iter_init(&iter, shard->replica->inventories);
     while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&inventory)) {
@@ -48,31 +48,32 @@
             replica_get_machine(shard->replica, machine->id.text);
         bool own = machine_record && machine_record->inventory &&
                    strcmp(machine_record->inventory->label, shard->settings->label) == 0;
-        machine->inventory_number = own ? machine_record->inventory->number : -1;
-        machine->joins_inventory = false;
+        machine->record.inventory_number = own ? machine_record->inventory->number : -1;
+        machine->record.joins_inventory = false;
     }
 }
 
 void shard_inventory_drop_machine(struct shard *shard, const struct machine *machine)
 {
-    if (machine->inventory_number >= 0)
-        get_inventory(shard, machine->inventory_number)->is_stale = true;
+    if (machine->record.inventory_number >= 0)
+        get_inventory(shard, machine->record.inventory_number)->is_stale = true;
 }
 
 static bool needs_inventory(const struct machine *machine)
 {
-    return machine->inventory_number < 0 && !machine->mod_revision.value && !machine->is_gone &&
-           machine->address[0] && shard_machine_has_runs(machine);
+    return machine->record.inventory_number < 0 && !machine->record.mod_revision.value &&
+           !machine->is_gone && machine->address[0] && shard_machine_has_runs(machine);
 }
 
 bool shard_inventory_due(struct shard *shard)
 {
     if (shard_uses_legacy_format(shard) ||
-        time_ms_since(loop_now(shard->loop), shard->inventory_written_at) < INVENTORY_INTERVAL_MS)
+        time_ms_since(loop_now(shard->loop), shard->records.inventory_written_at) <
+            INVENTORY_INTERVAL_MS)
         return false;
-    int64_t overdue_ms =
-        time_ms_since(loop_now(shard->loop), shard->inventory_written_at) - INVENTORY_CLEANUP_MS;
-    for (guint i = 0; overdue_ms >= 0 && i < shard->inventories->len; i++)
+    int64_t overdue_ms = time_ms_since(loop_now(shard->loop), shard->records.inventory_written_at) -
+                         INVENTORY_CLEANUP_MS;
+    for (guint i = 0; overdue_ms >= 0 && i < shard->records.inventories->len; i++)
         if (get_inventory(shard, (int)i)->is_stale)
             return true;
     GHashTableIter iter;
@@ -115,12 +116,12 @@
         struct machine *machine;
         g_hash_table_iter_init(&iter, shard->machines);
         while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&machine)) {
-            if (machine->joins_inventory)
-                machine->inventory_number = write->number;
-            machine->joins_inventory = false;
+            if (machine->record.joins_inventory)
+                machine->record.inventory_number = write->number;
+            machine->record.joins_inventory = false;
         }
         get_inventory(shard, write->number)->mod_revision = outcome->at_revision;
-        shard->txn_in_flight = false;
+        shard->records.txn_in_flight = false;
         shard_request_flush(shard);
         g_free(write);
     } else {
@@ -132,10 +133,10 @@
  * may be new. */
 static int choose_inventory(struct shard *shard)
 {
-    for (guint i = 0; i < shard->inventories->len; i++)
+    for (guint i = 0; i < shard->records.inventories->len; i++)
         if (get_inventory(shard, (int)i)->is_stale)
             return (int)i;
-    return shard->inventories->len ? (int)shard->inventories->len - 1 : 0;
+    return shard->records.inventories->len ? (int)shard->records.inventories->len - 1 : 0;
 }
 
 /* What stays on a list, and what may be added. */
@@ -148,16 +149,16 @@
         g_hash_table_iter_init(&iter, shard->machines);
         while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&machine)) {
             if (added ? !needs_inventory(machine)
-                      : machine->inventory_number != number || machine->is_gone ||
-                            machine->mod_revision.value)
+                      : machine->record.inventory_number != number || machine->is_gone ||
+                            machine->record.mod_revision.value)
                 continue;
             gsize previous_length = text->len;
-            machine->joins_inventory = append_machine(machine, text) > 0;
+            machine->record.joins_inventory = append_machine(machine, text) > 0;
             if (text->len <= max_bytes)
                 continue;
             g_string_truncate(text, previous_length);
-            machine->joins_inventory = false;
-            if (number == (int)shard->inventories->len - 1)
+            machine->record.joins_inventory = false;
+            if (number == (int)shard->records.inventories->len - 1)
                 get_inventory(shard, number + 1); /* the rest goes on another one */
             return;
         }
@@ -171,7 +172,7 @@
     GString *text = g_string_new(NULL);
     write_inventory_text(shard, number, text);
     inventory->is_stale = false;
-    shard->inventory_written_at = loop_now(shard->loop);
+    shard->records.inventory_written_at = loop_now(shard->loop);
     char *key = key_inventory(shard->settings->label, number);
     json_object *value = json_object_new_object();
     json_put_text(value, "a", text->str);
@@ -182,7 +183,7 @@
     g_string_free(text, TRUE);
     struct inventory_write *request = g_new(struct inventory_write, 1);
     *request = (struct inventory_write){shard, shard->generation, number};
-    shard->write_budget -= 1;
-    shard->txn_in_flight = true;
+    shard->records.write_budget -= 1;
+    shard->records.txn_in_flight = true;
     kv_client_commit(shard->kv, KV_LANE_URGENT, txn, handle_inventory_outcome, request);
 }
--- a/src/shard/page_draft.c
+++ b/src/shard/page_draft.c
@@ -88,7 +88,7 @@
         run->phase == TASK_RUN_ENDED &&
         shard_completion_is_written(batch->shard, run, record_batch_writes_page, batch);
     if (run->record.is_in_txn) {
-        machine->is_in_txn = draft->is_changed = true;
+        machine->record.is_in_txn = draft->is_changed = true;
         return;
     }
     struct record_page_entry record = shard_page_record_of(machine, run);
--- a/src/shard/page_split.c
+++ b/src/shard/page_split.c
@@ -67,7 +67,8 @@
 
 bool shard_split_due(struct shard *shard)
 {
-    return !time_before(loop_now(shard->loop), shard->split_retry_at) && next_long_page(shard);
+    return !time_before(loop_now(shard->loop), shard->records.split_retry_at) &&
+           next_long_page(shard);
 }
 
 static void split_page_free(gpointer data)
@@ -319,7 +320,7 @@
     bool copies_first = pages && pages->len > max_writes;
     if (!pages || (copies_first && legacy_format)) {
         g_clear_pointer(&pages, g_ptr_array_unref);
-        shard->split_retry_at = time_add_ms(loop_now(shard->loop), RETRY_DELAY_MS);
+        shard->records.split_retry_at = time_add_ms(loop_now(shard->loop), RETRY_DELAY_MS);
         return false; /* until all nodes understand it */
     }
     struct txn *txn = shard_txn_new(shard);
@@ -337,8 +338,8 @@
              pages->len, copies_first);
     struct split_request *request = g_new(struct split_request, 1);
     *request = (struct split_request){shard, shard->generation};
-    shard->write_budget -= txn_write_count(txn);
-    shard->txn_in_flight = true;
+    shard->records.write_budget -= txn_write_count(txn);
+    shard->records.txn_in_flight = true;
     kv_client_commit(shard->kv, KV_LANE_URGENT, txn, handle_split_outcome, request);
     g_ptr_array_unref(pages);
     return true;
--- a/src/shard/record_batch.c
+++ b/src/shard/record_batch.c
@@ -141,7 +141,7 @@
     if (!draft)
         return false;
     run->record.next_page = draft->number;
-    run->record.is_in_txn = machine->is_in_txn = draft->is_changed = true;
+    run->record.is_in_txn = machine->record.is_in_txn = draft->is_changed = true;
     return true;
 }
 
@@ -157,8 +157,9 @@
         if (!job)
             continue;
         record_batch_describe_machine(batch, machine);
-        if ((machine->mod_revision.value || machine->is_being_described ||
-             machine->inventory_number >= 0 || shard_machine_page_description(machine)) &&
+        if ((machine->record.mod_revision.value ||
+             machine->record.change == MACHINE_RECORD_WRITTEN ||
+             machine->record.inventory_number >= 0 || shard_machine_page_description(machine)) &&
             add_job_compare(batch, job) && record_batch_put_run(batch, machine, run, max_bytes))
             run->record.may_be_recorded = true;
         else
@@ -179,7 +180,7 @@
 /* Machines that the transaction is about. */
 static void list_machine(struct record_batch *batch, struct machine *machine)
 {
-    if (machine->is_in_txn)
+    if (machine->record.is_in_txn)
         g_ptr_array_add(batch->machine_ids, g_strdup(machine->id.text));
 }
 
--- a/src/shard/record_batch_adopt.c
+++ b/src/shard/record_batch_adopt.c
@@ -64,7 +64,7 @@
     run->record.next_page = -1;
     if (run->phase == TASK_RUN_ENDED &&
         shard_completion_is_written(batch->shard, run, record_batch_writes_page, batch)) {
-        run->record.is_in_txn = machine->is_in_txn = true;
+        run->record.is_in_txn = machine->record.is_in_txn = true;
         return true;
     }
     return record_batch_put_run(batch, machine, run, shard_max_page_bytes(batch->shard));
--- a/src/shard/record_batch_machine.c
+++ b/src/shard/record_batch_machine.c
@@ -44,25 +44,29 @@
 {
     struct shard *shard = batch->shard;
     mono_time now = loop_now(shard->loop);
-    bool is_due = !machine->mod_revision.value ||
-                  (machine->has_unrecorded_images &&
-                   time_ms_since(now, machine->described_at) > DESCRIBE_INTERVAL_MS);
-    if (machine->is_gone || machine->is_being_described || !machine->address[0] || !is_due ||
-        !has_spare_write(batch) || txn_size_bytes(batch->txn) > MAX_DESCRIPTION_BYTES)
+    bool is_due = !machine->record.mod_revision.value ||
+                  (machine->record.has_unrecorded_images &&
+                   time_ms_since(now, machine->record.written_at) > DESCRIBE_INTERVAL_MS);
+    if (machine->is_gone || machine->record.change == MACHINE_RECORD_WRITTEN ||
+        !machine->address[0] || !is_due || !has_spare_write(batch) ||
+        txn_size_bytes(batch->txn) > MAX_DESCRIPTION_BYTES)
         return;
-    bool is_required = !machine->mod_revision.value && machine->inventory_number < 0 &&
+    bool is_required = !machine->record.mod_revision.value &&
+                       machine->record.inventory_number < 0 &&
                        !shard_machine_page_description(machine);
-    if (shard->write_budget - txn_write_count(batch->txn) <= RESERVED_WRITES && !is_required)
+    if (shard->records.write_budget - txn_write_count(batch->txn) <= RESERVED_WRITES &&
+        !is_required)
         return;
     char *key = key_machine(machine->id);
-    txn_compare(batch->txn, key, machine->mod_revision);
+    txn_compare(batch->txn, key, machine->record.mod_revision);
     txn_put(batch->txn, key,
             encode_machine_value(machine, kv_client_limits(shard->kv)->max_value_bytes),
             (lease_id){0});
     g_free(key);
-    machine->is_being_described = machine->is_in_txn = true;
-    machine->has_unrecorded_images = false;
-    machine->described_at = now;
+    machine->record.change = MACHINE_RECORD_WRITTEN;
+    machine->record.is_in_txn = true;
+    machine->record.has_unrecorded_images = false;
+    machine->record.written_at = now;
 }
 
 /* Takes a machine that is gone off the records. Many may go at once, in a wave of returns, so the
@@ -74,10 +78,11 @@
         return;
     }
     char *key = key_machine(machine->id);
-    txn_compare(batch->txn, key, machine->mod_revision);
+    txn_compare(batch->txn, key, machine->record.mod_revision);
     txn_delete(batch->txn, key);
     g_free(key);
-    machine->is_being_removed = machine->is_in_txn = true;
+    machine->record.change = MACHINE_RECORD_REMOVED;
+    machine->record.is_in_txn = true;
 }
 
 void record_batch_finish_machine(struct record_batch *batch, struct machine *machine)
@@ -90,9 +95,9 @@
             (run->phase != TASK_RUN_RELEASED &&
              !(run->phase == TASK_RUN_ENDED && run->record.is_in_txn && run->record.next_page < 0));
     }
-    if (machine->is_gone && machine->mod_revision.value && !has_runs)
+    if (machine->is_gone && machine->record.mod_revision.value && !has_runs)
         remove_machine(batch, machine);
-    machine->is_in_txn = machine->is_in_txn || (machine->is_gone && !has_runs);
+    machine->record.is_in_txn = machine->record.is_in_txn || (machine->is_gone && !has_runs);
     if (!machine->is_gone && shard_machine_has_runs(machine))
         record_batch_describe_machine(batch, machine);
 }
--- a/src/shard/record_batch_outcome.c
+++ b/src/shard/record_batch_outcome.c
@@ -2,31 +2,35 @@
  * was not or when nobody knows. */
 #include "record_batch_internal.h"
 
+#include "agent_session_internal.h"
 #include "log.h"
+#include "task_end_internal.h"
+#include "task_placement_internal.h"
 
 /* How long starts and ends wait for their records: it shows when writes are scarce. */
 static void count_write_wait(struct shard *shard, const struct task_run *run)
 {
     mono_time now = loop_now(shard->loop);
     if (run->phase == TASK_RUN_PLACED) {
-        shard->write_waits.starts++;
-        shard->write_waits.start_wait_ms += (double)time_ms_since(now, run->placed_at);
+        shard->records.write_waits.starts++;
+        shard->records.write_waits.start_wait_ms += (double)time_ms_since(now, run->placed_at);
     } else if (run->phase == TASK_RUN_ENDED && run->record.next_page < 0) {
-        shard->write_waits.ends++;
-        shard->write_waits.end_wait_ms += (double)time_ms_since(now, run->ended_at);
+        shard->records.write_waits.ends++;
+        shard->records.write_waits.end_wait_ms += (double)time_ms_since(now, run->end.at);
     }
 }
 
 void shard_log_write_waits(struct shard *shard)
 {
-    if (log_debug_enabled() && shard->write_waits.writes)
+    if (log_debug_enabled() && shard->records.write_waits.writes)
         LOG_DEBUG("records", "writes=%u starts=%u wait_ms=%.0f ends=%u wait_ms=%.0f pages=%u",
-                  shard->write_waits.writes, shard->write_waits.starts,
-                  shard->write_waits.start_wait_ms / MAX(shard->write_waits.starts, 1),
-                  shard->write_waits.ends,
-                  shard->write_waits.end_wait_ms / MAX(shard->write_waits.ends, 1),
-                  shard->pages->len);
-    memset(&shard->write_waits, 0, sizeof shard->write_waits);
+                  shard->records.write_waits.writes, shard->records.write_waits.starts,
+                  shard->records.write_waits.start_wait_ms /
+                      MAX(shard->records.write_waits.starts, 1),
+                  shard->records.write_waits.ends,
+                  shard->records.write_waits.end_wait_ms / MAX(shard->records.write_waits.ends, 1),
+                  shard->records.pages->len);
+    memset(&shard->records.write_waits, 0, sizeof shard->records.write_waits);
 }
 
 /* The record of a task is as the transaction has it. Whether it has come off the records so. */
@@ -55,7 +59,7 @@
     for (guint i = 0; i < machine->runs->len;) {
         struct task_run *run = machine->runs->pdata[i];
         bool was_released = run->record.is_in_txn && commit_run(shard, machine, run);
-        if (was_released && !run->is_reported)
+        if (was_released && run->reported.visibility != RUN_REPORTED)
             g_ptr_array_remove_index_fast(machine->runs, i);
         else
             i++;
@@ -66,17 +70,18 @@
 static void commit_machine(struct shard *shard, struct machine *machine,
                            const struct txn_outcome *outcome)
 {
-    if (machine->is_being_removed)
-        machine->mod_revision = (revision){0};
-    else if (machine->is_being_described)
-        machine->mod_revision = outcome->at_revision;
-    machine->is_being_described = machine->is_being_removed = false;
+    if (machine->record.change == MACHINE_RECORD_REMOVED)
+        machine->record.mod_revision = (revision){0};
+    else if (machine->record.change == MACHINE_RECORD_WRITTEN)
+        machine->record.mod_revision = outcome->at_revision;
+    machine->record.change = MACHINE_RECORD_UNCHANGED;
     commit_runs(shard, machine);
-    if (machine->is_gone && !machine->mod_revision.value && !shard_machine_has_runs(machine)) {
+    if (machine->is_gone && !machine->record.mod_revision.value &&
+        !shard_machine_has_runs(machine)) {
         g_hash_table_remove(shard->machines, machine->id.text);
     } else if (machine->is_gone) {
         /* It went while this was being written; what was just recorded went with it. */
-        shard_end_all_runs(shard, machine, "returned");
+        shard_end_all_runs(shard, machine, RUN_END_MACHINE_RETURNED);
         shard_mark_dirty(shard);
     } else {
         shard_push_commands(shard, machine);
@@ -86,11 +91,11 @@
 void record_batch_close(struct record_batch *batch)
 {
     struct shard *shard = batch->shard;
-    shard->txn_in_flight = false;
+    shard->records.txn_in_flight = false;
     for (guint i = 0; i < batch->machine_ids->len; i++) {
         struct machine *machine = shard_find_machine(shard, batch->machine_ids->pdata[i]);
         if (machine)
-            machine->is_in_txn = false;
+            machine->record.is_in_txn = false;
     }
 }
 
@@ -110,7 +115,7 @@
         if (machine)
             commit_machine(shard, machine, outcome);
     }
-    shard->is_dirty = shard->is_dirty || batch->has_more;
+    shard->records.is_dirty = shard->records.is_dirty || batch->has_more;
     record_batch_free(batch);
     shard_place_tasks(shard);
     shard_request_flush(shard);
@@ -119,8 +124,9 @@
 /* Nothing of a machine counts as in a transaction any more: the view shows what came on record. */
 static void rollback_machine(struct machine *machine)
 {
-    machine->has_unrecorded_images = machine->has_unrecorded_images || machine->is_being_described;
-    machine->is_being_described = machine->is_being_removed = false;
+    machine->record.has_unrecorded_images =
+        machine->record.has_unrecorded_images || machine->record.change == MACHINE_RECORD_WRITTEN;
+    machine->record.change = MACHINE_RECORD_UNCHANGED;
     for (guint i = 0; i < machine->runs->len; i++)
         ((struct task_run *)machine->runs->pdata[i])->record.is_in_txn = false;
 }
@@ -131,7 +137,7 @@
     struct record_batch *batch = arg;
     struct shard *shard = batch->shard;
     bool is_same_generation = batch->generation == shard->generation;
-    shard->is_dirty = true;
+    shard->records.is_dirty = true;
     record_batch_close(batch);
     for (guint i = 0; is_same_generation && i < batch->machine_ids->len; i++) {
         struct machine *machine = shard_find_machine(shard, batch->machine_ids->pdata[i]);
--- a/src/shard/record_batch_select.c
+++ b/src/shard/record_batch_select.c
@@ -50,7 +50,7 @@
         g_ptr_array_add(demand->source_pages, source_page);
     if (run->phase == TASK_RUN_ENDED && run->record.page >= 0)
         demand->page_weights[run->record.page] +=
-            1 + (double)time_ms_since(demand->now, run->ended_at) / 1000;
+            1 + (double)time_ms_since(demand->now, run->end.at) / 1000;
     if (source_page && required_page >= 0)
         demand->page_weights[required_page] += START_WEIGHT;
     if (run->phase == TASK_RUN_PLACED && required_page >= 0)
@@ -66,7 +66,7 @@
     GHashTableIter it;
     struct machine *machine;
     want->now = loop_now(shard->loop);
-    want->page_weights = g_new0(double, shard->pages->len + 1);
+    want->page_weights = g_new0(double, shard->records.pages->len + 1);
     want->source_pages = g_ptr_array_new();
     want->has_unplaced = false;
     g_hash_table_iter_init(&it, shard->machines);
@@ -84,7 +84,7 @@
 static int find_unused_page(struct shard *shard, const struct record_batch *batch)
 {
     int number = 0;
-    while (number < (int)shard->pages->len &&
+    while (number < (int)shard->records.pages->len &&
            (!shard_own_page_is_empty(shard, number) || record_batch_find_draft(batch, number)))
         number++;
     shard_get_own_page(shard, number);
@@ -96,7 +96,7 @@
 {
     gsize max_bytes = shard_max_page_bytes(shard) / ROOMY_PAGE_SHARE;
     int best = -1;
-    for (guint i = 0; i < shard->pages->len; i++) {
+    for (guint i = 0; i < shard->records.pages->len; i++) {
         gsize free_bytes =
             record_batch_find_draft(batch, (int)i) ? 0 : shard_page_free_bytes(shard, (int)i);
         if (free_bytes >= max_bytes) {
@@ -130,10 +130,11 @@
     guint wanted = demand->source_pages->len;
     guint chosen = MIN(MIN(wanted, MAX_SOURCE_PAGES), max_pages);
     for (guint i = 0; i < chosen; i++)
-        g_ptr_array_add(batch->source_pages,
-                        demand->source_pages->pdata[(i + shard->first_source_page) % wanted]);
+        g_ptr_array_add(
+            batch->source_pages,
+            demand->source_pages->pdata[(i + shard->records.first_source_page) % wanted]);
     batch->has_more = chosen < wanted;
-    shard->first_source_page++;
+    shard->records.first_source_page++;
 }
 
 /* Which pages are written: most of them. */
@@ -141,7 +142,7 @@
                           guint max_pages)
 {
     struct shard *shard = batch->shard;
-    guint page_count = shard->pages->len;
+    guint page_count = shard->records.pages->len;
     bool adopts_records = batch->source_pages->len > 0;
     bool takes_new_records = demand->has_unplaced || adopts_records;
     gsize free_bytes = 0;
--- a/src/shard/run_records_flush.c
+++ b/src/shard/run_records_flush.c
@@ -14,18 +14,18 @@
 
 void shard_request_flush(struct shard *shard)
 {
-    if (!shard->txn_in_flight && !shard->flush_timer.queue_position)
-        timer_start(shard->loop, &shard->flush_timer, FLUSH_DELAY_MS);
+    if (!shard->records.txn_in_flight && !shard->records.flush_timer.queue_position)
+        timer_start(shard->loop, &shard->records.flush_timer, FLUSH_DELAY_MS);
 }
 
 void shard_schedule_flush(struct shard *shard, bool ok)
 {
-    timer_start(shard->loop, &shard->flush_timer, ok ? FLUSH_DELAY_MS : RETRY_DELAY_MS);
+    timer_start(shard->loop, &shard->records.flush_timer, ok ? FLUSH_DELAY_MS : RETRY_DELAY_MS);
 }
 
 void shard_mark_dirty(struct shard *shard)
 {
-    shard->is_dirty = true;
+    shard->records.is_dirty = true;
     shard_request_flush(shard);
 }
 
@@ -37,28 +37,29 @@
     double writes_per_s =
         limits->rate_limit_write_rps * RECORDS_SHARE / MAX(shard->replica->shard_map->len, 1);
     mono_time now = loop_now(shard->loop);
-    shard->write_budget =
-        MIN(MAX_WRITE_BURST, shard->write_budget +
-                                 writes_per_s * (double)(now.us - shard->write_budget_at.us) / 1e6);
-    shard->write_budget_at = now;
-    if (shard->write_budget >= 1)
+    shard->records.write_budget =
+        MIN(MAX_WRITE_BURST,
+            shard->records.write_budget +
+                writes_per_s * (double)(now.us - shard->records.write_budget_at.us) / 1e6);
+    shard->records.write_budget_at = now;
+    if (shard->records.write_budget >= 1)
         return true;
-    timer_start(shard->loop, &shard->flush_timer,
-                (int64_t)ceil((1 - shard->write_budget) / writes_per_s * 1000));
+    timer_start(shard->loop, &shard->records.flush_timer,
+                (int64_t)ceil((1 - shard->records.write_budget) / writes_per_s * 1000));
     return false;
 }
 
 void shard_charge_writes(struct shard *shard, guint writes)
 {
-    shard->write_budget -= writes;
+    shard->records.write_budget -= writes;
 }
 
 void shard_finish_write(struct shard *shard, uint64_t generation, bool ok)
 {
-    shard->txn_in_flight = false;
+    shard->records.txn_in_flight = false;
     if (ok && generation == shard->generation)
         shard_records_reconcile(shard);
-    shard->is_dirty = true;
+    shard->records.is_dirty = true;
     shard_schedule_flush(shard, ok);
 }
 
@@ -86,22 +87,22 @@
 {
     struct shard *shard = batch->shard;
     txn_free(batch->txn);
-    shard->is_dirty = batch->has_more;
+    shard->records.is_dirty = batch->has_more;
     record_batch_close(batch);
     for (guint i = 0; i < batch->machine_ids->len; i++) {
         struct machine *machine = shard_find_machine(shard, batch->machine_ids->pdata[i]);
-        if (machine && machine->is_gone && !machine->mod_revision.value &&
+        if (machine && machine->is_gone && !machine->record.mod_revision.value &&
             !shard_machine_has_runs(machine))
             g_hash_table_remove(shard->machines, machine->id.text);
     }
     record_batch_free(batch);
-    if (shard->is_dirty)
+    if (shard->records.is_dirty)
         shard_schedule_flush(shard, false);
 }
 
 static void write_records(struct shard *shard)
 {
-    shard->is_dirty = false;
+    shard->records.is_dirty = false;
     struct record_batch *batch = record_batch_new(shard);
     record_batch_fill(batch);
     guint writes = txn_write_count(batch->txn);
@@ -109,20 +110,20 @@
         discard_batch(batch);
         return;
     }
-    shard->write_budget -= writes;
-    shard->write_waits.writes += writes;
-    shard->txn_in_flight = true;
+    shard->records.write_budget -= writes;
+    shard->records.write_waits.writes += writes;
+    shard->records.txn_in_flight = true;
     kv_client_commit(shard->kv, KV_LANE_URGENT, batch->txn, record_batch_handle_outcome, batch);
 }
 
 void shard_flush(void *arg)
 {
     struct shard *shard = arg;
-    if (shard->txn_in_flight || !may_write(shard))
+    if (shard->records.txn_in_flight || !may_write(shard))
         return;
     bool split_due = shard_split_due(shard);
     bool inventory_due = shard_inventory_due(shard);
-    if (!shard->is_dirty && !split_due && !inventory_due)
+    if (!shard->records.is_dirty && !split_due && !inventory_due)
         return;
     if (!has_write_budget(shard) || (split_due && shard_split(shard)))
         return;
--- a/src/shard/run_records_pages.c
+++ b/src/shard/run_records_pages.c
@@ -30,12 +30,12 @@
 
 struct own_page *shard_get_own_page(struct shard *shard, int page_number)
 {
-    while ((int)shard->pages->len <= page_number) {
+    while ((int)shard->records.pages->len <= page_number) {
         struct own_page *page = g_new0(struct own_page, 1);
         page->foreign_records = g_array_new(FALSE, FALSE, sizeof(struct record_page_entry));
-        g_ptr_array_add(shard->pages, page);
+        g_ptr_array_add(shard->records.pages, page);
     }
-    return shard->pages->pdata[page_number];
+    return shard->records.pages->pdata[page_number];
 }
 
 struct record_page *shard_find_replica_page(struct shard *shard, int page_number)
@@ -71,13 +71,13 @@
 
 const char *shard_machine_page_description(struct machine *machine)
 {
-    if (machine->mod_revision.value || machine->is_being_described ||
-        machine->inventory_number >= 0)
+    if (machine->record.mod_revision.value || machine->record.change == MACHINE_RECORD_WRITTEN ||
+        machine->record.inventory_number >= 0)
         return NULL;
-    if (!machine->description)
-        machine->description = machine_description_encode(machine->address, machine->type_name,
-                                                          machine->zone, machine->is_spot);
-    return machine->description;
+    if (!machine->record.page_description)
+        machine->record.page_description = machine_description_encode(
+            machine->address, machine->type_name, machine->zone, machine->is_spot);
+    return machine->record.page_description;
 }
 
 struct record_page_entry shard_page_record_of(struct machine *machine, const struct task_run *run)
--- a/src/shard/run_records_reconcile.c
+++ b/src/shard/run_records_reconcile.c
@@ -30,7 +30,7 @@
     g_hash_table_iter_init(&iter, shard->machines);
     while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&machine))
         shard_machine_reconcile(shard, machine, page_number);
-    shard->is_dirty = true;
+    shard->records.is_dirty = true;
 }
 
 void shard_records_reconcile(struct shard *shard)
@@ -41,7 +41,7 @@
     while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&page))
         if (strcmp(page->label, shard->settings->label) == 0)
             shard_get_own_page(shard, page->number);
-    for (guint i = 0; i < shard->pages->len; i++)
+    for (guint i = 0; i < shard->records.pages->len; i++)
         reconcile_page(shard, (int)i);
     shard_inventories_reconcile(shard);
     reconcile_machines(shard, -1);
@@ -50,7 +50,7 @@
 void shard_handle_page_changed(struct shard *shard, const char *key)
 {
     struct record_page *page = g_hash_table_lookup(shard->replica->pages, key);
-    if (shard->txn_in_flight || !page || strcmp(page->label, shard->settings->label) != 0 ||
+    if (shard->records.txn_in_flight || !page || strcmp(page->label, shard->settings->label) != 0 ||
         page->mod_revision.value <= shard_get_own_page(shard, page->number)->mod_revision.value)
         return;
     reconcile_page(shard, page->number);
--- a/src/shard/shard.c
+++ b/src/shard/shard.c
@@ -1,6 +1,9 @@
-#include "run_records_internal.h"
+#include "agent_session_internal.h"
 
 #include "log.h"
+#include "run_records_internal.h"
+#include "task_end_internal.h"
+#include "task_placement_internal.h"
 
 enum {
     TICK_MS = 250,
@@ -24,16 +27,6 @@
         stop_runs_if_job_over((struct shard *)self, *(job_id *)message->body);
 }
 
-static void machine_free(gpointer q)
-{
-    struct machine *machine = q;
-    g_ptr_array_unref(machine->runs);
-    g_ptr_array_unref(machine->image_cache);
-    g_array_unref(machine->unknown_tasks);
-    g_free(machine->description);
-    g_free(machine);
-}
-
 static void free_json(gpointer data)
 {
     cJSON_Delete(data);
@@ -52,72 +45,64 @@
     shard->peers = setup->peers;
     shard->settings = setup->settings;
     shard->redirects = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    shard->returned_machines = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    shard->older_returned_machines = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    shard->cordoned_for_return = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    shard->machines = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, machine_free);
+    shard->returns.returned = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    shard->returns.older_returned = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    shard->returns.cordoned = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    shard->machines = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, shard_machine_free);
     for (int i = 0; i <= ARQ_CLASSES; i++)
-        g_queue_init(&shard->queues[i]);
-    shard->rejected_dispatches = g_array_new(FALSE, FALSE, sizeof(struct dispatch));
-    shard->leader_events = g_ptr_array_new_with_free_func(free_json);
-    shard->pages = g_ptr_array_new_with_free_func(own_page_free);
-    shard->inventories = g_ptr_array_new_with_free_func(g_free);
-    shard->completion_units =
+        g_queue_init(&shard->placement.queues[i]);
+    shard->status.rejected_dispatches = g_array_new(FALSE, FALSE, sizeof(struct dispatch));
+    shard->status.events = g_ptr_array_new_with_free_func(free_json);
+    shard->records.pages = g_ptr_array_new_with_free_func(own_page_free);
+    shard->records.inventories = g_ptr_array_new_with_free_func(g_free);
+    shard->records.completion_units =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, shard_completion_units_free);
-    shard->available_machines = g_ptr_array_new();
-    shard->unschedulable = g_array_new(FALSE, FALSE, sizeof(struct unschedulable));
-    shard->write_budget_at = loop_now(shard->loop);
+    shard->placement.available_machines = g_ptr_array_new();
+    shard->placement.unschedulable = g_array_new(FALSE, FALSE, sizeof(struct unschedulable));
+    shard->records.write_budget_at = loop_now(shard->loop);
     timer_init(&shard->tick_timer, handle_tick, shard);
-    timer_init(&shard->flush_timer, shard_flush, shard);
-    timer_init(&shard->status_timer, send_status, shard);
-    timer_init(&shard->placement_timer, shard_place_tasks, shard);
+    timer_init(&shard->records.flush_timer, shard_flush, shard);
+    timer_init(&shard->status.timer, send_status, shard);
+    timer_init(&shard->placement.timer, shard_place_tasks, shard);
     replica_add_listener(shard->replica, &shard->actor);
     cancel_broadcast_set_listener(shard->peers, &shard->actor);
     node_rpc_register(shard->node_rpc, "deal", handle_dispatch_message, shard);
     return shard;
 }
 
-static void clear_queues(struct shard *shard)
-{
-    for (int i = 0; i <= ARQ_CLASSES; i++)
-        while (shard->queues[i].head)
-            g_free(g_queue_pop_head(&shard->queues[i]));
-    g_array_set_size(shard->rejected_dispatches, 0);
-}
-
 void shard_free(struct shard *shard)
 {
     timer_stop(shard->loop, &shard->tick_timer);
-    timer_stop(shard->loop, &shard->flush_timer);
-    timer_stop(shard->loop, &shard->status_timer);
-    timer_stop(shard->loop, &shard->placement_timer);
-    clear_queues(shard);
+    timer_stop(shard->loop, &shard->records.flush_timer);
+    timer_stop(shard->loop, &shard->status.timer);
+    timer_stop(shard->loop, &shard->placement.timer);
+    shard_clear_dispatches(shard);
     g_hash_table_unref(shard->machines);
-    g_hash_table_unref(shard->completion_units);
-    g_ptr_array_unref(shard->pages);
-    g_ptr_array_unref(shard->inventories);
+    g_hash_table_unref(shard->records.completion_units);
+    g_ptr_array_unref(shard->records.pages);
+    g_ptr_array_unref(shard->records.inventories);
     g_hash_table_unref(shard->redirects);
-    g_hash_table_unref(shard->returned_machines);
-    g_hash_table_unref(shard->older_returned_machines);
-    g_hash_table_unref(shard->cordoned_for_return);
-    g_array_unref(shard->rejected_dispatches);
-    g_ptr_array_unref(shard->leader_events);
-    g_ptr_array_unref(shard->available_machines);
-    g_array_unref(shard->unschedulable);
+    g_hash_table_unref(shard->returns.returned);
+    g_hash_table_unref(shard->returns.older_returned);
+    g_hash_table_unref(shard->returns.cordoned);
+    g_array_unref(shard->status.rejected_dispatches);
+    g_ptr_array_unref(shard->status.events);
+    g_ptr_array_unref(shard->placement.available_machines);
+    g_array_unref(shard->placement.unschedulable);
     g_free(shard);
 }
 
 void shard_start(struct shard *shard)
 {
     timer_start(shard->loop, &shard->tick_timer, TICK_MS);
-    timer_start(shard->loop, &shard->status_timer, STATUS_INTERVAL_MS);
+    timer_start(shard->loop, &shard->status.timer, STATUS_INTERVAL_MS);
 }
 
 void shard_request_status(struct shard *shard)
 {
-    shard->status_requested = true;
-    if (!shard->status_in_flight)
-        timer_start(shard->loop, &shard->status_timer, 15);
+    shard->status.is_requested = true;
+    if (!shard->status.in_flight)
+        timer_start(shard->loop, &shard->status.timer, 15);
 }
 
 /* ---- the leader ---- */
@@ -135,8 +120,8 @@
     g_strlcpy(dispatch.bound_machine, bound_machine ? bound_machine : "",
               sizeof dispatch.bound_machine);
     dispatch.dispatched_at = dispatch.queued_at = loop_now(shard->loop);
-    shard->capacity_changed = true;
-    g_queue_push_tail(&shard->queues[0], g_memdup2(&dispatch, sizeof dispatch));
+    shard->placement.capacity_changed = true;
+    g_queue_push_tail(&shard->placement.queues[0], g_memdup2(&dispatch, sizeof dispatch));
 }
 
 static void stop_task(struct shard *shard, const cJSON *item)
@@ -175,7 +160,7 @@
                                     .attempt = run->attempt,
                                     .number = run->dispatch_number};
         if (run->record.may_be_recorded)
-            shard->wants_epoch_raise = true;
+            shard->status.wants_epoch_raise = true;
         else
             shard_reject_dispatch(shard, &dispatch);
         shard_run_remove(shard, machine, i);
@@ -186,19 +171,19 @@
  * forgotten. */
 static void remember_returned_machine(struct shard *shard, const char *machine_name)
 {
-    if (g_hash_table_size(shard->returned_machines) >= MAX_TRACKED_MACHINES) {
-        GHashTable *recycled = shard->older_returned_machines;
-        shard->older_returned_machines = shard->returned_machines;
-        shard->returned_machines = recycled;
-        g_hash_table_remove_all(shard->returned_machines);
+    if (g_hash_table_size(shard->returns.returned) >= MAX_TRACKED_MACHINES) {
+        GHashTable *recycled = shard->returns.older_returned;
+        shard->returns.older_returned = shard->returns.returned;
+        shard->returns.returned = recycled;
+        g_hash_table_remove_all(shard->returns.returned);
     }
-    g_hash_table_add(shard->returned_machines, g_strdup(machine_name));
+    g_hash_table_add(shard->returns.returned, g_strdup(machine_name));
 }
 
 bool shard_machine_was_returned(const struct shard *shard, const char *machine_name)
 {
-    return g_hash_table_contains(shard->returned_machines, machine_name) ||
-           g_hash_table_contains(shard->older_returned_machines, machine_name);
+    return g_hash_table_contains(shard->returns.returned, machine_name) ||
+           g_hash_table_contains(shard->returns.older_returned, machine_name);
 }
 
 static void handle_machine_gone(struct shard *shard, const char *machine_name)
@@ -211,8 +196,9 @@
     machine->is_gone = true;
     shard_inventory_drop_machine(shard, machine);
     reject_unrecorded_runs(shard, machine, false);
-    shard_end_all_runs(shard, machine, "returned");
-    if (machine->mod_revision.value || machine->is_in_txn || shard_machine_has_runs(machine)) {
+    shard_end_all_runs(shard, machine, RUN_END_MACHINE_RETURNED);
+    if (machine->record.mod_revision.value || machine->record.is_in_txn ||
+        shard_machine_has_runs(machine)) {
         shard_mark_dirty(shard);
     } else {
         g_hash_table_remove(shard->machines, machine_name);
@@ -222,31 +208,23 @@
 /* Whether a machine is to be returned: nothing is placed on it any more. */
 bool shard_machine_is_returning(const struct shard *shard, const char *machine_name)
 {
-    return g_hash_table_contains(shard->cordoned_for_return, machine_name) ||
+    return g_hash_table_contains(shard->returns.cordoned, machine_name) ||
            role_records_is_scaling_in(shard->replica->singleton_roles, machine_name);
 }
 
-static bool has_unrecorded_run(const struct machine *machine)
-{
-    for (guint i = 0; i < machine->runs->len; i++)
-        if (((const struct task_run *)machine->runs->pdata[i])->phase == TASK_RUN_PLACED)
-            return true;
-    return false;
-}
-
 /* The leader is about to record that the machine goes back. Once this node has said that it places
  * nothing more there, nothing may: what was placed and is not on record goes back to the leader,
  * or, if a transaction may record it, is waited for, and the leader asks again. A later owner sees
  * the intent in its view before it owns the machine, as that is conditioned on the map. */
 static void cordon_for_return(struct shard *shard, const char *machine_name, cJSON *confirmed)
 {
-    g_hash_table_add(shard->cordoned_for_return, g_strdup(machine_name));
+    g_hash_table_add(shard->returns.cordoned, g_strdup(machine_name));
     struct machine *machine = shard_find_machine(shard, machine_name);
     if (machine) {
         machine->is_returning = true;
         reject_unrecorded_runs(shard, machine, true);
     }
-    if (!machine || !has_unrecorded_run(machine))
+    if (!machine || !shard_machine_has_unrecorded_run(machine))
         cJSON_AddItemToArray(confirmed, cJSON_CreateString(machine_name));
 }
 
@@ -309,45 +287,45 @@
         if (machine)
             machine->is_cordoned = true;
     }
-    shard->capacity_changed = true;
+    shard->placement.capacity_changed = true;
 }
 
 static void handle_status_answer(void *arg, int status, const cJSON *answer)
 {
     struct status_request *request = arg;
     struct shard *shard = request->shard;
-    shard->status_in_flight = false;
+    shard->status.in_flight = false;
     if (status == 200 && request->generation == shard->generation) {
-        g_array_remove_range(shard->rejected_dispatches, 0, request->rejected_count);
-        g_ptr_array_remove_range(shard->leader_events, 0, request->event_count);
-        shard->wants_epoch_raise = false;
+        g_array_remove_range(shard->status.rejected_dispatches, 0, request->rejected_count);
+        g_ptr_array_remove_range(shard->status.events, 0, request->event_count);
+        shard->status.wants_epoch_raise = false;
         apply_cordoned_machines(shard, cJSON_GetObjectItemCaseSensitive(answer, "shut"));
     } else {
-        shard->next_status_is_full = true;
+        shard->status.next_is_full = true;
     }
-    timer_start(shard->loop, &shard->status_timer,
-                shard->status_requested ? 15
-                : status == 200         ? STATUS_INTERVAL_MS
-                                        : 250);
+    timer_start(shard->loop, &shard->status.timer,
+                shard->status.is_requested ? 15
+                : status == 200            ? STATUS_INTERVAL_MS
+                                           : 250);
     g_free(request);
 }
 
 static int machine_flags(struct shard *shard, struct machine *machine)
 {
-    int64_t unreached_ms = time_ms_since(loop_now(shard->loop), machine->last_reached_at);
+    int64_t unreached_ms = time_ms_since(loop_now(shard->loop), machine->reachability.confirmed_at);
     int flags = 0;
-    if (machine->has_reported)
+    if (machine->heartbeat.has_reported)
         flags |= MACHINE_KNOWN;
     if (machine->is_reclaimed)
         flags |= MACHINE_RECLAIMED;
     if (!shard_machine_is_available(shard, machine))
         flags |= MACHINE_UNAVAILABLE;
-    if (machine->probe_failures >= 2 &&
+    if (machine->reachability.probe_failures >= 2 &&
         unreached_ms > (int64_t)(shard->settings->heartbeat_interval_s * 2500))
         flags |= MACHINE_UNREACHABLE;
     if ((flags & MACHINE_UNREACHABLE) &&
         unreached_ms > (int64_t)(shard->settings->lease_s * 1000) + LEASE_EXPIRED_MARGIN_MS &&
-        (time_ms_since(loop_now(shard->loop), machine->last_heartbeat_at) <
+        (time_ms_since(loop_now(shard->loop), machine->heartbeat.received_at) <
              (int64_t)(shard->settings->lease_s * 1000) ||
          shard_lease_has_expired(shard, machine))) /* else another node may keep it */
         flags |= MACHINE_LEASE_EXPIRED;
@@ -363,33 +341,33 @@
     cJSON_AddItemToArray(item, cJSON_CreateString(machine->zone));
     cJSON_AddItemToArray(item, cJSON_CreateBool(machine->is_spot));
     cJSON_AddItemToArray(item, cJSON_CreateNumber(flags));
-    if (is_full || !machine->has_sent_images) {
+    if (is_full || !machine->sent_status.has_images) {
         cJSON *images = cJSON_CreateArray();
         for (guint i = 0; i < machine->image_cache->len; i++)
             cJSON_AddItemToArray(images, cJSON_CreateString(machine->image_cache->pdata[i]));
         cJSON_AddItemToArray(item, images);
     }
-    machine->sent_status_flags = flags;
-    machine->has_sent_images = true;
+    machine->sent_status.flags = flags;
+    machine->sent_status.has_images = true;
     return item;
 }
 
 static void encode_machine_statuses(struct shard *shard, cJSON *message)
 {
-    bool is_full = shard->next_status_is_full || shard->status_count++ % FULL_STATUS_INTERVAL == 0;
+    bool is_full = shard->status.next_is_full || shard->status.count++ % FULL_STATUS_INTERVAL == 0;
     if (is_full)
         shard_log_write_waits(shard);
     cJSON *statuses = cJSON_AddArrayToObject(message, "hosts");
     if (is_full)
         cJSON_AddTrueToObject(message, "whole");
-    shard->next_status_is_full = false;
+    shard->status.next_is_full = false;
     GHashTableIter iter;
     struct machine *machine;
     g_hash_table_iter_init(&iter, shard->machines);
     while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&machine)) {
         int flags = machine_flags(shard, machine);
         if (!machine->is_gone && machine->type_name[0] &&
-            (is_full || flags != machine->sent_status_flags || !machine->has_sent_images))
+            (is_full || flags != machine->sent_status.flags || !machine->sent_status.has_images))
             cJSON_AddItemToArray(statuses, encode_machine_status(machine, flags, is_full));
     }
 }
@@ -397,32 +375,34 @@
 static void send_status(void *arg)
 {
     struct shard *shard = arg;
-    shard->status_requested = false;
+    shard->status.is_requested = false;
     if (!shard->replica->leader_label || !membership_has_valid_lease(shard->membership) ||
         shard->epoch.value != shard->replica->shard_map_epoch.value) {
-        timer_start(shard->loop, &shard->status_timer, 250);
+        timer_start(shard->loop, &shard->status.timer, 250);
         return;
     }
     cJSON *message = cJSON_CreateObject();
     node_rpc_put_u64(message, "e", shard->epoch.value);
-    node_rpc_put_u64(message, "s", ++shard->status_sequence);
+    node_rpc_put_u64(message, "s", ++shard->status.sequence);
     encode_machine_statuses(shard, message);
     cJSON *rejected = cJSON_AddArrayToObject(message, "back");
-    for (guint i = 0; i < shard->rejected_dispatches->len; i++) {
-        struct dispatch *dispatch = &g_array_index(shard->rejected_dispatches, struct dispatch, i);
+    for (guint i = 0; i < shard->status.rejected_dispatches->len; i++) {
+        struct dispatch *dispatch =
+            &g_array_index(shard->status.rejected_dispatches, struct dispatch, i);
         cJSON *item = node_rpc_encode_task(dispatch->job, dispatch->index, dispatch->attempt);
         node_rpc_put_u64(item, "n", dispatch->number);
         cJSON_AddItemToArray(rejected, item);
     }
     cJSON *events = cJSON_AddArrayToObject(message, "news");
-    for (guint i = 0; i < shard->leader_events->len; i++)
-        cJSON_AddItemToArray(events, cJSON_Duplicate(shard->leader_events->pdata[i], true));
-    if (shard->wants_epoch_raise)
+    for (guint i = 0; i < shard->status.events->len; i++)
+        cJSON_AddItemToArray(events, cJSON_Duplicate(shard->status.events->pdata[i], true));
+    if (shard->status.wants_epoch_raise)
         cJSON_AddBoolToObject(message, "raise", true);
     struct status_request *request = g_new(struct status_request, 1);
-    *request = (struct status_request){shard, shard->generation, shard->rejected_dispatches->len,
-                                       shard->leader_events->len};
-    shard->status_in_flight = true;
+    *request =
+        (struct status_request){shard, shard->generation, shard->status.rejected_dispatches->len,
+                                shard->status.events->len};
+    shard->status.in_flight = true;
     node_rpc_call(shard->node_rpc, shard->replica->leader_label, "digest", message, 2000,
                   handle_status_answer, request);
 }
@@ -448,10 +428,10 @@
     shard->epoch = shard->replica->shard_map_epoch;
     shard->generation++;
     shard->last_dispatch_sequence = 0;
-    shard->next_status_is_full = true;
-    shard->wants_epoch_raise = false;
-    clear_queues(shard);
-    g_hash_table_remove_all(shard->cordoned_for_return);
+    shard->status.next_is_full = true;
+    shard->status.wants_epoch_raise = false;
+    shard_clear_dispatches(shard);
+    g_hash_table_remove_all(shard->returns.cordoned);
     GHashTableIter iter;
     struct machine *machine;
     g_hash_table_iter_init(&iter, shard->machines);
@@ -462,18 +442,19 @@
         }
         machine->is_returning = shard_machine_is_returning(shard, machine->id.text);
         if (skipped) {
-            machine->owner_epoch = shard->epoch;
-            machine->owned_at = loop_now(shard->loop);
+            machine->lease.owner_epoch = shard->epoch;
+            machine->lease.owned_at = loop_now(shard->loop);
         }
         for (guint i = 0; i < machine->runs->len; i++) {
             struct task_run *run = machine->runs->pdata[i];
             run->record.is_in_txn = false;
             if (skipped)
-                run->sent_fencing_token.value = shard->epoch.value - 1;
+                run->start.fencing_token.value = shard->epoch.value - 1;
             if (run->phase == TASK_RUN_ENDED)
                 run->phase = TASK_RUN_RECORDED; /* proven again by the next report */
         }
-        machine->is_in_txn = machine->is_being_described = machine->is_being_removed = false;
+        machine->record.is_in_txn = false;
+        machine->record.change = MACHINE_RECORD_UNCHANGED;
     }
     struct machine_record *machine_record;
     g_hash_table_iter_init(&iter, shard->replica->machines);
@@ -488,10 +469,10 @@
     g_hash_table_iter_init(&iter, shard->machines);
     while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&machine)) {
         reject_unrecorded_runs(shard, machine, false);
-        shard->wants_epoch_raise = false; /* the epoch is new */
+        shard->status.wants_epoch_raise = false; /* the epoch is new */
         if (machine->is_gone)
             g_ptr_array_add(gone_machines, g_strdup(machine->id.text));
-        else if (!machine->has_reported)
+        else if (!machine->heartbeat.has_reported)
             shard_probe_agent(shard, machine); /* its answer shows what runs there */
     }
     for (guint i = 0; i < gone_machines->len; i++) {
@@ -499,7 +480,7 @@
         handle_machine_gone(shard, gone_machines->pdata[i]);
     }
     g_ptr_array_unref(gone_machines);
-    g_array_set_size(shard->rejected_dispatches, 0);
+    g_array_set_size(shard->status.rejected_dispatches, 0);
     shard_request_status(shard);
 }
 
@@ -535,14 +516,15 @@
         switch (event->kind) {
         case REPLICA_EVENT_JOB:
             stop_runs_if_job_over(shard, event->job);
-            shard->capacity_changed = shard->capacity_changed || shard->queues[0].length;
+            shard->placement.capacity_changed =
+                shard->placement.capacity_changed || shard->placement.queues[0].length;
             break;
         case REPLICA_EVENT_MACHINE:
             machine = shard_find_machine(shard, event->machine.text);
             machine_record = replica_get_machine(shard->replica, event->machine.text);
-            if (machine && !machine->is_in_txn && machine_record &&
-                machine_record->mod_revision.value > machine->mod_revision.value)
-                machine->mod_revision = machine_record->mod_revision;
+            if (machine && !machine->record.is_in_txn && machine_record &&
+                machine_record->mod_revision.value > machine->record.mod_revision.value)
+                machine->record.mod_revision = machine_record->mod_revision;
             break;
         case REPLICA_EVENT_MACHINE_RETURN:
             machine = shard_find_machine(shard, event->machine.text);
@@ -577,27 +559,27 @@
     struct machine *machine;
     g_hash_table_iter_init(&it, shard->machines);
     while (g_hash_table_iter_next(&it, NULL, (gpointer *)&machine)) {
-        int64_t age = time_ms_since(now, machine->last_heartbeat_at);
+        int64_t age = time_ms_since(now, machine->heartbeat.received_at);
         if (machine->is_gone || !valid)
             continue;
-        if (!machine->has_reported || !machine->is_reachable ||
+        if (!machine->heartbeat.has_reported || !machine->reachability.is_confirmed ||
             age > (int64_t)(shard->settings->heartbeat_interval_s * 1250) + 1000)
             shard_probe_agent(shard, machine);
         if (age > (int64_t)(shard->settings->lease_s * 1000) && shard_machine_has_runs(machine) &&
             shard_lease_has_expired(shard, machine))
-            shard_end_all_runs(shard, machine, "lease");
+            shard_end_all_runs(shard, machine, RUN_END_LEASE_EXPIRED);
         for (guint i = 0; i < machine->runs->len; i++) {
             struct task_run *run = machine->runs->pdata[i];
-            if (run->phase == TASK_RUN_RECORDED && !run->run_sent_at.us && !run->is_reported &&
-                !run->is_stopping) {
+            if (run->phase == TASK_RUN_RECORDED && !run->start.sent_at.us &&
+                run->reported.visibility != RUN_REPORTED && !run->stop.is_requested) {
                 shard_push_commands(shard, machine);
                 break;
             }
         }
     }
-    if (shard->wants_epoch_raise)
+    if (shard->status.wants_epoch_raise)
         shard_request_status(shard);
-    shard->capacity_changed = true; /* what has waited for too long is given back */
+    shard->placement.capacity_changed = true; /* what has waited for too long is given back */
     shard_place_tasks(shard);
     shard_request_flush(shard);
 }
--- a/src/shard/task_placement.c
+++ b/src/shard/task_placement.c
@@ -1,8 +1,10 @@
-#include "run_records_internal.h"
+#include "task_placement_internal.h"
 
+#include "agent_session_internal.h"
 #include "image_cache.h"
 #include "log.h"
 #include "placement_score.h"
+#include "run_records_internal.h"
 
 enum {
     SWITCH_RULE_INTERVAL_MS = 2000,
@@ -14,10 +16,10 @@
 
 bool shard_machine_is_available(struct shard *shard, struct machine *machine)
 {
-    return machine->has_reported && machine->is_reachable && !machine->is_gone &&
-           !machine->is_reclaimed && machine->probe_failures == 0 &&
-           machine->capacity.cpus.milli > 0 &&
-           time_ms_since(loop_now(shard->loop), machine->last_heartbeat_at) <
+    return machine->heartbeat.has_reported && machine->reachability.is_confirmed &&
+           !machine->is_gone && !machine->is_reclaimed &&
+           machine->reachability.probe_failures == 0 && machine->capacity.cpus.milli > 0 &&
+           time_ms_since(loop_now(shard->loop), machine->heartbeat.received_at) <
                (int64_t)(shard->settings->heartbeat_interval_s * 1250) + 1500 &&
            !machine->is_cordoned && !machine->is_returning;
 }
@@ -79,9 +81,9 @@
 {
     memset(out, 0, sizeof *out);
     out->is_empty = true;
-    loop_add_work(shard->loop, shard->available_machines->len);
-    for (guint i = 0; i < shard->available_machines->len; i++) {
-        struct machine *machine = shard->available_machines->pdata[i];
+    loop_add_work(shard->loop, shard->placement.available_machines->len);
+    for (guint i = 0; i < shard->placement.available_machines->len; i++) {
+        struct machine *machine = shard->placement.available_machines->pdata[i];
         if (!machine_fits(shard, machine, dispatch, spec))
             continue;
         out->is_empty = false;
@@ -103,13 +105,13 @@
 {
     GHashTableIter iter;
     struct machine *machine;
-    g_ptr_array_set_size(shard->available_machines, 0);
+    g_ptr_array_set_size(shard->placement.available_machines, 0);
     loop_add_work(shard->loop, g_hash_table_size(shard->machines));
     g_hash_table_iter_init(&iter, shard->machines);
     while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&machine))
         if (machine->allocated.cpus.milli < machine->capacity.cpus.milli &&
             shard_machine_is_available(shard, machine))
-            g_ptr_array_add(shard->available_machines, machine);
+            g_ptr_array_add(shard->placement.available_machines, machine);
 }
 
 /* The best in the pools up to one. */
@@ -142,7 +144,7 @@
         if (oldest_s >= 0)
             g_array_append_val(ages_s, oldest_s);
     }
-    double chance = arq_free_chance(&shard->busy_history[pool], (double *)ages_s->data,
+    double chance = arq_free_chance(&shard->placement.busy_history[pool], (double *)ages_s->data,
                                     (int)ages_s->len, within_s, expected_run_s);
     g_array_unref(ages_s);
     return chance;
@@ -191,7 +193,7 @@
     if (candidates->by_pool[dispatch->queue_class].machine)
         return candidates->by_pool[dispatch->queue_class].machine;
     if (dispatch->queue_class < ARQ_CLASSES &&
-        g_queue_is_empty(&shard->queues[dispatch->queue_class + 1]) &&
+        g_queue_is_empty(&shard->placement.queues[dispatch->queue_class + 1]) &&
         candidates->by_pool[dispatch->queue_class + 1].machine)
         return candidates->by_pool[dispatch->queue_class + 1].machine;
     return best_up_to_pool(candidates, dispatch->queue_class);
@@ -222,7 +224,7 @@
         struct task_run *run = machine->runs->pdata[i];
         if (run->index == dispatch->index && job_id_equal(run->job, dispatch->job) &&
             run->phase == TASK_RUN_RELEASED && !shard_can_clear_attempt(machine, run) &&
-            time_ms_since(loop_now(shard->loop), run->run_sent_at) > KEPT_MS)
+            time_ms_since(loop_now(shard->loop), run->start.sent_at) > KEPT_MS)
             return true;
     }
     return false;
@@ -233,19 +235,28 @@
 {
     GHashTableIter iter;
     struct machine *machine;
-    if (shard->blocked_attempt_searches++ >=
+    if (shard->placement.blocked_attempt_searches++ >=
         MAX_BLOCKED_ATTEMPT_SEARCHES) /* it is dealt again, and looked for then */
         return;
     loop_add_work(shard->loop, g_hash_table_size(shard->machines));
     g_hash_table_iter_init(&iter, shard->machines);
-    while (!shard->wants_epoch_raise && g_hash_table_iter_next(&iter, NULL, (gpointer *)&machine))
+    while (!shard->status.wants_epoch_raise &&
+           g_hash_table_iter_next(&iter, NULL, (gpointer *)&machine))
         if (!dispatch->bound_machine[0] || strcmp(dispatch->bound_machine, machine->id.text) == 0)
-            shard->wants_epoch_raise = blocked_by_old_attempt(shard, dispatch, machine);
+            shard->status.wants_epoch_raise = blocked_by_old_attempt(shard, dispatch, machine);
+}
+
+void shard_clear_dispatches(struct shard *shard)
+{
+    for (int i = 0; i <= ARQ_CLASSES; i++)
+        while (shard->placement.queues[i].head)
+            g_free(g_queue_pop_head(&shard->placement.queues[i]));
+    g_array_set_size(shard->status.rejected_dispatches, 0);
 }
 
 void shard_reject_dispatch(struct shard *shard, const struct dispatch *dispatch)
 {
-    g_array_append_val(shard->rejected_dispatches, *dispatch);
+    g_array_append_val(shard->status.rejected_dispatches, *dispatch);
     shard_request_status(shard);
 }
 
@@ -254,7 +265,7 @@
                                    const struct job_spec *spec)
 {
     struct unschedulable lack = unschedulable_of_job_spec(spec, dispatch->zone);
-    return unschedulable_list_covers(shard->unschedulable, &lack);
+    return unschedulable_list_covers(shard->placement.unschedulable, &lack);
 }
 
 static void remember_unschedulable(struct shard *shard, const struct dispatch *dispatch,
@@ -262,8 +273,8 @@
 {
     struct unschedulable lack = unschedulable_of_job_spec(spec, dispatch->zone);
     if (!dispatch->bound_machine[0] && !spec->machine_type_names && !spec->zone &&
-        !unschedulable_list_covers(shard->unschedulable, &lack))
-        g_array_append_val(shard->unschedulable, lack);
+        !unschedulable_list_covers(shard->placement.unschedulable, &lack))
+        g_array_append_val(shard->placement.unschedulable, lack);
 }
 
 /* Returns true when the task has left its queue. */
@@ -292,7 +303,7 @@
         dispatch->queue_class = dispatch->task_class;
         /* What is bound to a machine chooses first: of the others none needs just that one. */
         if (!dispatch->bound_machine[0]) {
-            g_queue_push_tail(&shard->queues[dispatch->queue_class],
+            g_queue_push_tail(&shard->placement.queues[dispatch->queue_class],
                               g_memdup2(dispatch, sizeof *dispatch));
             return true;
         }
@@ -312,7 +323,7 @@
     if (move == ARQ_SWITCH) {
         dispatch->queue_class++;
         dispatch->queued_at = now;
-        g_queue_push_tail(&shard->queues[dispatch->queue_class],
+        g_queue_push_tail(&shard->placement.queues[dispatch->queue_class],
                           g_memdup2(dispatch, sizeof *dispatch));
         return true;
     }
@@ -329,8 +340,8 @@
 
 void shard_request_placement(struct shard *shard)
 {
-    if (shard->capacity_changed && !shard->placement_timer.queue_position)
-        timer_start(shard->loop, &shard->placement_timer, PLACEMENT_DELAY_MS);
+    if (shard->placement.capacity_changed && !shard->placement.timer.queue_position)
+        timer_start(shard->loop, &shard->placement.timer, PLACEMENT_DELAY_MS);
 }
 
 void shard_place_tasks(void *arg)
@@ -339,28 +350,29 @@
     if (!membership_has_valid_lease(shard->membership))
         return;
     mono_time now = loop_now(shard->loop);
-    shard->blocked_attempt_searches = 0;
-    bool is_rule_time = time_ms_since(now, shard->last_switch_rule_at) >= SWITCH_RULE_INTERVAL_MS;
-    if (!is_rule_time && !shard->capacity_changed)
+    shard->placement.blocked_attempt_searches = 0;
+    bool is_rule_time =
+        time_ms_since(now, shard->placement.last_switch_rule_at) >= SWITCH_RULE_INTERVAL_MS;
+    if (!is_rule_time && !shard->placement.capacity_changed)
         return;
-    shard->capacity_changed = false;
+    shard->placement.capacity_changed = false;
     if (is_rule_time)
-        shard->last_switch_rule_at = now;
+        shard->placement.last_switch_rule_at = now;
     guint waiting = 0;
     for (int queue_class = 0; queue_class <= ARQ_CLASSES; queue_class++)
-        waiting += shard->queues[queue_class].length;
+        waiting += shard->placement.queues[queue_class].length;
     if (!waiting)
         return;
     collect_available_machines(shard);
-    g_array_set_size(shard->unschedulable, 0);
+    g_array_set_size(shard->placement.unschedulable, 0);
     for (int queue_class = 0; queue_class <= ARQ_CLASSES; queue_class++) {
-        guint queue_length = shard->queues[queue_class].length;
+        guint queue_length = shard->placement.queues[queue_class].length;
         for (guint i = 0; i < queue_length; i++) {
-            struct dispatch *dispatch = g_queue_pop_head(&shard->queues[queue_class]);
+            struct dispatch *dispatch = g_queue_pop_head(&shard->placement.queues[queue_class]);
             if (process_dispatch(shard, dispatch, is_rule_time))
                 g_free(dispatch);
             else
-                g_queue_push_tail(&shard->queues[queue_class], dispatch);
+                g_queue_push_tail(&shard->placement.queues[queue_class], dispatch);
         }
     }
 }
--- a/tests/rules.c
+++ b/tests/rules.c
@@ -41,7 +41,7 @@
     bool over_by_hand;      /* its end was written by hand */
     mono_time accepted_at, cancelled_at, done_at, asked_at, begun_at, waits_from;
     bool begun, waits;
-    GArray *on; /* struct record_state: its tasks on machines */
+    GArray *on; /* struct run_record: its tasks on machines */
     GByteArray *started_once, *done_once;
     int64_t n_started, n_done;
 };
--- a/tests/test_outages.c
+++ b/tests/test_outages.c
@@ -508,8 +508,8 @@
 static void writes_wait(struct world *world, bool wait)
 {
     for (int i = 0; i < WORLD_NODES; i++) {
-        world->nodes[i]->shard->write_budget = wait ? -2000 : 1;
-        timer_start(world->loop, &world->nodes[i]->shard->flush_timer, 1);
+        world->nodes[i]->shard->records.write_budget = wait ? -2000 : 1;
+        timer_start(world->loop, &world->nodes[i]->shard->records.flush_timer, 1);
     }
 }
 
@@ -674,7 +674,7 @@
     }
     assert_true(run && run->record.is_in_txn && run->record.is_foreign);
     int put = run->record.next_page;
-    ((struct own_page *)shard->pages->pdata[put])->bytes = shard_max_page_bytes(shard);
+    ((struct own_page *)shard->records.pages->pdata[put])->bytes = shard_max_page_bytes(shard);
     world_submit(world, 0, "wk-2", "sweep", 1);
     for (int i = 0; i < 3000 && run->record.is_foreign; i++)
         world_run(world, 1);
