--- /dev/null
+++ b/src/shard/agent_commands.c
@@ -0,0 +1,149 @@
+/**
+ * @file
+ * What the agents have to do: which commands are due for the runs of a machine.
+ */
+#include "agent_session_internal.h"
+
+#include "log.h"
+
+enum {
+    /** Of one request or response. */
+    MAX_COMMANDS = 300,
+    /** A command is sent again if its effect is not reported within this time. */
+    RESEND_INTERVAL_MS = 1500,
+};
+
+bool shard_can_clear_attempt(const struct machine *machine, const struct task_run *run)
+{
+    uint64_t agent_token = machine->heartbeat.fencing_token;
+    /* Commands of earlier owners are not counted as in flight: their tokens were lower. */
+    bool none_in_flight =
+        run->start.in_flight == 0 && agent_token >= machine->lease.owner_epoch.value;
+    return none_in_flight || agent_token > run->start.fencing_token.value;
+}
+
+static GArray *commands_new(void)
+{
+    return g_array_new(FALSE, TRUE, sizeof(struct agent_command));
+}
+
+static void add_command(GArray *commands, const struct task_run *run, enum agent_command_verb verb,
+                        double grace_period_s)
+{
+    struct agent_command command = {.verb = verb,
+                                    .job = run->job,
+                                    .task_index = run->index,
+                                    .attempt = run->attempt,
+                                    .grace_period_s = grace_period_s};
+    g_array_append_val(commands, command);
+}
+
+/** The agent forgets an attempt that has exited once its record is removed. */
+static void add_clear_command(const struct machine *machine, const struct task_run *run,
+                              GArray *commands)
+{
+    if (run->reported.visibility == RUN_REPORTED && run->reported.state == TASK_EXITED &&
+        shard_can_clear_attempt(machine, run))
+        add_command(commands, run, COMMAND_CLEAR, 0);
+}
+
+/** A stop command is sent again without grace once its grace period has passed. */
+static void add_stop_command(struct shard *shard, struct task_run *run, bool is_push,
+                             GArray *commands)
+{
+    if (run->reported.visibility != RUN_REPORTED || run->reported.state == TASK_EXITED)
+        return;
+    mono_time now = loop_now(shard->loop);
+    bool was_sent = run->stop.sent_at.us != 0;
+    int64_t since_stop_ms = was_sent ? time_ms_since(now, run->stop.sent_at) : -1;
+    if (is_push && was_sent && since_stop_ms < RESEND_INTERVAL_MS)
+        return;
+    bool grace_is_over = since_stop_ms > (int64_t)(run->stop.grace_s * 1000);
+    if (!was_sent)
+        run->stop.sent_at = now;
+    add_command(commands, run, COMMAND_STOP, grace_is_over ? 0 : run->stop.grace_s);
+}
+
+static void add_run_command(struct shard *shard, const struct machine *machine,
+                            struct task_run *run, bool is_push, GArray *commands)
+{
+    mono_time now = loop_now(shard->loop);
+    struct run_start *start = &run->start;
+    if (run->reported.visibility == RUN_REPORTED ||
+        (start->sent_at.us && time_ms_since(now, start->sent_at) < RESEND_INTERVAL_MS))
+        return;
+    start->fencing_token = shard->epoch;
+    start->sent_at = now;
+    /* Only a later agent epoch than that of the newest command proves that the task is gone: an
+     * older command may have been executed in this one, and be reported yet. */
+    start->agent_epoch = machine->heartbeat.agent_epoch;
+    if (is_push)
+        start->in_flight++;
+    add_command(commands, run, COMMAND_RUN, 0);
+}
+
+/** Adds the command that is due for a run, if any. */
+static void add_due_command(struct shard *shard, const struct machine *machine,
+                            struct task_run *run, bool is_push, GArray *commands)
+{
+    if (run->phase == TASK_RUN_RELEASED && !is_push)
+        add_clear_command(machine, run, commands);
+    else if (run->phase == TASK_RUN_RECORDED && run->stop.is_requested)
+        add_stop_command(shard, run, is_push, commands);
+    else if (run->phase == TASK_RUN_RECORDED)
+        add_run_command(shard, machine, run, is_push, commands);
+}
+
+/** Tasks without a record are stopped, and forgotten once they have exited. */
+static void add_unknown_task_commands(const struct machine *machine, GArray *commands)
+{
+    bool earlier_owner_fenced =
+        machine->heartbeat.fencing_token >= machine->lease.owner_epoch.value;
+    for (guint i = 0; i < machine->unknown_tasks->len && commands->len < MAX_COMMANDS; i++) {
+        const struct heartbeat_task *task =
+            &g_array_index(machine->unknown_tasks, struct heartbeat_task, i);
+        struct agent_command command = {
+            .job = task->job, .task_index = task->task_index, .attempt = task->attempt};
+        if (task->state != TASK_EXITED) {
+            LOG_INFO("unknown_task", "job=%s task=%u machine=%s", task->job.text, task->task_index,
+                     machine->id.text);
+            command.verb = COMMAND_STOP;
+        } else if (earlier_owner_fenced) {
+            command.verb = COMMAND_CLEAR;
+        } else {
+            continue; /* a run command of an earlier owner may still start it again */
+        }
+        g_array_append_val(commands, command);
+    }
+}
+
+GArray *shard_collect_commands(struct shard *shard, struct machine *machine, bool is_push)
+{
+    GArray *commands = commands_new();
+    bool is_member = membership_has_valid_lease(shard->membership);
+    for (guint i = 0; i < machine->runs->len && commands->len < MAX_COMMANDS; i++) {
+        struct task_run *run = machine->runs->pdata[i];
+        if (is_member || (run->stop.is_requested && shard_job_is_over(shard, run->job)))
+            add_due_command(shard, machine, run, is_push, commands);
+    }
+    if (!is_push && is_member)
+        add_unknown_task_commands(machine, commands);
+    return commands;
+}
+
+GArray *shard_collect_stop_commands(struct shard *shard, const struct heartbeat *heartbeat)
+{
+    GArray *commands = commands_new();
+    for (guint i = 0; i < heartbeat->tasks->len && commands->len < MAX_COMMANDS; i++) {
+        const struct heartbeat_task *task =
+            &g_array_index(heartbeat->tasks, struct heartbeat_task, i);
+        if (task->state == TASK_EXITED || !shard_job_is_over(shard, task->job))
+            continue;
+        struct agent_command command = {.verb = COMMAND_STOP,
+                                        .job = task->job,
+                                        .task_index = task->task_index,
+                                        .attempt = task->attempt};
+        g_array_append_val(commands, command);
+    }
+    return commands;
+}
--- /dev/null
+++ b/src/shard/lease_renewal.c
@@ -0,0 +1,83 @@
+/**
+ * @file
+ * When this node renews the leases of agents. A lease that is not renewed ends all tasks on its
+ * machine: that is what stops cancelled tasks when nobody can reach the machine, so it must not be
+ * renewed by a node that may lack a cancellation for too long.
+ */
+#include "agent_session_internal.h"
+
+enum {
+    /** Taken off the time, for what the agent needs to stop its tasks. */
+    RENEWAL_MARGIN_MS = 1000,
+};
+
+/** Milliseconds for each second, where this node's clock may be faster than others' by 0.5 %. */
+static const double CAUTIOUS_MS_PER_S = 995;
+
+int64_t shard_max_renewal_ms(const struct shard *shard)
+{
+    const struct settings *settings = shard->settings;
+    return (int64_t)((settings->cancel_timeout_s - settings->lease_s) * CAUTIOUS_MS_PER_S) -
+           RENEWAL_MARGIN_MS;
+}
+
+bool shard_may_renew_leases(struct shard *shard)
+{
+    mono_time known_until = shard->replica->fresh_at;
+    mono_time told_until = cancel_broadcast_known_until(shard->peers);
+    if (time_before(known_until, told_until))
+        known_until = told_until;
+    return time_ms_since(loop_now(shard->loop), known_until) < shard_max_renewal_ms(shard);
+}
+
+/* Neither the owner nor the state service can be reached from here, as when a zone is cut off that
+ * this node and the machine are in. The proofs of the owner count with that: docs/safety.md. */
+bool shard_may_renew_for_owner(struct shard *shard, const char *owner)
+{
+    mono_time fresh_at = shard->replica->fresh_at;
+    return !membership_has_valid_lease(shard->membership) &&
+           membership_is_visible(shard->membership) &&
+           failure_detector_is_unreachable(shard->peers, owner) &&
+           time_ms_since(loop_now(shard->loop), fresh_at) < shard_max_renewal_ms(shard);
+}
+
+static bool heartbeat_has_attempt(const struct heartbeat *heartbeat,
+                                  const struct run_record *record)
+{
+    for (guint i = 0; i < heartbeat->tasks->len; i++) {
+        const struct heartbeat_task *task =
+            &g_array_index(heartbeat->tasks, struct heartbeat_task, i);
+        if (task->attempt.value == record->attempt.value &&
+            task->task_index == record->task_index && job_id_equal(task->job, record->job->id))
+            return true;
+    }
+    return false;
+}
+
+bool shard_lacks_cancelled_task(struct shard *shard, const struct heartbeat *heartbeat)
+{
+    const struct machine_record *stored =
+        replica_get_machine(shard->replica, heartbeat->machine.text);
+    for (guint i = 0; stored && i < stored->run_records->len; i++) {
+        const struct run_record *record = stored->run_records->pdata[i];
+        if (shard_job_is_over(shard, record->job->id) && !heartbeat_has_attempt(heartbeat, record))
+            return true;
+    }
+    return false;
+}
+
+bool shard_must_not_renew_lease(struct shard *shard, const struct machine *machine)
+{
+    if (membership_has_valid_lease(shard->membership))
+        return false;
+    mono_time now = loop_now(shard->loop);
+    int64_t max_ms = shard_max_renewal_ms(shard);
+    for (guint i = 0; i < machine->runs->len; i++) {
+        const struct task_run *run = machine->runs->pdata[i];
+        mono_time over_since = run->stop.job_over_since;
+        if (run->phase == TASK_RUN_RECORDED && run->reported.visibility != RUN_REPORTED &&
+            over_since.us && time_ms_since(now, over_since) >= max_ms)
+            return true;
+    }
+    return false;
+}
--- a/src/shard/machine_internal.h
+++ b/src/shard/machine_internal.h
@@ -7,6 +7,9 @@
 
 #include "task_run_internal.h"
 
+/** Probes that fail in a row until a machine counts as unreachable. */
+enum { MIN_PROBE_FAILURES = 2 };
+
 /** The newest heartbeat of a machine's agent. */
 struct machine_heartbeat {
     /** One was received since this node became the owner; the other fields are valid. */
--- a/src/shard/machines.c
+++ b/src/shard/machines.c
@@ -227,13 +227,14 @@
 
 void shard_machine_reached(struct shard *shard, struct machine *machine)
 {
-    if (machine->reachability.probe_failures >= 2)
+    struct machine_reachability *reachability = &machine->reachability;
+    if (reachability->probe_failures >= MIN_PROBE_FAILURES)
         shard_request_status(shard);
-    if (!machine->reachability.is_confirmed || machine->reachability.probe_failures)
+    if (!reachability->is_confirmed || reachability->probe_failures)
         shard->placement.capacity_changed = true;
-    machine->reachability.is_confirmed = true;
-    machine->reachability.confirmed_at = loop_now(shard->loop);
-    machine->reachability.probe_failures = 0;
+    reachability->is_confirmed = true;
+    reachability->confirmed_at = loop_now(shard->loop);
+    reachability->probe_failures = 0;
 }
 
 uint32_t shard_heartbeat_hash(const struct heartbeat *heartbeat)
--- a/src/shard/shard.c
+++ b/src/shard/shard.c
@@ -320,7 +320,7 @@
         flags |= MACHINE_RECLAIMED;
     if (!shard_machine_is_available(shard, machine))
         flags |= MACHINE_UNAVAILABLE;
-    if (machine->reachability.probe_failures >= 2 &&
+    if (machine->reachability.probe_failures >= MIN_PROBE_FAILURES &&
         unreached_ms > (int64_t)(shard->settings->heartbeat_interval_s * 2500))
         flags |= MACHINE_UNREACHABLE;
     if ((flags & MACHINE_UNREACHABLE) &&
