--- a/src/shard/agent_session.c
+++ b/src/shard/agent_session.c
@@ -8,6 +8,7 @@
 
 #include "json_fields.h"
 #include "log.h"
+#include "machine_returns_internal.h"
 #include "task_placement_internal.h"
 
 enum {
--- /dev/null
+++ b/src/shard/shard_epoch.c
@@ -0,0 +1,120 @@
+/**
+ * @file
+ * The beginning of an epoch of the shard map: what was dispatched in the last one and is not
+ * recorded is void, and machines may have other owners. No transaction of the last epoch can be
+ * carried out after the new map was written, as all are conditioned on the map.
+ */
+#include "shard_epoch_internal.h"
+
+#include "agent_session_internal.h"
+#include "machine_returns_internal.h"
+#include "run_records_internal.h"
+#include "task_placement_internal.h"
+
+static bool owns_machine(const struct shard *shard, const char *machine_name)
+{
+    const char *label = shard->settings->label;
+    const char *owner = shard_map_get_owner(shard->replica, machine_name);
+    return owner && strcmp(owner, label) == 0 &&
+           shard_map_contains(shard->replica, label, membership_get_incarnation(shard->membership));
+}
+
+/** Forgets what was in flight in the last epoch.
+ * @param skipped epochs were skipped: another owner's commands may still be on their way */
+static void reset_run(const struct shard *shard, struct task_run *run, bool skipped)
+{
+    run->record.is_in_txn = false;
+    if (skipped)
+        run->start.fencing_token.value = shard->epoch.value - 1;
+    if (run->phase == TASK_RUN_ENDED)
+        run->phase = TASK_RUN_RECORDED; /* proven again by the next heartbeat */
+}
+
+static void reset_machine(struct shard *shard, struct machine *machine, bool skipped)
+{
+    machine->is_returning = shard_machine_is_returning(shard, machine->id.text);
+    if (skipped) {
+        machine->lease.owner_epoch = shard->epoch;
+        machine->lease.owned_at = loop_now(shard->loop);
+    }
+    for (guint i = 0; i < machine->runs->len; i++)
+        reset_run(shard, machine->runs->pdata[i], skipped);
+    machine->record.is_in_txn = false;
+    machine->record.change = MACHINE_RECORD_UNCHANGED;
+}
+
+/** Drops the machines that have another owner now. */
+static void update_kept_machines(struct shard *shard, bool skipped)
+{
+    GHashTableIter iter;
+    struct machine *machine;
+    g_hash_table_iter_init(&iter, shard->machines);
+    while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&machine)) {
+        if (owns_machine(shard, machine->id.text))
+            reset_machine(shard, machine, skipped);
+        else
+            g_hash_table_iter_remove(&iter);
+    }
+}
+
+/** Adds the machines that have come to this node. */
+static void add_new_machines(struct shard *shard)
+{
+    GHashTableIter iter;
+    const struct machine_record *stored;
+    g_hash_table_iter_init(&iter, shard->replica->machines);
+    while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&stored))
+        if (owns_machine(shard, stored->id.text) && !shard_find_machine(shard, stored->id.text))
+            shard_add_machine(shard, stored->id);
+}
+
+/** Drops what is placed and not recorded, and probes the machines that have not reported yet: the
+ * answer shows what runs there. Returns the names of the machines that were returned. */
+static GPtrArray *settle_machines(struct shard *shard)
+{
+    GPtrArray *returned = g_ptr_array_new_with_free_func(g_free);
+    GHashTableIter iter;
+    struct machine *machine;
+    g_hash_table_iter_init(&iter, shard->machines);
+    while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&machine)) {
+        shard_reject_unrecorded_runs(shard, machine, false);
+        shard->status.wants_epoch_raise = false; /* the epoch is new */
+        if (machine->is_gone)
+            g_ptr_array_add(returned, g_strdup(machine->id.text));
+        else if (!machine->heartbeat.has_reported)
+            shard_probe_agent(shard, machine);
+    }
+    return returned;
+}
+
+/** Ends the runs of returned machines again. */
+static void settle_returned_machines(struct shard *shard, const GPtrArray *returned)
+{
+    for (guint i = 0; i < returned->len; i++) {
+        shard_find_machine(shard, returned->pdata[i])->is_gone = false;
+        shard_handle_machine_returned(shard, returned->pdata[i]);
+    }
+}
+
+void shard_begin_epoch(struct shard *shard)
+{
+    /* If the replica shows several new epochs at once, a machine may have had another owner in
+     * between: it is treated as if it came to this node only now. */
+    bool skipped = shard->replica->shard_map_epoch.value != shard->epoch.value + 1;
+    shard->epoch = shard->replica->shard_map_epoch;
+    shard->generation++;
+    shard->last_dispatch_sequence = 0;
+    shard->status.next_is_full = true;
+    shard->status.wants_epoch_raise = false;
+    shard_clear_dispatches(shard);
+    g_hash_table_remove_all(shard->returns.cordoned);
+    update_kept_machines(shard, skipped);
+    add_new_machines(shard);
+    shard_records_reconcile(shard);
+    GPtrArray *returned = settle_machines(shard);
+    settle_returned_machines(shard, returned);
+    g_ptr_array_unref(returned);
+    /* The leader knows that nothing is dispatched in a new epoch. */
+    g_array_set_size(shard->status.rejected_dispatches, 0);
+    shard_request_status(shard);
+}
--- a/src/shard/shard_internal.h
+++ b/src/shard/shard_internal.h
@@ -137,14 +137,13 @@
     struct timer tick_timer;
 };
 
-/* shard.c, task_runs.c */
+/* shard_status.c */
 
 /** Sends the leader a status in a moment, before the regular one. */
 void shard_request_status(struct shard *shard);
-/** Whether the machine was returned to the cloud, as far as this process remembers. */
-bool shard_machine_was_returned(const struct shard *shard, const char *machine_name);
-/** Whether the machine is to be returned: nothing is placed on it any more. */
-bool shard_machine_is_returning(const struct shard *shard, const char *machine_name);
+
+/* task_runs.c */
+
 /** The job if it is in the replica and neither done nor cancelled, or NULL. */
 struct job *shard_find_live_job(struct shard *shard, job_id id);
 /** Whether a job is over for all that this node knows, from its replica or from other nodes: its
--- /dev/null
+++ b/src/shard/shard_messages_internal.h
@@ -0,0 +1,30 @@
+/**
+ * @file
+ * Messages between this node's shard and the leader.
+ */
+#ifndef LL_SHARD_MESSAGES_INTERNAL_H
+#define LL_SHARD_MESSAGES_INTERNAL_H
+
+#include "shard_internal.h"
+
+/** HTTP status of the answers to messages between nodes. */
+enum node_rpc_status {
+    NODE_RPC_OK = 200,
+    NODE_RPC_MALFORMED = 400,
+    /** The sender is not the leader, or of another epoch. */
+    NODE_RPC_CONFLICT = 409,
+};
+
+/** Handles a message of the leader; a node_rpc handler.
+ * @param ctx the struct shard. */
+int shard_handle_dispatch_message(void *ctx, const char *from, const cJSON *message,
+                                  cJSON **answer);
+
+/** Begins to send the leader the shard's status. */
+void shard_status_start(struct shard *shard);
+/** Sends the leader the shard's status: what has changed with its machines, dispatches that it
+ * hands back, and events. A timer callback.
+ * @param arg the struct shard. */
+void shard_send_status(void *arg);
+
+#endif
--- /dev/null
+++ b/src/shard/shard_status.c
@@ -0,0 +1,230 @@
+/**
+ * @file
+ * The status messages to the leader: once a second, or sooner when something is wanted, what has
+ * changed with the machines since the last one; all machines now and then.
+ */
+#include "shard_messages_internal.h"
+
+#include "run_records_internal.h"
+#include "task_end_internal.h"
+#include "task_placement_internal.h"
+
+enum {
+    STATUS_INTERVAL_MS = 1000,
+    STATUS_TIMEOUT_MS = 2000,
+    /** After one is requested, for what else is to be said. */
+    STATUS_DELAY_MS = 15,
+    STATUS_RETRY_MS = 250,
+    /** Every so many messages name all machines. */
+    FULL_STATUS_INTERVAL = 15,
+    /** Above the lease's time, until a machine that cannot be reached counts as expired. */
+    LEASE_EXPIRED_MARGIN_MS = 20000,
+};
+
+/** Of the time until a machine counts as unreachable, for each second of the heartbeat interval. */
+static const double UNREACHABLE_MS_PER_S = 2500;
+
+/** Names of the fields of a message. */
+#define FIELD_EPOCH "e"
+#define FIELD_SEQUENCE "s"
+#define FIELD_MACHINES "hosts"
+#define FIELD_IS_FULL "whole"
+#define FIELD_REJECTED "back"
+#define FIELD_EVENTS "news"
+#define FIELD_WANTS_EPOCH "raise"
+#define FIELD_NUMBER "n"
+/** And of its answer: machines on which the leader wants nothing more placed. */
+#define FIELD_CORDONED "shut"
+
+/** A message whose answer is awaited. */
+struct status_request {
+    struct shard *shard;
+    uint64_t generation;
+    /** How much of what waits for the leader is in it. */
+    guint rejected_count, event_count;
+};
+
+void shard_status_start(struct shard *shard)
+{
+    timer_start(shard->loop, &shard->status.timer, STATUS_INTERVAL_MS);
+}
+
+void shard_request_status(struct shard *shard)
+{
+    shard->status.is_requested = true;
+    if (!shard->status.in_flight)
+        timer_start(shard->loop, &shard->status.timer, STATUS_DELAY_MS);
+}
+
+/* ---- the message ---- */
+
+/** Whether the lease of a machine's agent has expired well before now: by this node's heartbeats
+ * or, as another node may have renewed it, by the proof. */
+static bool lease_expired_long_ago(struct shard *shard, struct machine *machine,
+                                   int64_t unreached_ms)
+{
+    int64_t lease_ms = (int64_t)(shard->settings->lease_s * 1000);
+    if (unreached_ms <= lease_ms + LEASE_EXPIRED_MARGIN_MS)
+        return false;
+    mono_time now = loop_now(shard->loop);
+    return time_ms_since(now, machine->heartbeat.received_at) < lease_ms ||
+           shard_lease_has_expired(shard, machine);
+}
+
+/** The enum machine_flag of a machine. */
+static int machine_flags(struct shard *shard, struct machine *machine)
+{
+    const struct machine_reachability *reachability = &machine->reachability;
+    int64_t unreached_ms = time_ms_since(loop_now(shard->loop), reachability->confirmed_at);
+    int64_t limit_ms = (int64_t)(shard->settings->heartbeat_interval_s * UNREACHABLE_MS_PER_S);
+    int flags = 0;
+    if (machine->heartbeat.has_reported)
+        flags |= MACHINE_KNOWN;
+    if (machine->is_reclaimed)
+        flags |= MACHINE_RECLAIMED;
+    if (!shard_machine_is_available(shard, machine))
+        flags |= MACHINE_UNAVAILABLE;
+    if (reachability->probe_failures >= MIN_PROBE_FAILURES && unreached_ms > limit_ms) {
+        flags |= MACHINE_UNREACHABLE;
+        if (lease_expired_long_ago(shard, machine, unreached_ms))
+            flags |= MACHINE_LEASE_EXPIRED;
+    }
+    return flags;
+}
+
+/** [name, type, zone, spot, flags, images]; images only when they have changed. */
+static cJSON *encode_machine(struct machine *machine, int flags, bool is_full)
+{
+    cJSON *item = cJSON_CreateArray();
+    cJSON_AddItemToArray(item, cJSON_CreateString(machine->id.text));
+    cJSON_AddItemToArray(item, cJSON_CreateString(machine->type_name));
+    cJSON_AddItemToArray(item, cJSON_CreateString(machine->zone));
+    cJSON_AddItemToArray(item, cJSON_CreateBool(machine->is_spot));
+    cJSON_AddItemToArray(item, cJSON_CreateNumber(flags));
+    if (is_full || !machine->sent_status.has_images) {
+        cJSON *images = cJSON_CreateArray();
+        for (guint i = 0; i < machine->image_cache->len; i++)
+            cJSON_AddItemToArray(images, cJSON_CreateString(machine->image_cache->pdata[i]));
+        cJSON_AddItemToArray(item, images);
+    }
+    machine->sent_status = (struct machine_sent_status){flags, true};
+    return item;
+}
+
+/** Adds the machines to the message, all of them or those that have changed. */
+static void encode_machines(struct shard *shard, cJSON *message)
+{
+    struct shard_status *status = &shard->status;
+    bool is_full = status->next_is_full || status->count++ % FULL_STATUS_INTERVAL == 0;
+    if (is_full)
+        shard_log_write_waits(shard);
+    cJSON *machines = cJSON_AddArrayToObject(message, FIELD_MACHINES);
+    if (is_full)
+        cJSON_AddTrueToObject(message, FIELD_IS_FULL);
+    status->next_is_full = false;
+    GHashTableIter iter;
+    struct machine *machine;
+    g_hash_table_iter_init(&iter, shard->machines);
+    while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&machine)) {
+        int flags = machine_flags(shard, machine);
+        const struct machine_sent_status *sent = &machine->sent_status;
+        bool is_due = is_full || flags != sent->flags || !sent->has_images;
+        if (is_due && !machine->is_gone && machine->type_name[0])
+            cJSON_AddItemToArray(machines, encode_machine(machine, flags, is_full));
+    }
+}
+
+static void encode_rejected_dispatches(const struct shard_status *status, cJSON *message)
+{
+    cJSON *rejected = cJSON_AddArrayToObject(message, FIELD_REJECTED);
+    for (guint i = 0; i < status->rejected_dispatches->len; i++) {
+        const struct dispatch *dispatch =
+            &g_array_index(status->rejected_dispatches, struct dispatch, i);
+        cJSON *item = node_rpc_encode_task(dispatch->job, dispatch->index, dispatch->attempt);
+        node_rpc_put_u64(item, FIELD_NUMBER, dispatch->number);
+        cJSON_AddItemToArray(rejected, item);
+    }
+}
+
+static cJSON *encode_status(struct shard *shard)
+{
+    struct shard_status *status = &shard->status;
+    cJSON *message = cJSON_CreateObject();
+    node_rpc_put_u64(message, FIELD_EPOCH, shard->epoch.value);
+    node_rpc_put_u64(message, FIELD_SEQUENCE, ++status->sequence);
+    encode_machines(shard, message);
+    encode_rejected_dispatches(status, message);
+    cJSON *events = cJSON_AddArrayToObject(message, FIELD_EVENTS);
+    for (guint i = 0; i < status->events->len; i++)
+        cJSON_AddItemToArray(events, cJSON_Duplicate(status->events->pdata[i], true));
+    if (status->wants_epoch_raise)
+        cJSON_AddBoolToObject(message, FIELD_WANTS_EPOCH, true);
+    return message;
+}
+
+/* ---- sending it ---- */
+
+/** Cordons the machines that the answer names, and no others. */
+static void apply_cordoned_machines(struct shard *shard, const cJSON *names)
+{
+    GHashTableIter iter;
+    struct machine *machine;
+    g_hash_table_iter_init(&iter, shard->machines);
+    while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&machine))
+        machine->is_cordoned = false;
+    const cJSON *name;
+    cJSON_ArrayForEach(name, names)
+    {
+        machine = cJSON_IsString(name) ? shard_find_machine(shard, name->valuestring) : NULL;
+        if (machine)
+            machine->is_cordoned = true;
+    }
+    shard->placement.capacity_changed = true;
+}
+
+static int64_t next_status_ms(const struct shard_status *status, int http_status)
+{
+    if (status->is_requested)
+        return STATUS_DELAY_MS;
+    return http_status == NODE_RPC_OK ? STATUS_INTERVAL_MS : STATUS_RETRY_MS;
+}
+
+/** What the leader has received is not sent again. If the answer was lost it may have been
+ * received, and the next message is a full one. */
+static void handle_status_answer(void *arg, int http_status, const cJSON *answer)
+{
+    struct status_request *request = arg;
+    struct shard *shard = request->shard;
+    struct shard_status *status = &shard->status;
+    status->in_flight = false;
+    if (http_status == NODE_RPC_OK && request->generation == shard->generation) {
+        g_array_remove_range(status->rejected_dispatches, 0, request->rejected_count);
+        g_ptr_array_remove_range(status->events, 0, request->event_count);
+        status->wants_epoch_raise = false;
+        apply_cordoned_machines(shard, cJSON_GetObjectItemCaseSensitive(answer, FIELD_CORDONED));
+    } else {
+        status->next_is_full = true;
+    }
+    timer_start(shard->loop, &status->timer, next_status_ms(status, http_status));
+    g_free(request);
+}
+
+void shard_send_status(void *arg)
+{
+    struct shard *shard = arg;
+    struct shard_status *status = &shard->status;
+    const char *leader = shard->replica->leader_label;
+    status->is_requested = false;
+    if (!leader || !membership_has_valid_lease(shard->membership) ||
+        shard->epoch.value != shard->replica->shard_map_epoch.value) {
+        timer_start(shard->loop, &status->timer, STATUS_RETRY_MS);
+        return;
+    }
+    cJSON *message = encode_status(shard);
+    struct status_request *request = g_new(struct status_request, 1);
+    *request = (struct status_request){shard, shard->generation, status->rejected_dispatches->len,
+                                       status->events->len};
+    status->in_flight = true;
+    node_rpc_call(shard->node_rpc, leader, "digest", message, STATUS_TIMEOUT_MS,
+                  handle_status_answer, request);
+}
