--- a/src/shard/arq.c
+++ b/src/shard/arq.c
@@ -1,16 +1,28 @@
+/**
+ * @file
+ * The formulas of ARQ.
+ */
 #include "arq.h"
 
 #include <gsl/gsl_cdf.h>
 #include <gsl/gsl_statistics_double.h>
 #include <math.h>
 
+/** With fewer samples, no distribution is fitted. */
 enum { MIN_SAMPLES = 8 };
 
-static const double tolerated_slowdown = 0.05;
+/** By this share of its run time a task may be slowed down by waiting. */
+static const double TOLERATED_SLOWDOWN = 0.05;
+/** Shares that differ by less are equal: a task that asks for exactly one band belongs to it. */
+static const double SHARE_EPSILON = 1e-9;
+/** Lower bounds, so that logarithms and quotients stay finite. */
+static const double MIN_BUSY_S = 0.01;
+static const double MIN_LOG_DEVIATION = 0.05;
+static const double MIN_CHANCE = 1e-12;
 
 int arq_class(double share)
 {
-    int class_number = (int)ceil(share * ARQ_CLASSES - 1e-9);
+    int class_number = (int)ceil(share * ARQ_CLASSES - SHARE_EPSILON);
     return CLAMP(class_number, 1, ARQ_CLASSES);
 }
 
@@ -21,26 +33,32 @@
 
 void arq_busy_add(struct arq_busy_history *history, double seconds)
 {
-    history->log_seconds[history->next_slot] = log(MAX(seconds, 0.01));
+    history->log_seconds[history->next_slot] = log(MAX(seconds, MIN_BUSY_S));
     history->next_slot = (history->next_slot + 1) % ARQ_SAMPLES;
     history->sample_count = MIN(history->sample_count + 1, ARQ_SAMPLES);
     if (history->sample_count < MIN_SAMPLES)
         return;
-    history->log_mean = gsl_stats_mean(history->log_seconds, 1, history->sample_count);
-    history->log_deviation = MAX(
-        gsl_stats_sd_m(history->log_seconds, 1, history->sample_count, history->log_mean), 0.05);
+    size_t count = (size_t)history->sample_count;
+    double mean = gsl_stats_mean(history->log_seconds, 1, count);
+    double deviation = gsl_stats_sd_m(history->log_seconds, 1, count, mean);
+    history->log_mean = mean;
+    history->log_deviation = MAX(deviation, MIN_LOG_DEVIATION);
+}
+
+/** The chance that a busy period is longer. */
+static double longer_chance(const struct arq_busy_history *history, double seconds)
+{
+    return gsl_cdf_lognormal_Q(seconds, history->log_mean, history->log_deviation);
 }
 
 double arq_stay_chance(const struct arq_busy_history *history, double age_s, double within_s,
                        double mean_s)
 {
     if (history->sample_count < MIN_SAMPLES)
-        return exp(-within_s / MAX(mean_s, 0.01));
-    double chance_now =
-        age_s > 0 ? gsl_cdf_lognormal_Q(age_s, history->log_mean, history->log_deviation) : 1;
-    double chance_then =
-        gsl_cdf_lognormal_Q(age_s + within_s, history->log_mean, history->log_deviation);
-    return chance_now > 1e-12 ? chance_then / chance_now : 0;
+        return exp(-within_s / MAX(mean_s, MIN_BUSY_S));
+    double chance_now = age_s > 0 ? longer_chance(history, age_s) : 1;
+    double chance_then = longer_chance(history, age_s + within_s);
+    return chance_now > MIN_CHANCE ? chance_then / chance_now : 0;
 }
 
 double arq_free_chance(const struct arq_busy_history *history, const double *ages_s,
@@ -54,15 +72,15 @@
 
 double arq_patience_s(double expected_run_s, double classification_s)
 {
-    return MAX(tolerated_slowdown * expected_run_s - classification_s, 0);
+    return MAX(TOLERATED_SLOWDOWN * expected_run_s - classification_s, 0);
 }
 
 enum arq_move arq_switch(const struct arq_terms *terms)
 {
     if (terms->wait_own_s + terms->wait_next_s + terms->classification_s >=
-        tolerated_slowdown * terms->expected_run_s)
+        TOLERATED_SLOWDOWN * terms->expected_run_s)
         return ARQ_TAKE_ANY;
-    double slack_s = (1 + tolerated_slowdown) * terms->expected_run_s - terms->classification_s;
+    double slack_s = (1 + TOLERATED_SLOWDOWN) * terms->expected_run_s - terms->classification_s;
     double own_value = (slack_s - terms->wait_own_s) * terms->quality_own * terms->chance_own;
     double next_value = (slack_s - terms->wait_next_s) * terms->quality_next * terms->chance_next;
     return next_value > own_value ? ARQ_SWITCH : ARQ_STAY;
--- a/src/shard/shard.h
+++ b/src/shard/shard.h
@@ -1,5 +1,8 @@
-/* A node's machines: their workers' reports, the queues of what was dealt here, placement by ARQ,
- * commands and run records. */
+/**
+ * @file
+ * A node's shard: the machines that it owns by the shard map, the sessions with their agents, the
+ * placement of tasks on them, and the records of their runs.
+ */
 #ifndef LL_SHARD_H
 #define LL_SHARD_H
 
@@ -10,7 +13,7 @@
 
 struct shard;
 
-/* What it works with; all of it outlives the shard. */
+/** What a shard works with; all of it outlives the shard. */
 struct shard_setup {
     struct loop *loop;
     struct http_client *net;
@@ -22,24 +25,34 @@
     const struct settings *settings;
 };
 
+/** A new shard, which owns no machines until the replica shows a shard map. Free with shard_free().
+ */
 struct shard *shard_new(const struct shard_setup *setup);
 void shard_free(struct shard *shard);
+/** Begins the regular checks and status messages. */
 void shard_start(struct shard *shard);
 
-/* Other actors of this node have made so many writes, which count in its share. */
+/** Other parts of this node have made writes to the state service, which are taken off the write
+ * budget. */
 void shard_charge_writes(struct shard *shard, guint writes);
 
-/* POST /agent/beat */
+/** Handles a heartbeat of an agent (POST /agent/beat); it is responded to in this call or, if it is
+ * forwarded to the owner of the machine, later. */
 void shard_handle_heartbeat(struct shard *shard, struct http_responder *responder,
                             connection_ref from, const struct http_request *request);
 
-/* What a machine's flags say in the digest that a part sends to the leader. */
+/** What the shard's status says of a machine to the leader: a sum of flags, part of the message. */
 enum machine_flag {
-    MACHINE_KNOWN = 1,          /* its worker has reported to this owner */
-    MACHINE_UNREACHABLE = 2,    /* silent, and it does not answer either */
-    MACHINE_RECLAIMED = 4,      /* the cloud takes it back */
-    MACHINE_UNAVAILABLE = 8,    /* not heard of for longer than usual */
-    MACHINE_LEASE_EXPIRED = 16, /* lost for so long that its lease has run out well before */
+    /** Its agent has reported to this owner. */
+    MACHINE_KNOWN = 1,
+    /** It is silent, and does not answer probes. */
+    MACHINE_UNREACHABLE = 2,
+    /** The cloud takes it back. */
+    MACHINE_RECLAIMED = 4,
+    /** It takes no tasks now, for whatever reason. */
+    MACHINE_UNAVAILABLE = 8,
+    /** Its agent's lease has expired well before now. */
+    MACHINE_LEASE_EXPIRED = 16,
 };
 
 #endif
