--- a/src/shard/lease_renewal.c
+++ b/src/shard/lease_renewal.c
@@ -24,7 +24,7 @@
 bool shard_may_renew_leases(struct shard *shard)
 {
     mono_time known_until = shard->replica->fresh_at;
-    mono_time told_until = cancel_broadcast_known_until(shard->peers);
+    mono_time told_until = cancel_broadcast_known_until(shard->cancel_broadcast);
     if (time_before(known_until, told_until))
         known_until = told_until;
     return time_ms_since(loop_now(shard->loop), known_until) < shard_max_renewal_ms(shard);
@@ -37,7 +37,7 @@
     mono_time fresh_at = shard->replica->fresh_at;
     return !membership_has_valid_lease(shard->membership) &&
            membership_is_visible(shard->membership) &&
-           failure_detector_is_unreachable(shard->peers, owner) &&
+           failure_detector_is_unreachable(shard->failure_detector, owner) &&
            time_ms_since(loop_now(shard->loop), fresh_at) < shard_max_renewal_ms(shard);
 }
 
--- a/src/shard/shard.c
+++ b/src/shard/shard.c
@@ -188,7 +188,9 @@
     shard->replica = setup->view;
     shard->membership = setup->members;
     shard->node_rpc = setup->bus;
-    shard->peers = setup->peers;
+    shard->cancel_broadcast = setup->cancel_broadcast;
+    shard->lease_proxy = setup->lease_proxy;
+    shard->failure_detector = setup->failure_detector;
     shard->settings = setup->settings;
 }
 
@@ -233,7 +235,7 @@
     init_records(shard);
     timer_init(&shard->tick_timer, handle_tick, shard);
     replica_add_listener(shard->replica, &shard->actor);
-    cancel_broadcast_set_listener(shard->peers, &shard->actor);
+    cancel_broadcast_set_listener(shard->cancel_broadcast, &shard->actor);
     node_rpc_register(shard->node_rpc, "deal", shard_handle_dispatch_message, shard);
     return shard;
 }
--- a/src/shard/shard_internal.h
+++ b/src/shard/shard_internal.h
@@ -117,7 +117,9 @@
     struct replica *replica;
     struct membership *membership;
     struct node_rpc *node_rpc;
-    struct peers *peers;
+    struct cancel_broadcast *cancel_broadcast;
+    struct lease_proxy *lease_proxy;
+    struct failure_detector *failure_detector;
     const struct settings *settings;
 
     /** Of the shard map that the machines are owned by. */
--- a/src/shard/task_runs.c
+++ b/src/shard/task_runs.c
@@ -18,7 +18,7 @@
     struct job *job = replica_get_job(shard->replica, id.text);
     if (job && job->is_known && job->state != JOB_ACTIVE)
         return true;
-    enum cancel_status cancellation = cancel_broadcast_get_status(shard->peers, id);
+    enum cancel_status cancellation = cancel_broadcast_get_status(shard->cancel_broadcast, id);
     return cancellation == CANCEL_COMMITTED ||
            (cancellation == CANCEL_POSSIBLE && !membership_has_valid_lease(shard->membership));
 }
@@ -87,9 +87,10 @@
     run->stop.grace_s = 0; /* also if it was requested before: nobody needs what it would save */
     if (run->stop.job_over_since.us)
         return;
-    run->stop.job_over_since = cancel_broadcast_get_status(shard->peers, run->job) != CANCEL_NONE
-                                   ? cancel_broadcast_confirmed_not_before(shard->peers, run->job)
-                                   : shard->replica->previous_fresh_at;
+    run->stop.job_over_since =
+        cancel_broadcast_get_status(shard->cancel_broadcast, run->job) != CANCEL_NONE
+            ? cancel_broadcast_confirmed_not_before(shard->cancel_broadcast, run->job)
+            : shard->replica->previous_fresh_at;
     if (!run->stop.job_over_since.us)
         run->stop.job_over_since = loop_now(shard->loop);
 }
