--- a/src/shard/dispatch_receiver.c
+++ b/src/shard/dispatch_receiver.c
@@ -6,108 +6,94 @@
 #include "shard_messages_internal.h"
 
 #include "agent_session_internal.h"
-#include "log.h"
 #include "machine_returns_internal.h"
 #include "task_placement_internal.h"
 
-/** Names of the fields of a message, and of those of its items. */
-#define FIELD_EPOCH "e"
-#define FIELD_SEQUENCE "s"
-#define FIELD_TO_CORDON "close"
-#define FIELD_CORDONED "closed"
-#define FIELD_RETURNED "gone"
-#define FIELD_STOP "halt"
-#define FIELD_DISPATCH "deal"
-#define FIELD_ZONE "y"
-#define FIELD_MACHINE "h"
-#define FIELD_NUMBER "n"
-#define FIELD_GRACE_S "g"
-
 static void copy_text(char *to, size_t size, const char *text)
 {
     g_strlcpy(to, text ? text : "", size);
 }
 
 /** Queues a task to be placed. */
-static void receive_dispatch(struct shard *shard, const cJSON *item)
+static void apply_dispatch(struct shard *shard, const struct dispatch_item *item)
 {
-    const char *bound_machine = node_rpc_get_text(item, FIELD_MACHINE);
-    struct dispatch dispatch = {0};
-    if (!node_rpc_decode_task(item, &dispatch.job, &dispatch.index, &dispatch.attempt)) {
-        LOG_ERROR("dispatch_malformed", "at=%s", bound_machine ? bound_machine : "");
-        return;
-    }
-    node_rpc_get_u64(item, FIELD_NUMBER, &dispatch.number);
-    copy_text(dispatch.zone, sizeof dispatch.zone, node_rpc_get_text(item, FIELD_ZONE));
-    copy_text(dispatch.bound_machine, sizeof dispatch.bound_machine, bound_machine);
-    dispatch.dispatched_at = dispatch.queued_at = loop_now(shard->loop);
+    mono_time now = loop_now(shard->loop);
+    struct dispatch dispatch = {
+        .job = item->task.job,
+        .index = item->task.index,
+        .attempt = item->task.attempt,
+        .number = item->number,
+        .dispatched_at = now,
+        .queued_at = now,
+    };
+    copy_text(dispatch.zone, sizeof dispatch.zone, item->zone);
+    copy_text(dispatch.bound_machine, sizeof dispatch.bound_machine, item->bound_machine);
     shard_enqueue_dispatch(shard, &dispatch);
 }
 
 /** Stops a run that the leader preempts. */
-static void receive_stop(struct shard *shard, const cJSON *item)
+static void apply_stop(struct shard *shard, const struct stop_item *item)
 {
-    const char *machine_name = node_rpc_get_text(item, FIELD_MACHINE);
-    const cJSON *grace = cJSON_GetObjectItemCaseSensitive(item, FIELD_GRACE_S);
-    struct machine *machine = machine_name ? shard_find_machine(shard, machine_name) : NULL;
-    job_id job;
-    uint32_t index;
-    attempt_no attempt;
-    if (!machine || !node_rpc_decode_task(item, &job, &index, &attempt))
-        return;
-    struct task_run *run = shard_run_find(machine, job, index, attempt);
+    const struct message_task *task = &item->task;
+    struct machine *machine = shard_find_machine(shard, item->machine);
+    struct task_run *run =
+        machine ? shard_run_find(machine, task->job, task->index, task->attempt) : NULL;
     if (!run)
         return;
-    shard_run_stop(run, cJSON_IsNumber(grace) ? grace->valuedouble : 0);
+    shard_run_stop(run, item->grace_s);
     shard_push_commands(shard, machine);
 }
 
 /** Cordons machines that are going to be returned; the answer names those on which nothing can be
  * placed any more. */
-static void receive_cordons(struct shard *shard, const cJSON *names, cJSON **answer)
+static cJSON *apply_cordons(struct shard *shard, const GPtrArray *names)
 {
-    *answer = cJSON_CreateObject();
-    cJSON *confirmed = cJSON_AddArrayToObject(*answer, FIELD_CORDONED);
-    const cJSON *name;
-    cJSON_ArrayForEach(name, names)
-    {
-        if (cJSON_IsString(name) && shard_cordon_for_return(shard, name->valuestring))
-            cJSON_AddItemToArray(confirmed, cJSON_CreateString(name->valuestring));
-    }
+    GPtrArray *cordoned = g_ptr_array_new();
+    for (guint i = 0; i < names->len; i++)
+        if (shard_cordon_for_return(shard, names->pdata[i]))
+            g_ptr_array_add(cordoned, names->pdata[i]);
+    cJSON *answer = dispatch_answer_encode(cordoned);
+    g_ptr_array_unref(cordoned);
+    return answer;
 }
 
-static void receive_items(struct shard *shard, const cJSON *message, cJSON **answer)
+static void apply_message(struct shard *shard, const struct dispatch_message *message,
+                          cJSON **answer)
 {
-    const cJSON *item, *to_cordon = cJSON_GetObjectItemCaseSensitive(message, FIELD_TO_CORDON);
-    if (to_cordon)
-        receive_cordons(shard, to_cordon, answer);
-    cJSON_ArrayForEach(item, cJSON_GetObjectItemCaseSensitive(message, FIELD_RETURNED))
-    {
-        if (cJSON_IsString(item))
-            shard_handle_machine_returned(shard, item->valuestring);
-    }
-    cJSON_ArrayForEach(item, cJSON_GetObjectItemCaseSensitive(message, FIELD_STOP))
-        receive_stop(shard, item);
-    cJSON_ArrayForEach(item, cJSON_GetObjectItemCaseSensitive(message, FIELD_DISPATCH))
-        receive_dispatch(shard, item);
+    if (message->to_cordon)
+        *answer = apply_cordons(shard, message->to_cordon);
+    for (guint i = 0; i < message->returned->len; i++)
+        shard_handle_machine_returned(shard, message->returned->pdata[i]);
+    for (guint i = 0; i < message->stops->len; i++)
+        apply_stop(shard, &g_array_index(message->stops, struct stop_item, i));
+    for (guint i = 0; i < message->dispatches->len; i++)
+        apply_dispatch(shard, &g_array_index(message->dispatches, struct dispatch_item, i));
+    shard_place_tasks(shard);
+}
+
+/** Whether a message is of this epoch's leader, and this node may act on it. */
+static bool is_current(const struct shard *shard, const char *from,
+                       const struct dispatch_message *message)
+{
+    const char *leader = shard->replica->leader_label;
+    return message->epoch.value == shard->epoch.value &&
+           membership_has_valid_lease(shard->membership) && leader && strcmp(leader, from) == 0;
 }
 
-/* Messages are numbered within an epoch. A copy that was delayed must not dispatch a task once more
- * after it was handed back. */
-int shard_handle_dispatch_message(void *ctx, const char *from, const cJSON *message, cJSON **answer)
+int shard_handle_dispatch_message(void *ctx, const char *from, const cJSON *json, cJSON **answer)
 {
     struct shard *shard = ctx;
-    uint64_t epoch, sequence;
-    if (!node_rpc_get_u64(message, FIELD_EPOCH, &epoch) ||
-        !node_rpc_get_u64(message, FIELD_SEQUENCE, &sequence))
+    struct dispatch_message message;
+    if (!dispatch_message_decode(json, &message))
         return NODE_RPC_MALFORMED;
-    if (epoch != shard->epoch.value || !membership_has_valid_lease(shard->membership) ||
-        !shard->replica->leader_label || strcmp(shard->replica->leader_label, from) != 0)
-        return NODE_RPC_CONFLICT;
-    if (sequence <= shard->last_dispatch_sequence)
-        return NODE_RPC_OK;
-    shard->last_dispatch_sequence = sequence;
-    receive_items(shard, message, answer);
-    shard_place_tasks(shard);
-    return NODE_RPC_OK;
+    int status = NODE_RPC_OK;
+    if (!is_current(shard, from, &message)) {
+        status = NODE_RPC_CONFLICT;
+    } else if (message.sequence > shard->last_dispatch_sequence) {
+        /* A copy that was delayed must not dispatch a task once more after it was rejected. */
+        shard->last_dispatch_sequence = message.sequence;
+        apply_message(shard, &message, answer);
+    }
+    dispatch_message_clear(&message);
+    return status;
 }
--- a/src/shard/shard.c
+++ b/src/shard/shard.c
@@ -170,11 +170,6 @@
 
 /* ---- construction ---- */
 
-static void free_json(gpointer data)
-{
-    cJSON_Delete(data);
-}
-
 static GHashTable *name_set_new(void)
 {
     return g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
@@ -197,7 +192,7 @@
 static void init_status(struct shard *shard)
 {
     shard->status.rejected_dispatches = g_array_new(FALSE, FALSE, sizeof(struct dispatch));
-    shard->status.events = g_ptr_array_new_with_free_func(free_json);
+    shard->status.events = g_array_new(FALSE, FALSE, sizeof(struct task_event));
     timer_init(&shard->status.timer, shard_send_status, shard);
 }
 
@@ -236,7 +231,8 @@
     timer_init(&shard->tick_timer, handle_tick, shard);
     replica_add_listener(shard->replica, &shard->actor);
     cancel_broadcast_set_listener(shard->cancel_broadcast, &shard->actor);
-    node_rpc_register(shard->node_rpc, "deal", shard_handle_dispatch_message, shard);
+    node_rpc_register(shard->node_rpc, SHARD_MESSAGE_DISPATCH, shard_handle_dispatch_message,
+                      shard);
     return shard;
 }
 
@@ -256,7 +252,7 @@
     g_hash_table_unref(shard->returns.older_returned);
     g_hash_table_unref(shard->returns.cordoned);
     g_array_unref(shard->status.rejected_dispatches);
-    g_ptr_array_unref(shard->status.events);
+    g_array_unref(shard->status.events);
     g_ptr_array_unref(shard->placement.available_machines);
     g_array_unref(shard->placement.unschedulable);
     g_free(shard);
--- a/src/shard/shard_internal.h
+++ b/src/shard/shard_internal.h
@@ -52,8 +52,8 @@
     bool wants_epoch_raise;
     /** struct dispatch: not placed here, to be dispatched again by the leader. */
     GArray *rejected_dispatches;
-    /** cJSON: failures of tasks and the time that tasks took. */
-    GPtrArray *events;
+    /** struct task_event */
+    GArray *events;
     struct timer timer;
 };
 
--- /dev/null
+++ b/src/shard/shard_messages.c
@@ -0,0 +1,356 @@
+/**
+ * @file
+ * Encoders and decoders of the messages between the leader and the shards.
+ */
+#include "shard_messages.h"
+
+#include "log.h"
+
+#define FIELD_EPOCH "e"
+#define FIELD_SEQUENCE "s"
+#define FIELD_NUMBER "n"
+#define FIELD_ZONE "y"
+#define FIELD_MACHINE "h"
+#define FIELD_GRACE_S "g"
+#define FIELD_JOB "j"
+#define FIELD_CORDONED "closed"
+#define FIELD_MACHINES "hosts"
+#define FIELD_IS_FULL "whole"
+#define FIELD_REJECTED "back"
+#define FIELD_EVENTS "news"
+#define FIELD_WANTS_EPOCH "raise"
+#define FIELD_CAUSE "c"
+#define FIELD_RUN_TIME_S "took"
+#define FIELD_NOT_AVAILABLE "shut"
+
+/** Positions in the array that describes a machine. */
+enum machine_position {
+    POSITION_ID,
+    POSITION_TYPE,
+    POSITION_ZONE,
+    POSITION_SPOT,
+    POSITION_FLAGS,
+    /** Left out when the images are unchanged. */
+    POSITION_IMAGES,
+};
+
+/* ---- parts of messages ---- */
+
+static const cJSON *get(const cJSON *object, const char *field)
+{
+    return cJSON_GetObjectItemCaseSensitive(object, field);
+}
+
+static cJSON *encode_task(const struct message_task *task)
+{
+    return node_rpc_encode_task(task->job, task->index, task->attempt);
+}
+
+static bool decode_task(const cJSON *json, struct message_task *out)
+{
+    return node_rpc_decode_task(json, &out->job, &out->index, &out->attempt);
+}
+
+/** The strings of a list; NULL when it is missing. */
+static GPtrArray *decode_strings(const cJSON *list)
+{
+    if (!list)
+        return NULL;
+    GPtrArray *strings = g_ptr_array_new();
+    const cJSON *item;
+    cJSON_ArrayForEach(item, list)
+    {
+        if (cJSON_IsString(item))
+            g_ptr_array_add(strings, item->valuestring);
+    }
+    return strings;
+}
+
+/** The same; empty when it is missing. */
+static GPtrArray *decode_optional_strings(const cJSON *list)
+{
+    return list ? decode_strings(list) : g_ptr_array_new();
+}
+
+static cJSON *encode_strings(const GPtrArray *strings)
+{
+    cJSON *list = cJSON_CreateArray();
+    for (guint i = 0; i < strings->len; i++)
+        cJSON_AddItemToArray(list, cJSON_CreateString(strings->pdata[i]));
+    return list;
+}
+
+static bool decode_header(const cJSON *json, epoch_no *epoch, uint64_t *sequence)
+{
+    return node_rpc_get_u64(json, FIELD_EPOCH, &epoch->value) &&
+           node_rpc_get_u64(json, FIELD_SEQUENCE, sequence);
+}
+
+static cJSON *encode_header(epoch_no epoch, uint64_t sequence)
+{
+    cJSON *json = cJSON_CreateObject();
+    node_rpc_put_u64(json, FIELD_EPOCH, epoch.value);
+    node_rpc_put_u64(json, FIELD_SEQUENCE, sequence);
+    return json;
+}
+
+/* ---- dispatches ---- */
+
+cJSON *dispatch_item_encode(const struct dispatch_item *item)
+{
+    cJSON *json = encode_task(&item->task);
+    node_rpc_put_u64(json, FIELD_NUMBER, item->number);
+    if (item->zone)
+        cJSON_AddStringToObject(json, FIELD_ZONE, item->zone);
+    if (item->bound_machine)
+        cJSON_AddStringToObject(json, FIELD_MACHINE, item->bound_machine);
+    return json;
+}
+
+static bool dispatch_item_decode(const cJSON *json, struct dispatch_item *out)
+{
+    *out = (struct dispatch_item){0};
+    out->zone = node_rpc_get_text(json, FIELD_ZONE);
+    out->bound_machine = node_rpc_get_text(json, FIELD_MACHINE);
+    node_rpc_get_u64(json, FIELD_NUMBER, &out->number);
+    if (decode_task(json, &out->task))
+        return true;
+    LOG_ERROR("dispatch_malformed", "at=%s", out->bound_machine ? out->bound_machine : "");
+    return false;
+}
+
+cJSON *stop_item_encode(const struct stop_item *item)
+{
+    cJSON *json = encode_task(&item->task);
+    cJSON_AddStringToObject(json, FIELD_MACHINE, item->machine);
+    cJSON_AddNumberToObject(json, FIELD_GRACE_S, item->grace_s);
+    return json;
+}
+
+static bool stop_item_decode(const cJSON *json, struct stop_item *out)
+{
+    const cJSON *grace_s = get(json, FIELD_GRACE_S);
+    *out = (struct stop_item){.machine = node_rpc_get_text(json, FIELD_MACHINE)};
+    out->grace_s = cJSON_IsNumber(grace_s) ? grace_s->valuedouble : 0;
+    return out->machine && decode_task(json, &out->task);
+}
+
+cJSON *dispatch_message_new(epoch_no epoch, uint64_t sequence)
+{
+    return encode_header(epoch, sequence);
+}
+
+bool dispatch_message_decode(const cJSON *json, struct dispatch_message *out)
+{
+    *out = (struct dispatch_message){0};
+    if (!decode_header(json, &out->epoch, &out->sequence))
+        return false;
+    out->dispatches = g_array_new(FALSE, FALSE, sizeof(struct dispatch_item));
+    out->stops = g_array_new(FALSE, FALSE, sizeof(struct stop_item));
+    out->returned = decode_optional_strings(get(json, DISPATCH_MESSAGE_RETURNED));
+    out->to_cordon = decode_strings(get(json, DISPATCH_MESSAGE_TO_CORDON));
+    const cJSON *item;
+    cJSON_ArrayForEach(item, get(json, DISPATCH_MESSAGE_STOPS))
+    {
+        struct stop_item stop;
+        if (stop_item_decode(item, &stop))
+            g_array_append_val(out->stops, stop);
+    }
+    cJSON_ArrayForEach(item, get(json, DISPATCH_MESSAGE_DISPATCHES))
+    {
+        struct dispatch_item dispatch;
+        if (dispatch_item_decode(item, &dispatch))
+            g_array_append_val(out->dispatches, dispatch);
+    }
+    return true;
+}
+
+void dispatch_message_clear(struct dispatch_message *message)
+{
+    g_array_unref(message->dispatches);
+    g_array_unref(message->stops);
+    g_ptr_array_unref(message->returned);
+    g_clear_pointer(&message->to_cordon, g_ptr_array_unref);
+}
+
+cJSON *dispatch_answer_encode(const GPtrArray *cordoned)
+{
+    cJSON *json = cJSON_CreateObject();
+    cJSON_AddItemToObject(json, FIELD_CORDONED, encode_strings(cordoned));
+    return json;
+}
+
+GPtrArray *dispatch_answer_decode(const cJSON *json)
+{
+    return decode_optional_strings(get(json, FIELD_CORDONED));
+}
+
+/* ---- status ---- */
+
+static cJSON *machine_status_encode(const struct machine_status *machine)
+{
+    cJSON *json = cJSON_CreateArray();
+    cJSON_AddItemToArray(json, cJSON_CreateString(machine->id.text));
+    cJSON_AddItemToArray(json, cJSON_CreateString(machine->type_name));
+    cJSON_AddItemToArray(json, cJSON_CreateString(machine->zone));
+    cJSON_AddItemToArray(json, cJSON_CreateBool(machine->is_spot));
+    cJSON_AddItemToArray(json, cJSON_CreateNumber(machine->flags));
+    if (machine->images)
+        cJSON_AddItemToArray(json, encode_strings(machine->images));
+    return json;
+}
+
+static bool machine_status_decode(const cJSON *json, struct machine_status *out)
+{
+    const cJSON *id = cJSON_GetArrayItem(json, POSITION_ID);
+    const cJSON *type_name = cJSON_GetArrayItem(json, POSITION_TYPE);
+    const cJSON *zone = cJSON_GetArrayItem(json, POSITION_ZONE);
+    const cJSON *spot = cJSON_GetArrayItem(json, POSITION_SPOT);
+    const cJSON *flags = cJSON_GetArrayItem(json, POSITION_FLAGS);
+    *out = (struct machine_status){0};
+    if (!cJSON_IsString(id) || !machine_id_parse(&out->id, id->valuestring) ||
+        !cJSON_IsString(type_name) || !cJSON_IsString(zone) || !cJSON_IsBool(spot) ||
+        !cJSON_IsNumber(flags))
+        return false;
+    out->type_name = type_name->valuestring;
+    out->zone = zone->valuestring;
+    out->is_spot = cJSON_IsTrue(spot);
+    out->flags = (int)flags->valuedouble;
+    out->images = decode_strings(cJSON_GetArrayItem(json, POSITION_IMAGES));
+    return true;
+}
+
+static void machine_status_clear(gpointer data)
+{
+    struct machine_status *machine = data;
+    g_clear_pointer(&machine->images, g_ptr_array_unref);
+}
+
+static cJSON *rejected_dispatch_encode(const struct rejected_dispatch *rejected)
+{
+    cJSON *json = encode_task(&rejected->task);
+    node_rpc_put_u64(json, FIELD_NUMBER, rejected->number);
+    return json;
+}
+
+static bool rejected_dispatch_decode(const cJSON *json, struct rejected_dispatch *out)
+{
+    *out = (struct rejected_dispatch){0};
+    out->has_number = node_rpc_get_u64(json, FIELD_NUMBER, &out->number);
+    return decode_task(json, &out->task);
+}
+
+static cJSON *task_event_encode(const struct task_event *event)
+{
+    cJSON *json = cJSON_CreateObject();
+    cJSON_AddStringToObject(json, FIELD_MACHINE, event->machine.text);
+    cJSON_AddStringToObject(json, FIELD_JOB, event->job.text);
+    cJSON_AddNumberToObject(json, event->kind == TASK_EVENT_FAILED ? FIELD_CAUSE : FIELD_RUN_TIME_S,
+                            event->value);
+    return json;
+}
+
+static bool task_event_decode(const cJSON *json, struct task_event *out)
+{
+    const char *machine = node_rpc_get_text(json, FIELD_MACHINE);
+    const char *job = node_rpc_get_text(json, FIELD_JOB);
+    const cJSON *cause = get(json, FIELD_CAUSE);
+    const cJSON *run_time_s = get(json, FIELD_RUN_TIME_S);
+    bool has_failed = cJSON_IsNumber(cause);
+    const cJSON *value = has_failed ? cause : run_time_s;
+    *out = (struct task_event){.kind = has_failed ? TASK_EVENT_FAILED : TASK_EVENT_COMPLETED};
+    if (!machine || !machine_id_parse(&out->machine, machine) || !job ||
+        !job_id_parse(&out->job, job) || !cJSON_IsNumber(value))
+        return false;
+    out->value = value->valuedouble;
+    return true;
+}
+
+void status_message_init(struct status_message *message)
+{
+    *message = (struct status_message){0};
+    message->machines = g_array_new(FALSE, FALSE, sizeof(struct machine_status));
+    g_array_set_clear_func(message->machines, machine_status_clear);
+    message->rejected = g_array_new(FALSE, FALSE, sizeof(struct rejected_dispatch));
+    message->events = g_array_new(FALSE, FALSE, sizeof(struct task_event));
+}
+
+void status_message_clear(struct status_message *message)
+{
+    g_array_unref(message->machines);
+    g_array_unref(message->rejected);
+    g_array_unref(message->events);
+}
+
+cJSON *status_message_encode(const struct status_message *message)
+{
+    cJSON *json = encode_header(message->epoch, message->sequence);
+    cJSON *machines = cJSON_AddArrayToObject(json, FIELD_MACHINES);
+    if (message->is_full)
+        cJSON_AddTrueToObject(json, FIELD_IS_FULL);
+    for (guint i = 0; i < message->machines->len; i++)
+        cJSON_AddItemToArray(machines, machine_status_encode(&g_array_index(
+                                           message->machines, struct machine_status, i)));
+    cJSON *rejected = cJSON_AddArrayToObject(json, FIELD_REJECTED);
+    for (guint i = 0; i < message->rejected->len; i++)
+        cJSON_AddItemToArray(rejected, rejected_dispatch_encode(&g_array_index(
+                                           message->rejected, struct rejected_dispatch, i)));
+    cJSON *events = cJSON_AddArrayToObject(json, FIELD_EVENTS);
+    for (guint i = 0; i < message->events->len; i++)
+        cJSON_AddItemToArray(
+            events, task_event_encode(&g_array_index(message->events, struct task_event, i)));
+    if (message->wants_epoch_raise)
+        cJSON_AddBoolToObject(json, FIELD_WANTS_EPOCH, true);
+    return json;
+}
+
+bool status_message_decode(const cJSON *json, struct status_message *out)
+{
+    epoch_no epoch;
+    uint64_t sequence;
+    if (!decode_header(json, &epoch, &sequence))
+        return false;
+    status_message_init(out);
+    out->epoch = epoch;
+    out->sequence = sequence;
+    out->is_full = cJSON_IsTrue(get(json, FIELD_IS_FULL));
+    out->wants_epoch_raise = cJSON_IsTrue(get(json, FIELD_WANTS_EPOCH));
+    const cJSON *item;
+    cJSON_ArrayForEach(item, get(json, FIELD_MACHINES))
+    {
+        struct machine_status machine;
+        if (machine_status_decode(item, &machine))
+            g_array_append_val(out->machines, machine);
+    }
+    cJSON_ArrayForEach(item, get(json, FIELD_REJECTED))
+    {
+        struct rejected_dispatch rejected;
+        if (rejected_dispatch_decode(item, &rejected))
+            g_array_append_val(out->rejected, rejected);
+    }
+    cJSON_ArrayForEach(item, get(json, FIELD_EVENTS))
+    {
+        struct task_event event;
+        if (task_event_decode(item, &event))
+            g_array_append_val(out->events, event);
+    }
+    return true;
+}
+
+cJSON *status_answer_new(void)
+{
+    cJSON *json = cJSON_CreateObject();
+    cJSON_AddArrayToObject(json, FIELD_NOT_AVAILABLE);
+    return json;
+}
+
+void status_answer_add(cJSON *answer, const char *machine_name)
+{
+    cJSON *names = cJSON_GetObjectItemCaseSensitive(answer, FIELD_NOT_AVAILABLE);
+    cJSON_AddItemToArray(names, cJSON_CreateString(machine_name));
+}
+
+GPtrArray *status_answer_decode(const cJSON *json)
+{
+    return decode_optional_strings(get(json, FIELD_NOT_AVAILABLE));
+}
--- a/src/shard/shard_messages_internal.h
+++ b/src/shard/shard_messages_internal.h
@@ -1,11 +1,13 @@
 /**
  * @file
- * Messages between this node's shard and the leader.
+ * Sending and receiving the messages between this node's shard and the leader, see
+ * shard_messages.h.
  */
 #ifndef LL_SHARD_MESSAGES_INTERNAL_H
 #define LL_SHARD_MESSAGES_INTERNAL_H
 
 #include "shard_internal.h"
+#include "shard_messages.h"
 
 /** HTTP status of the answers to messages between nodes. */
 enum node_rpc_status {
@@ -17,8 +19,7 @@
 
 /** Handles a message of the leader; a node_rpc handler.
  * @param ctx the struct shard. */
-int shard_handle_dispatch_message(void *ctx, const char *from, const cJSON *message,
-                                  cJSON **answer);
+int shard_handle_dispatch_message(void *ctx, const char *from, const cJSON *json, cJSON **answer);
 
 /** Begins to send the leader the shard's status. */
 void shard_status_start(struct shard *shard);
--- a/src/shard/shard_status.c
+++ b/src/shard/shard_status.c
@@ -24,18 +24,6 @@
 /** Of the time until a machine counts as unreachable, for each second of the heartbeat interval. */
 static const double UNREACHABLE_MS_PER_S = 2500;
 
-/** Names of the fields of a message. */
-#define FIELD_EPOCH "e"
-#define FIELD_SEQUENCE "s"
-#define FIELD_MACHINES "hosts"
-#define FIELD_IS_FULL "whole"
-#define FIELD_REJECTED "back"
-#define FIELD_EVENTS "news"
-#define FIELD_WANTS_EPOCH "raise"
-#define FIELD_NUMBER "n"
-/** And of its answer: machines on which the leader wants nothing more placed. */
-#define FIELD_CORDONED "shut"
-
 /** A message whose answer is awaited. */
 struct status_request {
     struct shard *shard;
@@ -92,93 +80,90 @@
     return flags;
 }
 
-/** [name, type, zone, spot, flags, images]; images only when they have changed. */
-static cJSON *encode_machine(struct machine *machine, int flags, bool is_full)
+/** What the status says of a machine; notes that it was said. */
+static struct machine_status describe_machine(struct machine *machine, int flags, bool is_full)
 {
-    cJSON *item = cJSON_CreateArray();
-    cJSON_AddItemToArray(item, cJSON_CreateString(machine->id.text));
-    cJSON_AddItemToArray(item, cJSON_CreateString(machine->type_name));
-    cJSON_AddItemToArray(item, cJSON_CreateString(machine->zone));
-    cJSON_AddItemToArray(item, cJSON_CreateBool(machine->is_spot));
-    cJSON_AddItemToArray(item, cJSON_CreateNumber(flags));
-    if (is_full || !machine->sent_status.has_images) {
-        cJSON *images = cJSON_CreateArray();
-        for (guint i = 0; i < machine->image_cache->len; i++)
-            cJSON_AddItemToArray(images, cJSON_CreateString(machine->image_cache->pdata[i]));
-        cJSON_AddItemToArray(item, images);
-    }
+    bool with_images = is_full || !machine->sent_status.has_images;
     machine->sent_status = (struct machine_sent_status){flags, true};
-    return item;
+    return (struct machine_status){
+        .id = machine->id,
+        .type_name = machine->type_name,
+        .zone = machine->zone,
+        .is_spot = machine->is_spot,
+        .flags = flags,
+        .images = with_images ? g_ptr_array_ref(machine->image_cache) : NULL,
+    };
 }
 
-/** Adds the machines to the message, all of them or those that have changed. */
-static void encode_machines(struct shard *shard, cJSON *message)
+/** Adds the machines to the message: all of them, or those that have changed. */
+static void add_machines(struct shard *shard, struct status_message *message)
 {
-    struct shard_status *status = &shard->status;
-    bool is_full = status->next_is_full || status->count++ % FULL_STATUS_INTERVAL == 0;
-    if (is_full)
-        shard_log_write_waits(shard);
-    cJSON *machines = cJSON_AddArrayToObject(message, FIELD_MACHINES);
-    if (is_full)
-        cJSON_AddTrueToObject(message, FIELD_IS_FULL);
-    status->next_is_full = false;
     GHashTableIter iter;
     struct machine *machine;
     g_hash_table_iter_init(&iter, shard->machines);
     while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&machine)) {
         int flags = machine_flags(shard, machine);
         const struct machine_sent_status *sent = &machine->sent_status;
-        bool is_due = is_full || flags != sent->flags || !sent->has_images;
-        if (is_due && !machine->is_gone && machine->type_name[0])
-            cJSON_AddItemToArray(machines, encode_machine(machine, flags, is_full));
+        bool is_due = message->is_full || flags != sent->flags || !sent->has_images;
+        if (!is_due || machine->is_gone || !machine->type_name[0])
+            continue;
+        struct machine_status item = describe_machine(machine, flags, message->is_full);
+        g_array_append_val(message->machines, item);
     }
 }
 
-static void encode_rejected_dispatches(const struct shard_status *status, cJSON *message)
+static void add_rejected_dispatches(const struct shard_status *status,
+                                    struct status_message *message)
 {
-    cJSON *rejected = cJSON_AddArrayToObject(message, FIELD_REJECTED);
     for (guint i = 0; i < status->rejected_dispatches->len; i++) {
         const struct dispatch *dispatch =
             &g_array_index(status->rejected_dispatches, struct dispatch, i);
-        cJSON *item = node_rpc_encode_task(dispatch->job, dispatch->index, dispatch->attempt);
-        node_rpc_put_u64(item, FIELD_NUMBER, dispatch->number);
-        cJSON_AddItemToArray(rejected, item);
+        struct rejected_dispatch item = {
+            .task = {dispatch->job, dispatch->index, dispatch->attempt},
+            .number = dispatch->number,
+            .has_number = true,
+        };
+        g_array_append_val(message->rejected, item);
     }
 }
 
 static cJSON *encode_status(struct shard *shard)
 {
     struct shard_status *status = &shard->status;
-    cJSON *message = cJSON_CreateObject();
-    node_rpc_put_u64(message, FIELD_EPOCH, shard->epoch.value);
-    node_rpc_put_u64(message, FIELD_SEQUENCE, ++status->sequence);
-    encode_machines(shard, message);
-    encode_rejected_dispatches(status, message);
-    cJSON *events = cJSON_AddArrayToObject(message, FIELD_EVENTS);
-    for (guint i = 0; i < status->events->len; i++)
-        cJSON_AddItemToArray(events, cJSON_Duplicate(status->events->pdata[i], true));
-    if (status->wants_epoch_raise)
-        cJSON_AddBoolToObject(message, FIELD_WANTS_EPOCH, true);
-    return message;
+    struct status_message message;
+    status_message_init(&message);
+    message.epoch = shard->epoch;
+    message.sequence = ++status->sequence;
+    message.is_full = status->next_is_full || status->count++ % FULL_STATUS_INTERVAL == 0;
+    message.wants_epoch_raise = status->wants_epoch_raise;
+    status->next_is_full = false;
+    if (message.is_full)
+        shard_log_write_waits(shard);
+    add_machines(shard, &message);
+    add_rejected_dispatches(status, &message);
+    g_array_append_vals(message.events, status->events->data, status->events->len);
+    cJSON *json = status_message_encode(&message);
+    status_message_clear(&message);
+    return json;
 }
 
 /* ---- sending it ---- */
 
 /** Cordons the machines that the answer names, and no others. */
-static void apply_cordoned_machines(struct shard *shard, const cJSON *names)
+static void apply_cordoned_machines(struct shard *shard, const cJSON *answer)
 {
     GHashTableIter iter;
     struct machine *machine;
     g_hash_table_iter_init(&iter, shard->machines);
     while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&machine))
         machine->is_cordoned = false;
-    const cJSON *name;
-    cJSON_ArrayForEach(name, names)
-    {
-        machine = cJSON_IsString(name) ? shard_find_machine(shard, name->valuestring) : NULL;
+    GPtrArray *names = status_answer_decode(answer);
+    for (guint i = 0; i < names->len; i++) {
+        machine = shard_find_machine(shard, names->pdata[i]);
         if (machine)
             machine->is_cordoned = true;
     }
+    g_ptr_array_unref(names);
     shard->placement.capacity_changed = true;
 }
 
@@ -199,9 +184,9 @@
     status->in_flight = false;
     if (http_status == NODE_RPC_OK && request->generation == shard->generation) {
         g_array_remove_range(status->rejected_dispatches, 0, request->rejected_count);
-        g_ptr_array_remove_range(status->events, 0, request->event_count);
+        g_array_remove_range(status->events, 0, request->event_count);
         status->wants_epoch_raise = false;
-        apply_cordoned_machines(shard, cJSON_GetObjectItemCaseSensitive(answer, FIELD_CORDONED));
+        apply_cordoned_machines(shard, answer);
     } else {
         status->next_is_full = true;
     }
@@ -225,6 +210,6 @@
     *request = (struct status_request){shard, shard->generation, status->rejected_dispatches->len,
                                        status->events->len};
     status->in_flight = true;
-    node_rpc_call(shard->node_rpc, leader, "digest", message, STATUS_TIMEOUT_MS,
+    node_rpc_call(shard->node_rpc, leader, SHARD_MESSAGE_STATUS, message, STATUS_TIMEOUT_MS,
                   handle_status_answer, request);
 }
--- a/src/shard/task_end.c
+++ b/src/shard/task_end.c
@@ -9,6 +9,7 @@
 #include "agent_session_internal.h"
 #include "log.h"
 #include "run_records_internal.h"
+#include "shard_messages.h"
 
 enum {
     /** Events that wait for the next status. Above the first number, run times are dropped; above
@@ -109,18 +110,15 @@
 }
 
 /** Adds an event about a task to the next status, unless there are too many.
- * @param field its name in the message. */
+ * @param value the cause or the seconds, by the kind */
 static void add_leader_event(struct shard *shard, const struct machine *machine,
-                             const struct task_run *run, const char *field, double value,
+                             const struct task_run *run, enum task_event_kind kind, double value,
                              guint max_events)
 {
     if (shard->status.events->len >= max_events)
         return;
-    cJSON *event = cJSON_CreateObject();
-    cJSON_AddStringToObject(event, "h", machine->id.text);
-    cJSON_AddStringToObject(event, "j", run->job.text);
-    cJSON_AddNumberToObject(event, field, value);
-    g_ptr_array_add(shard->status.events, event);
+    struct task_event event = {kind, machine->id, run->job, value};
+    g_array_append_val(shard->status.events, event);
 }
 
 /** The leader counts failures: too many quarantine the machine, or pause the job. */
@@ -131,7 +129,7 @@
              machine->id.text, cause);
     if (cause == CAUSE_GANG_PEERS_LOST)
         return;
-    add_leader_event(shard, machine, run, "c", cause, MAX_FAULT_EVENTS);
+    add_leader_event(shard, machine, run, TASK_EVENT_FAILED, cause, MAX_FAULT_EVENTS);
     shard_request_status(shard);
 }
 
@@ -142,7 +140,8 @@
     if (!run->reported.running_at.us)
         return;
     int64_t ran_ms = time_ms_since(loop_now(shard->loop), run->reported.running_at);
-    add_leader_event(shard, machine, run, "took", (double)ran_ms / 1000, MAX_TASK_TIME_EVENTS);
+    add_leader_event(shard, machine, run, TASK_EVENT_COMPLETED, (double)ran_ms / 1000,
+                     MAX_TASK_TIME_EVENTS);
 }
 
 /** Applies that a recorded run is reported as exited. */
