--- a/src/scheduler/leader.c
+++ b/src/scheduler/leader.c
@@ -10,6 +10,7 @@
 #include "placement.h"
 #include "quota_ledger.h"
 #include "shard_dispatcher.h"
+#include "shard_messages.h"
 #include "shard_status_receiver.h"
 
 enum {
@@ -104,7 +105,7 @@
     timer_init(&leader->tick_timer, on_tick, leader);
     timer_init(&leader->pass_timer, run_scheduling_pass, leader);
     replica_add_listener(leader->replica, &leader->actor);
-    node_rpc_register(leader->node_rpc, "digest", shard_status_receiver_handle, leader);
+    node_rpc_register(leader->node_rpc, SHARD_MESSAGE_STATUS, shard_status_receiver_handle, leader);
     return leader;
 }
 
--- a/src/scheduler/shard_dispatcher.c
+++ b/src/scheduler/shard_dispatcher.c
@@ -2,6 +2,7 @@
 #include "shard_dispatcher.h"
 
 #include "quota_ledger.h"
+#include "shard_messages.h"
 
 enum {
     MESSAGE_TIMEOUT_MS = 1500,
@@ -60,16 +61,17 @@
 {
     const struct pending_dispatch *dispatch = quota_ledger_find_dispatch(job, index);
     const struct job_spec *spec = replica_get_job(leader->replica, job->id.text)->spec;
-    cJSON *item = node_rpc_encode_task(job->id, index, dispatch->attempt);
-    node_rpc_put_u64(item, "n", dispatch->number);
     /* Zone rules are the leader's to decide, so that the shard must keep to the zone. */
-    if (spec->needs_single_zone || spec->needs_separate_zones)
-        cJSON_AddStringToObject(item, "y", dispatch->zone);
-    if (is_bound)
-        cJSON_AddStringToObject(item, "h", dispatch->machine->id.text);
+    bool has_zone_rule = spec->needs_single_zone || spec->needs_separate_zones;
+    struct dispatch_item item = {
+        .task = {job->id, index, dispatch->attempt},
+        .number = dispatch->number,
+        .zone = has_zone_rule ? dispatch->zone : NULL,
+        .bound_machine = is_bound ? dispatch->machine->id.text : NULL,
+    };
     struct shard_channel *channel =
         shard_dispatcher_channel(leader, dispatch->machine->owner_label);
-    shard_dispatcher_append(&channel->dispatches, item);
+    shard_dispatcher_append(&channel->dispatches, dispatch_item_encode(&item));
 }
 
 void shard_dispatcher_queue_stop(struct leader *leader, const struct ledger_job *job,
@@ -82,10 +84,13 @@
     if (!allocation->is_stopping)
         resources_add(&quota_ledger_team_of(leader, job)->stopping, job->task_resources);
     allocation->is_stopping = true;
-    cJSON *item = node_rpc_encode_task(job->id, index, allocation->attempt);
-    cJSON_AddStringToObject(item, "h", allocation->machine.text);
-    cJSON_AddNumberToObject(item, "g", grace_s);
-    shard_dispatcher_append(&shard_dispatcher_channel(leader, machine->owner_label)->stops, item);
+    struct stop_item item = {
+        .task = {job->id, index, allocation->attempt},
+        .machine = allocation->machine.text,
+        .grace_s = grace_s,
+    };
+    struct shard_channel *channel = shard_dispatcher_channel(leader, machine->owner_label);
+    shard_dispatcher_append(&channel->stops, stop_item_encode(&item));
 }
 
 /** The channel to the owner of a machine, if it can take the machine's name now. It cannot while a
@@ -124,19 +129,18 @@
 /** The shard has cordoned the machines that its answer names, so their return can go on. */
 static void apply_cordoned(struct leader *leader, const cJSON *answer)
 {
-    const cJSON *name;
-    cJSON_ArrayForEach(name, cJSON_GetObjectItemCaseSensitive(answer, "closed"))
-    {
-        if (cJSON_IsString(name))
-            cloud_provider_note_cordoned(leader->cloud, name->valuestring, leader->epoch);
-    }
+    GPtrArray *names = dispatch_answer_decode(answer);
+    for (guint i = 0; i < names->len; i++)
+        cloud_provider_note_cordoned(leader->cloud, names->pdata[i], leader->epoch);
+    g_ptr_array_unref(names);
 }
 
 /** The shard has learned from the last message which machines no longer exist. */
 static void apply_departed(struct leader *leader, const struct shard_channel *channel)
 {
     const cJSON *name;
-    cJSON_ArrayForEach(name, cJSON_GetObjectItemCaseSensitive(channel->unacknowledged, "gone"))
+    cJSON_ArrayForEach(
+        name, cJSON_GetObjectItemCaseSensitive(channel->unacknowledged, DISPATCH_MESSAGE_RETURNED))
         cloud_provider_note_announced(leader->cloud, name->valuestring);
 }
 
@@ -150,13 +154,11 @@
 /** A message made of everything that is queued. */
 static cJSON *build_message(const struct leader *leader, struct shard_channel *channel)
 {
-    cJSON *message = cJSON_CreateObject();
-    node_rpc_put_u64(message, "e", leader->epoch.value);
-    node_rpc_put_u64(message, "s", ++channel->message_sequence);
-    add_list(message, "deal", &channel->dispatches);
-    add_list(message, "halt", &channel->stops);
-    add_list(message, "gone", &channel->departed);
-    add_list(message, "close", &channel->cordons);
+    cJSON *message = dispatch_message_new(leader->epoch, ++channel->message_sequence);
+    add_list(message, DISPATCH_MESSAGE_DISPATCHES, &channel->dispatches);
+    add_list(message, DISPATCH_MESSAGE_STOPS, &channel->stops);
+    add_list(message, DISPATCH_MESSAGE_RETURNED, &channel->departed);
+    add_list(message, DISPATCH_MESSAGE_TO_CORDON, &channel->cordons);
     return message;
 }
 
@@ -216,7 +218,7 @@
 }
 
 /** Sends the outstanding message again, or a new one. The shard applies a message only once, by its
- * sequence number; see handle_dispatch_message in shard.c. */
+ * sequence number; see shard_handle_dispatch_message(). */
 static void send_message(struct leader *leader, struct shard_channel *channel)
 {
     if (!channel->unacknowledged)
@@ -224,7 +226,7 @@
     struct shard_request *request = g_new(struct shard_request, 1);
     *request = (struct shard_request){leader, leader->generation, g_strdup(channel->label)};
     channel->is_request_in_flight = true;
-    node_rpc_call(leader->node_rpc, channel->label, "deal",
+    node_rpc_call(leader->node_rpc, channel->label, SHARD_MESSAGE_DISPATCH,
                   cJSON_Duplicate(channel->unacknowledged, true), MESSAGE_TIMEOUT_MS,
                   on_shard_answer, request);
 }
