--- a/src/shard/shard.c
+++ b/src/shard/shard.c
@@ -179,10 +179,10 @@
 {
     shard->loop = setup->loop;
     shard->net = setup->net;
-    shard->kv = setup->store;
-    shard->replica = setup->view;
-    shard->membership = setup->members;
-    shard->node_rpc = setup->bus;
+    shard->kv = setup->kv;
+    shard->replica = setup->replica;
+    shard->membership = setup->membership;
+    shard->node_rpc = setup->node_rpc;
     shard->cancel_broadcast = setup->cancel_broadcast;
     shard->lease_proxy = setup->lease_proxy;
     shard->failure_detector = setup->failure_detector;
@@ -218,7 +218,7 @@
 struct shard *shard_new(const struct shard_setup *setup)
 {
     struct shard *shard = g_new0(struct shard, 1);
-    shard->actor = (struct actor){"part", handle_message};
+    shard->actor = (struct actor){"shard", handle_message};
     init_collaborators(shard, setup);
     shard->machines = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, shard_machine_free);
     shard->redirects = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
--- a/src/shard/shard.h
+++ b/src/shard/shard.h
@@ -17,10 +17,10 @@
 struct shard_setup {
     struct loop *loop;
     struct http_client *net;
-    struct kv_client *store;
-    struct replica *view;
-    struct membership *members;
-    struct node_rpc *bus;
+    struct kv_client *kv;
+    struct replica *replica;
+    struct membership *membership;
+    struct node_rpc *node_rpc;
     struct cancel_broadcast *cancel_broadcast;
     struct lease_proxy *lease_proxy;
     struct failure_detector *failure_detector;
