--- a/src/shard/machine_inventory.c
+++ b/src/shard/machine_inventory.c
@@ -1,29 +1,62 @@
-/* What machines are, many in one value: until a machine is on such a list each page that names it
- * has to say so, which takes more room there than its tasks do. */
-#include "run_records_internal.h"
-
-#include "log.h"
+/**
+ * @file
+ * Inventories: one value each, that says of many machines what they are. Until a machine is listed
+ * in one, each page with records of it has to say so, which takes more bytes there than its runs
+ * do.
+ */
+#include "record_txn.h"
 
 enum {
-    INVENTORY_INTERVAL_MS = 4000, /* machines that come meanwhile go on the list together */
-    INVENTORY_CLEANUP_MS = 12000, /* those that are gone are taken off */
-    VALUE_BYTES = 32,
+    /** Between two writes: machines that come meanwhile are listed together. */
+    INVENTORY_INTERVAL_MS = 4000,
+    /** After this, an inventory is also written only to take machines off it that are gone. */
+    INVENTORY_CLEANUP_MS = 12000,
+    /** Of an inventory's value besides its text. */
+    INVENTORY_VALUE_OVERHEAD_BYTES = 32,
 };
 
+/** A write of an inventory until its end. */
 struct inventory_write {
-    struct shard *shard;
-    uint64_t generation;
+    struct pending_write pending;
     int number;
 };
 
+/** This node's inventory of that number; adds it if there is none. */
 static struct own_inventory *get_inventory(struct shard *shard, int number)
 {
-    while ((int)shard->records.inventories->len <= number)
-        g_ptr_array_add(shard->records.inventories, g_new0(struct own_inventory, 1));
-    return shard->records.inventories->pdata[number];
+    GPtrArray *inventories = shard->records.inventories;
+    while ((int)inventories->len <= number)
+        g_ptr_array_add(inventories, g_new0(struct own_inventory, 1));
+    return inventories->pdata[number];
+}
+
+/* ---- agreement with the replica ---- */
+
+static bool is_own_inventory(const struct shard *shard, const struct machine_inventory *inventory)
+{
+    return strcmp(inventory->label, shard->settings->label) == 0;
+}
+
+static void reconcile_inventory(struct shard *shard, const struct machine_inventory *inventory)
+{
+    struct own_inventory *own = get_inventory(shard, inventory->number);
+    own->mod_revision = inventory->mod_revision;
+    for (guint i = 0; i < inventory->machines->len; i++) {
+        struct machine_record *machine_record = inventory->machines->pdata[i];
+        if (!shard_find_machine(shard, machine_record->id.text))
+            own->is_stale = true;
+    }
+}
+
+static void reconcile_machine(struct shard *shard, struct machine *machine)
+{
+    struct machine_record *machine_record = replica_get_machine(shard->replica, machine->id.text);
+    bool is_listed = machine_record && machine_record->inventory &&
+                     is_own_inventory(shard, machine_record->inventory);
+    machine->record.inventory_number = is_listed ? machine_record->inventory->number : -1;
+    machine->record.joins_inventory = false;
 }
 
-/* Makes what we hold of our lists agree with the view. */
 void shard_inventories_reconcile(struct shard *shard)
 {
     GHashTableIter iter;
@@ -32,50 +65,46 @@
     for (guint i = 0; i < shard->records.inventories->len; i++)
         *get_inventory(shard, (int)i) = (struct own_inventory){0};
     g_hash_table_iter_init(&iter, shard->replica->inventories);
-    while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&inventory)) {
-        if (strcmp(inventory->label, shard->settings->label) != 0)
-            continue;
-        struct own_inventory *own = get_inventory(shard, inventory->number);
-        own->mod_revision = inventory->mod_revision;
-        for (guint i = 0; i < inventory->machines->len; i++) {
-            struct machine_record *machine_record = inventory->machines->pdata[i];
-            own->is_stale = own->is_stale || !shard_find_machine(shard, machine_record->id.text);
-        }
-    }
+    while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&inventory))
+        if (is_own_inventory(shard, inventory))
+            reconcile_inventory(shard, inventory);
     g_hash_table_iter_init(&iter, shard->machines);
-    while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&machine)) {
-        struct machine_record *machine_record =
-            replica_get_machine(shard->replica, machine->id.text);
-        bool own = machine_record && machine_record->inventory &&
-                   strcmp(machine_record->inventory->label, shard->settings->label) == 0;
-        machine->record.inventory_number = own ? machine_record->inventory->number : -1;
-        machine->record.joins_inventory = false;
-    }
+    while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&machine))
+        reconcile_machine(shard, machine);
 }
 
+/* ---- when one is written ---- */
+
 void shard_inventory_drop_machine(struct shard *shard, const struct machine *machine)
 {
     if (machine->record.inventory_number >= 0)
         get_inventory(shard, machine->record.inventory_number)->is_stale = true;
 }
 
+/** Whether a machine with runs is described by nothing but its pages. */
 static bool needs_inventory(const struct machine *machine)
 {
     return machine->record.inventory_number < 0 && !machine->record.mod_revision.value &&
            !machine->is_gone && machine->address[0] && shard_machine_has_runs(machine);
 }
 
+/** The first inventory that lists machines that this node does not own any more; -1: none does. */
+static int first_stale_inventory(struct shard *shard)
+{
+    for (guint i = 0; i < shard->records.inventories->len; i++)
+        if (get_inventory(shard, (int)i)->is_stale)
+            return (int)i;
+    return -1;
+}
+
 bool shard_inventory_due(struct shard *shard)
 {
-    if (shard_uses_legacy_format(shard) ||
-        time_ms_since(loop_now(shard->loop), shard->records.inventory_written_at) <
-            INVENTORY_INTERVAL_MS)
+    int64_t elapsed_ms = time_ms_since(loop_now(shard->loop), shard->records.inventory_written_at);
+    /* Nodes of version 0 do not read inventories. */
+    if (shard_uses_legacy_format(shard) || elapsed_ms < INVENTORY_INTERVAL_MS)
         return false;
-    int64_t overdue_ms = time_ms_since(loop_now(shard->loop), shard->records.inventory_written_at) -
-                         INVENTORY_CLEANUP_MS;
-    for (guint i = 0; overdue_ms >= 0 && i < shard->records.inventories->len; i++)
-        if (get_inventory(shard, (int)i)->is_stale)
-            return true;
+    if (elapsed_ms >= INVENTORY_CLEANUP_MS && first_stale_inventory(shard) >= 0)
+        return true;
     GHashTableIter iter;
     struct machine *machine;
     g_hash_table_iter_init(&iter, shard->machines);
@@ -85,105 +114,133 @@
     return false;
 }
 
-static gsize append_machine(struct machine *machine, GString *text)
+/** The inventory to be written: a stale one, else the last, which may be new. */
+static int choose_inventory(struct shard *shard)
+{
+    int stale = first_stale_inventory(shard);
+    return stale >= 0 ? stale : MAX((int)shard->records.inventories->len - 1, 0);
+}
+
+/* ---- its text ---- */
+
+/** Why a machine is listed in the inventory that is written. */
+enum inventory_pass {
+    /** It is listed there already. They come first, as they have to find a place. */
+    PASS_LISTED,
+    /** It is not listed anywhere yet. */
+    PASS_NEW,
+    PASS_COUNT,
+};
+
+static bool is_in_pass(enum inventory_pass pass, const struct machine *machine, int number)
+{
+    if (pass == PASS_NEW)
+        return needs_inventory(machine);
+    return machine->record.inventory_number == number && !machine->is_gone &&
+           !machine->record.mod_revision.value;
+}
+
+/** Adds a machine to the text; returns whether it could be described. */
+static bool append_machine(struct machine *machine, GString *text)
 {
     char *description = machine_description_encode(machine->address, machine->type_name,
                                                    machine->zone, machine->is_spot);
+    if (!description)
+        return false;
     gsize previous_length = text->len;
-    if (description)
-        inventory_encode_machine(text, machine->id, description);
+    inventory_encode_machine(text, machine->id, description);
     g_free(description);
-    return text->len - previous_length;
-}
-
-static void finish_inventory_write(void *arg, bool ok)
-{
-    struct inventory_write *write = arg;
-    shard_finish_write(write->shard, write->generation, ok);
-    g_free(write);
+    return text->len > previous_length;
 }
 
-static void handle_inventory_outcome(void *arg, const struct txn_outcome *outcome)
+/** Adds the machines of one pass to the text, and notes in them that they are listed. Returns false
+ * once one does not fit. */
+static bool append_machines(struct shard *shard, enum inventory_pass pass, int number,
+                            GString *text)
 {
-    struct inventory_write *write = arg;
-    struct shard *shard = write->shard;
-    if (outcome->status == TXN_CONFLICT) {
-        replica_await_revision(shard->replica, outcome->at_revision, finish_inventory_write, write);
-    } else if (outcome->status == TXN_UNKNOWN) {
-        replica_read_barrier(shard->replica, finish_inventory_write, write);
-    } else if (outcome->status == TXN_COMMITTED && write->generation == shard->generation) {
-        GHashTableIter iter;
-        struct machine *machine;
-        g_hash_table_iter_init(&iter, shard->machines);
-        while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&machine)) {
-            if (machine->record.joins_inventory)
-                machine->record.inventory_number = write->number;
+    gsize max_bytes = kv_client_limits(shard->kv)->max_value_bytes - INVENTORY_VALUE_OVERHEAD_BYTES;
+    GHashTableIter iter;
+    struct machine *machine;
+    g_hash_table_iter_init(&iter, shard->machines);
+    while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&machine)) {
+        if (!is_in_pass(pass, machine, number))
+            continue;
+        gsize previous_length = text->len;
+        machine->record.joins_inventory = append_machine(machine, text);
+        if (text->len > max_bytes) {
+            g_string_truncate(text, previous_length);
             machine->record.joins_inventory = false;
+            return false;
         }
-        get_inventory(shard, write->number)->mod_revision = outcome->at_revision;
-        shard->records.txn_in_flight = false;
-        shard_request_flush(shard);
-        g_free(write);
-    } else {
-        finish_inventory_write(write, false);
     }
+    return true;
 }
 
-/* The list to be written: one that names machines that are no longer ours, else the last one, which
- * may be new. */
-static int choose_inventory(struct shard *shard)
+/** The text of an inventory. If not all machines fit into the last one, adds an empty one for the
+ * rest. The caller frees the text. */
+static GString *make_inventory_text(struct shard *shard, int number)
 {
-    for (guint i = 0; i < shard->records.inventories->len; i++)
-        if (get_inventory(shard, (int)i)->is_stale)
-            return (int)i;
-    return shard->records.inventories->len ? (int)shard->records.inventories->len - 1 : 0;
+    GString *text = g_string_new(NULL);
+    bool fits = true;
+    for (int pass = PASS_LISTED; pass < PASS_COUNT && fits; pass++)
+        fits = append_machines(shard, pass, number, text);
+    if (!fits && number == (int)shard->records.inventories->len - 1)
+        get_inventory(shard, number + 1);
+    return text;
+}
+
+/* ---- its transaction ---- */
+
+static void finish_inventory_write(void *arg, bool ok)
+{
+    struct inventory_write *write = arg;
+    shard_finish_write(&write->pending, ok);
+    g_free(write);
 }
 
-/* What stays on a list, and what may be added. */
-static void write_inventory_text(struct shard *shard, int number, GString *text)
+/** Notes which machines the inventory lists now. */
+static void commit_inventory(struct inventory_write *write, revision committed_at)
 {
-    gsize max_bytes = kv_client_limits(shard->kv)->max_value_bytes - VALUE_BYTES;
+    struct shard *shard = write->pending.shard;
     GHashTableIter iter;
     struct machine *machine;
-    for (int added = 0; added < 2; added++) {
-        g_hash_table_iter_init(&iter, shard->machines);
-        while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&machine)) {
-            if (added ? !needs_inventory(machine)
-                      : machine->record.inventory_number != number || machine->is_gone ||
-                            machine->record.mod_revision.value)
-                continue;
-            gsize previous_length = text->len;
-            machine->record.joins_inventory = append_machine(machine, text) > 0;
-            if (text->len <= max_bytes)
-                continue;
-            g_string_truncate(text, previous_length);
-            machine->record.joins_inventory = false;
-            if (number == (int)shard->records.inventories->len - 1)
-                get_inventory(shard, number + 1); /* the rest goes on another one */
-            return;
-        }
+    g_hash_table_iter_init(&iter, shard->machines);
+    while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&machine)) {
+        if (machine->record.joins_inventory)
+            machine->record.inventory_number = write->number;
+        machine->record.joins_inventory = false;
     }
+    get_inventory(shard, write->number)->mod_revision = committed_at;
+    shard->records.txn_in_flight = false;
+    shard_request_flush(shard);
+    g_free(write);
+}
+
+static void handle_inventory_outcome(void *arg, const struct txn_outcome *outcome)
+{
+    struct inventory_write *write = arg;
+    struct shard *shard = write->pending.shard;
+    if (outcome->status != TXN_COMMITTED)
+        record_txn_await_outcome(shard, outcome, finish_inventory_write, write);
+    else if (write->pending.generation == shard->generation)
+        commit_inventory(write, outcome->at_revision);
+    else
+        finish_inventory_write(write, false);
 }
 
 void shard_inventory_write(struct shard *shard)
 {
     int number = choose_inventory(shard);
     struct own_inventory *inventory = get_inventory(shard, number);
-    GString *text = g_string_new(NULL);
-    write_inventory_text(shard, number, text);
+    GString *text = make_inventory_text(shard, number);
     inventory->is_stale = false;
     shard->records.inventory_written_at = loop_now(shard->loop);
+    struct txn *txn = record_txn_new(shard);
     char *key = key_inventory(shard->settings->label, number);
-    json_object *value = json_object_new_object();
-    json_put_text(value, "a", text->str);
-    struct txn *txn = shard_txn_new(shard);
-    txn_compare(txn, key, inventory->mod_revision);
-    txn_put(txn, key, value, (lease_id){0});
+    record_txn_put_inventory(txn, key, inventory->mod_revision, text->str);
     g_free(key);
     g_string_free(text, TRUE);
-    struct inventory_write *request = g_new(struct inventory_write, 1);
-    *request = (struct inventory_write){shard, shard->generation, number};
-    shard->records.write_budget -= 1;
-    shard->records.txn_in_flight = true;
-    kv_client_commit(shard->kv, KV_LANE_URGENT, txn, handle_inventory_outcome, request);
+    struct inventory_write *write = g_new(struct inventory_write, 1);
+    *write = (struct inventory_write){{shard, shard->generation}, number};
+    record_txn_commit(shard, txn, handle_inventory_outcome, write);
 }
--- a/src/shard/page_draft.c
+++ b/src/shard/page_draft.c
@@ -1,4 +1,7 @@
-/* Drafts: pages of this node that a transaction is to write, and the texts that come of them. */
+/**
+ * @file
+ * Drafts: own pages as a transaction is going to write them, and the texts made of them.
+ */
 #include "record_batch_internal.h"
 
 #include "log.h"
@@ -39,11 +42,18 @@
     return draft;
 }
 
+/* ---- records of a draft ---- */
+
+/** The key in page_draft.jobs of a record's attempt. */
+static char *attempt_key(const struct record_page_entry *record)
+{
+    return g_strdup_printf("%s %" G_GUINT64_FORMAT, record->job.text, record->attempt.value);
+}
+
 static void draft_append(struct page_draft *draft, const struct record_page_entry *record)
 {
     g_hash_table_add(draft->jobs, g_strdup(record->job.text));
-    g_hash_table_add(draft->jobs, g_strdup_printf("%s %" G_GUINT64_FORMAT, record->job.text,
-                                                  record->attempt.value));
+    g_hash_table_add(draft->jobs, attempt_key(record));
     g_array_append_val(draft->records, *record);
 }
 
@@ -52,22 +62,31 @@
     return g_hash_table_contains(draft->jobs, job.text);
 }
 
+static bool page_draft_has_attempt(const struct page_draft *draft,
+                                   const struct record_page_entry *record)
+{
+    char *key = attempt_key(record);
+    bool has_attempt = g_hash_table_contains(draft->jobs, key);
+    g_free(key);
+    return has_attempt;
+}
+
 bool page_draft_try_add(struct page_draft *draft, const struct record_page_entry *record,
                         gsize max_bytes)
 {
-    char *attempt =
-        g_strdup_printf("%s %" G_GUINT64_FORMAT, record->job.text, record->attempt.value);
-    gsize cost = record_page_entry_max_bytes(record, page_draft_has_job(draft, record->job),
-                                             g_hash_table_contains(draft->jobs, attempt));
-    g_free(attempt);
-    if (draft->used_bytes + cost > max_bytes)
+    gsize added_bytes = record_page_entry_max_bytes(record, page_draft_has_job(draft, record->job),
+                                                    page_draft_has_attempt(draft, record));
+    if (draft->used_bytes + added_bytes > max_bytes)
         return false;
-    draft->used_bytes += cost;
+    draft->used_bytes += added_bytes;
     draft_append(draft, record);
     return true;
 }
 
-/* Records of machines that are another node's now: it takes them off itself. */
+/* ---- what has to stay on the page ---- */
+
+/** Keeps the records of machines that other nodes own: only their owners take them off, in the
+ * transactions that adopt them. */
 static void keep_foreign_records(struct shard *shard, struct page_draft *draft)
 {
     const struct own_page *page = shard_get_own_page(shard, draft->number);
@@ -79,7 +98,8 @@
     }
 }
 
-/* The record of a task stays, unless it is over and that is said with this transaction. */
+/** Keeps the record of a run, unless its end is proven and its completion is on record for good or
+ * comes on record with this transaction. */
 static void keep_run(struct record_batch *batch, struct page_draft *draft, struct machine *machine,
                      struct task_run *run)
 {
@@ -88,7 +108,8 @@
         run->phase == TASK_RUN_ENDED &&
         shard_completion_is_written(batch->shard, run, record_batch_writes_page, batch);
     if (run->record.is_in_txn) {
-        machine->record.is_in_txn = draft->is_changed = true;
+        machine->record.is_in_txn = true;
+        draft->is_changed = true;
         return;
     }
     struct record_page_entry record = shard_page_record_of(machine, run);
@@ -99,8 +120,8 @@
 {
     for (guint i = 0; i < machine->runs->len; i++) {
         struct task_run *run = machine->runs->pdata[i];
-        if (run->record.page == draft->number &&
-            (run->phase == TASK_RUN_RECORDED || run->phase == TASK_RUN_ENDED))
+        bool is_on_record = run->phase == TASK_RUN_RECORDED || run->phase == TASK_RUN_ENDED;
+        if (is_on_record && run->record.page == draft->number)
             keep_run(batch, draft, machine, run);
     }
 }
@@ -108,6 +129,8 @@
 void page_draft_keep_existing(struct record_batch *batch, struct page_draft *draft)
 {
     struct shard *shard = batch->shard;
+    g_array_set_size(draft->records, 0);
+    g_hash_table_remove_all(draft->jobs);
     shard_completions_write(shard, draft->number, batch->legacy_format, &draft->completions);
     draft->is_changed = draft->completions.has_unwritten;
     draft->used_bytes = draft->completions.text->len + draft->completions.reserved_bytes;
@@ -123,22 +146,6 @@
     draft->is_too_long = min_bytes + draft->completions.text->len > shard_max_page_bytes(shard);
 }
 
-/* The value of a page in the state service. */
-static json_object *encode_page_value(const char *tasks, const char *completions)
-{
-    json_object *object = json_object_new_object();
-    json_put_text(object, "t", tasks);
-    json_put_text(object, "d", completions);
-    return object;
-}
-
-void shard_txn_set_page(struct txn *txn, const char *key, revision mod_revision, const char *tasks,
-                        const char *completions)
-{
-    txn_compare(txn, key, mod_revision);
-    txn_put(txn, key, encode_page_value(tasks, completions), (lease_id){0});
-}
-
 void page_draft_write(struct record_batch *batch, struct page_draft *draft)
 {
     struct shard *shard = batch->shard;
@@ -148,8 +155,8 @@
     gsize bytes = text->len + draft->completions.text->len;
     if (bytes > shard_max_page_bytes(shard))
         LOG_ERROR("page_too_long", "page=%s bytes=%zu", key, bytes);
-    shard_txn_set_page(batch->txn, key, page->mod_revision, text->str,
-                       draft->completions.text->str);
+    record_txn_put_page(batch->txn, key, page->mod_revision, text->str,
+                        draft->completions.text->str);
     page->bytes = bytes;
     g_free(key);
     g_string_free(text, TRUE);
--- a/src/shard/record_batch_adopt.c
+++ b/src/shard/record_batch_adopt.c
@@ -1,4 +1,8 @@
-/* Takes run records over from pages of other nodes, for machines that have come to this one. */
+/**
+ * @file
+ * Adopts run records from pages of other nodes, for machines that this node owns by now. One
+ * transaction puts a record on an own page and takes it off the other node's.
+ */
 #include "record_batch_internal.h"
 
 bool shard_source_page_is_usable(struct shard *shard, const struct record_page *page,
@@ -14,21 +18,30 @@
            !limits->rate_limit_lowered;
 }
 
-struct record_page *shard_source_page_of_run(struct shard *shard, const struct machine *machine,
+/** The replica's record of exactly this run, or NULL. */
+static struct run_record *find_record_of_run(struct shard *shard, const struct machine *machine,
                                              const struct task_run *run)
 {
-    struct job *job = run->record.is_foreign && run->phase != TASK_RUN_RELEASED
-                          ? replica_get_job(shard->replica, run->job.text)
-                          : NULL;
+    struct job *job = replica_get_job(shard->replica, run->job.text);
     struct run_record *run_record = job ? job_get_run_record(job, run->index) : NULL;
-    bool is_on_record = run_record && run_record->attempt.value == run->attempt.value &&
-                        machine_id_equal(run_record->machine->id, machine->id);
-    return is_on_record && strcmp(run_record->page->label, shard->settings->label) != 0
-               ? run_record->page
-               : NULL;
+    bool is_same_run = run_record && run_record->attempt.value == run->attempt.value &&
+                       machine_id_equal(run_record->machine->id, machine->id);
+    return is_same_run ? run_record : NULL;
 }
 
-/* Takes the record of a task out of its draft again. */
+struct record_page *shard_source_page_of_run(struct shard *shard, const struct machine *machine,
+                                             const struct task_run *run)
+{
+    if (!run->record.is_foreign || run->phase == TASK_RUN_RELEASED)
+        return NULL;
+    struct run_record *run_record = find_record_of_run(shard, machine, run);
+    bool is_foreign = run_record && strcmp(run_record->page->label, shard->settings->label) != 0;
+    return is_foreign ? run_record->page : NULL;
+}
+
+/* ---- adopting ---- */
+
+/** Takes the record of a run out of a draft again. */
 static void draft_remove_run(struct page_draft *draft, const struct machine *machine,
                              const struct task_run *run)
 {
@@ -43,7 +56,7 @@
     }
 }
 
-/* None of a machine's records is taken over with this transaction. */
+/** Takes all adopted records of a machine out of the batch again. */
 static void undo_adoption(struct record_batch *batch, struct machine *machine)
 {
     for (guint i = 0; i < machine->runs->len; i++) {
@@ -58,13 +71,15 @@
     }
 }
 
-/* Takes the record of one task over; false: no page that is written has room for it. */
+/** Adopts the record of one run. If its end is proven and its completion comes on record, it is
+ * only taken off the other node's page. Returns false if no draft has enough free bytes. */
 static bool adopt_run(struct record_batch *batch, struct machine *machine, struct task_run *run)
 {
     run->record.next_page = -1;
     if (run->phase == TASK_RUN_ENDED &&
         shard_completion_is_written(batch->shard, run, record_batch_writes_page, batch)) {
-        run->record.is_in_txn = machine->record.is_in_txn = true;
+        run->record.is_in_txn = true;
+        machine->record.is_in_txn = true;
         return true;
     }
     return record_batch_put_run(batch, machine, run, shard_max_page_bytes(batch->shard));
@@ -86,14 +101,16 @@
     }
 }
 
-/* Whether the transaction takes the record of a task over. */
+/* ---- the other node's page ---- */
+
+/** Whether the transaction adopts a record of another node's page. */
 static bool is_adopted(struct shard *shard, const struct run_record *run_record)
 {
     struct machine *machine = shard_find_machine(shard, run_record->machine->id.text);
-    const struct task_run *run = machine
-                                     ? shard_run_find(machine, run_record->job->id,
-                                                      run_record->task_index, run_record->attempt)
-                                     : NULL;
+    if (!machine)
+        return false;
+    const struct task_run *run =
+        shard_run_find(machine, run_record->job->id, run_record->task_index, run_record->attempt);
     return run && run->record.is_in_txn && run->record.is_foreign;
 }
 
@@ -105,16 +122,13 @@
         struct run_record *run_record = page->run_records->pdata[i];
         if (is_adopted(shard, run_record))
             continue;
-        struct record_page_entry record = {
-            run_record->machine->id, run_record->job->id, run_record->attempt,
-            run_record->task_index,
-            replica_get_machine_description(shard->replica, run_record->machine->id.text)};
+        struct record_page_entry record = shard_page_record_in_replica(shard, run_record);
         g_array_append_val(remaining, record);
     }
     if (remaining->len < page->run_records->len) {
         GString *text = record_page_encode(remaining, batch->legacy_format);
-        shard_txn_set_page(batch->txn, page->key, page->mod_revision, text->str,
-                           page->completions_text ? page->completions_text : "");
+        record_txn_put_page(batch->txn, page->key, page->mod_revision, text->str,
+                            page->completions_text ? page->completions_text : "");
         g_string_free(text, TRUE);
     }
     g_array_unref(remaining);
--- a/src/shard/record_batch_outcome.c
+++ b/src/shard/record_batch_outcome.c
@@ -1,40 +1,60 @@
-/* What became of a transaction: machines and tasks follow it when it was done, and the view when it
- * was not or when nobody knows. */
-#include "record_batch_internal.h"
-
+/**
+ * @file
+ * What became of a batch's transaction. If it was committed, machines and runs follow it; if it was
+ * not, or nobody knows, they follow the replica.
+ *
+ * - Committed: records are where the transaction put them, and ends are off the records.
+ * - Conflict, a condition did not hold: all is read anew at the revision of the conflict.
+ * - Unknown: all is read anew behind a read barrier.
+ * - Lease expired or refused: nothing was written, and all records are where they were.
+ * - Any of these in a later epoch: nothing, as all was read anew when the epoch changed.
+ */
 #include "agent_session_internal.h"
-#include "log.h"
+#include "record_batch_internal.h"
 #include "task_end_internal.h"
 #include "task_placement_internal.h"
 
-/* How long starts and ends wait for their records: it shows when writes are scarce. */
+#include "log.h"
+
+/* ---- how long changes wait ---- */
+
+/** Counts how long a start or an end has waited for its record: it shows when writes are scarce. */
 static void count_write_wait(struct shard *shard, const struct task_run *run)
 {
+    struct write_waits *waits = &shard->records.write_waits;
     mono_time now = loop_now(shard->loop);
     if (run->phase == TASK_RUN_PLACED) {
-        shard->records.write_waits.starts++;
-        shard->records.write_waits.start_wait_ms += (double)time_ms_since(now, run->placed_at);
+        waits->starts++;
+        waits->start_wait_ms += (double)time_ms_since(now, run->placed_at);
     } else if (run->phase == TASK_RUN_ENDED && run->record.next_page < 0) {
-        shard->records.write_waits.ends++;
-        shard->records.write_waits.end_wait_ms += (double)time_ms_since(now, run->end.at);
+        waits->ends++;
+        waits->end_wait_ms += (double)time_ms_since(now, run->end.at);
     }
 }
 
 void shard_log_write_waits(struct shard *shard)
 {
-    if (log_debug_enabled() && shard->records.write_waits.writes)
-        LOG_DEBUG("records", "writes=%u starts=%u wait_ms=%.0f ends=%u wait_ms=%.0f pages=%u",
-                  shard->records.write_waits.writes, shard->records.write_waits.starts,
-                  shard->records.write_waits.start_wait_ms /
-                      MAX(shard->records.write_waits.starts, 1),
-                  shard->records.write_waits.ends,
-                  shard->records.write_waits.end_wait_ms / MAX(shard->records.write_waits.ends, 1),
-                  shard->records.pages->len);
-    memset(&shard->records.write_waits, 0, sizeof shard->records.write_waits);
+    struct write_waits *waits = &shard->records.write_waits;
+    if (log_debug_enabled() && waits->writes)
+        LOG_DEBUG("record_write_waits",
+                  "writes=%u starts=%u start_wait_ms=%.0f ends=%u end_wait_ms=%.0f pages=%u",
+                  waits->writes, waits->starts, waits->start_wait_ms / MAX(waits->starts, 1),
+                  waits->ends, waits->end_wait_ms / MAX(waits->ends, 1), shard->records.pages->len);
+    memset(waits, 0, sizeof *waits);
 }
 
-/* The record of a task is as the transaction has it. Whether it has come off the records so. */
-static bool commit_run(struct shard *shard, struct machine *machine, struct task_run *run)
+/* ---- committed ---- */
+
+/** What the commit of a transaction does to a run. */
+enum run_commit {
+    RUN_STAYS,
+    /** Its record was removed: the attempt is over for good, and its resources are released. */
+    RUN_RELEASED,
+};
+
+/** Makes the record of a run as the transaction has it. */
+static enum run_commit commit_run(struct shard *shard, struct machine *machine,
+                                  struct task_run *run)
 {
     run->record.is_in_txn = false;
     run->record.page = run->record.next_page;
@@ -43,77 +63,99 @@
     if (run->phase == TASK_RUN_PLACED) {
         run->phase = TASK_RUN_RECORDED;
         shard_run_stop_if_job_over(shard, run);
-        return false;
+        return RUN_STAYS;
     }
     if (run->phase != TASK_RUN_ENDED || run->record.page >= 0)
-        return false;
+        return RUN_STAYS;
     shard_run_release_resources(shard, machine, run);
     run->phase = TASK_RUN_RELEASED;
-    return true;
+    return RUN_RELEASED;
 }
 
-/* The records of a machine's tasks. What comes off them is forgotten, unless its worker still
- * reports it. */
+/** Makes the records of a machine's runs as the transaction has them. A released run is freed,
+ * unless the machine's agent still reports it. */
 static void commit_runs(struct shard *shard, struct machine *machine)
 {
     for (guint i = 0; i < machine->runs->len;) {
         struct task_run *run = machine->runs->pdata[i];
-        bool was_released = run->record.is_in_txn && commit_run(shard, machine, run);
-        if (was_released && run->reported.visibility != RUN_REPORTED)
+        enum run_commit result =
+            run->record.is_in_txn ? commit_run(shard, machine, run) : RUN_STAYS;
+        if (result == RUN_RELEASED && run->reported.visibility != RUN_REPORTED)
             g_ptr_array_remove_index_fast(machine->runs, i);
         else
             i++;
     }
 }
 
-/* A machine is on record as the transaction has it. Frees it when nothing of it is left. */
-static void commit_machine(struct shard *shard, struct machine *machine,
-                           const struct txn_outcome *outcome)
+/** Makes a machine's own record as the transaction has it. */
+static void commit_machine_record(struct machine *machine, revision committed_at)
 {
-    if (machine->record.change == MACHINE_RECORD_REMOVED)
+    switch (machine->record.change) {
+    case MACHINE_RECORD_UNCHANGED:
+        break;
+    case MACHINE_RECORD_WRITTEN:
+        machine->record.mod_revision = committed_at;
+        break;
+    case MACHINE_RECORD_REMOVED:
         machine->record.mod_revision = (revision){0};
-    else if (machine->record.change == MACHINE_RECORD_WRITTEN)
-        machine->record.mod_revision = outcome->at_revision;
+        break;
+    }
     machine->record.change = MACHINE_RECORD_UNCHANGED;
+}
+
+/** Makes all records of a machine as the transaction has them, and has its agent sent what was
+ * recorded. Frees a machine that is gone and has no records any more. */
+static void commit_machine(struct shard *shard, struct machine *machine, revision committed_at)
+{
+    commit_machine_record(machine, committed_at);
     commit_runs(shard, machine);
-    if (machine->is_gone && !machine->record.mod_revision.value &&
-        !shard_machine_has_runs(machine)) {
+    if (!machine->is_gone) {
+        shard_push_commands(shard, machine);
+    } else if (!machine->record.mod_revision.value && !shard_machine_has_runs(machine)) {
         g_hash_table_remove(shard->machines, machine->id.text);
-    } else if (machine->is_gone) {
+    } else {
         /* It went while this was being written; what was just recorded went with it. */
         shard_end_all_runs(shard, machine, RUN_END_MACHINE_RETURNED);
         shard_mark_dirty(shard);
-    } else {
-        shard_push_commands(shard, machine);
     }
 }
 
+/** The machine at a position in the batch's list, or NULL if the shard has it no longer. */
+static struct machine *listed_machine(const struct record_batch *batch, guint position)
+{
+    return shard_find_machine(batch->shard, batch->machine_ids->pdata[position]);
+}
+
 void record_batch_close(struct record_batch *batch)
 {
-    struct shard *shard = batch->shard;
-    shard->records.txn_in_flight = false;
+    batch->shard->records.txn_in_flight = false;
     for (guint i = 0; i < batch->machine_ids->len; i++) {
-        struct machine *machine = shard_find_machine(shard, batch->machine_ids->pdata[i]);
+        struct machine *machine = listed_machine(batch, i);
         if (machine)
             machine->record.is_in_txn = false;
     }
 }
 
-/* The transaction was carried out. */
-static void commit_batch(struct record_batch *batch, const struct txn_outcome *outcome)
+/** Notes the new mod revisions of the pages that the transaction wrote. */
+static void commit_pages(struct record_batch *batch, revision committed_at)
 {
-    struct shard *shard = batch->shard;
     for (guint i = 0; i < batch->drafts->len; i++) {
         struct page_draft *draft = batch->drafts->pdata[i];
         if (draft->is_changed)
-            shard_get_own_page(shard, draft->number)->mod_revision = outcome->at_revision;
+            shard_get_own_page(batch->shard, draft->number)->mod_revision = committed_at;
     }
+}
+
+static void commit_batch(struct record_batch *batch, revision committed_at)
+{
+    struct shard *shard = batch->shard;
+    commit_pages(batch, committed_at);
     shard_completions_mark_durable(shard, record_batch_writes_page, batch);
     record_batch_close(batch);
     for (guint i = 0; i < batch->machine_ids->len; i++) {
-        struct machine *machine = shard_find_machine(shard, batch->machine_ids->pdata[i]);
+        struct machine *machine = listed_machine(batch, i);
         if (machine)
-            commit_machine(shard, machine, outcome);
+            commit_machine(shard, machine, committed_at);
     }
     shard->records.is_dirty = shard->records.is_dirty || batch->has_more;
     record_batch_free(batch);
@@ -121,63 +163,77 @@
     shard_request_flush(shard);
 }
 
-/* Nothing of a machine counts as in a transaction any more: the view shows what came on record. */
+/* ---- not committed, or not known ---- */
+
+/** Notes that nothing of a machine is in a transaction any more. */
 static void rollback_machine(struct machine *machine)
 {
-    machine->record.has_unrecorded_images =
-        machine->record.has_unrecorded_images || machine->record.change == MACHINE_RECORD_WRITTEN;
+    if (machine->record.change == MACHINE_RECORD_WRITTEN)
+        machine->record.has_unrecorded_images = true;
     machine->record.change = MACHINE_RECORD_UNCHANGED;
-    for (guint i = 0; i < machine->runs->len; i++)
-        ((struct task_run *)machine->runs->pdata[i])->record.is_in_txn = false;
+    for (guint i = 0; i < machine->runs->len; i++) {
+        struct task_run *run = machine->runs->pdata[i];
+        run->record.is_in_txn = false;
+    }
+}
+
+static void rollback_machines(struct record_batch *batch)
+{
+    for (guint i = 0; i < batch->machine_ids->len; i++) {
+        struct machine *machine = listed_machine(batch, i);
+        if (machine)
+            rollback_machine(machine);
+    }
+}
+
+static void push_commands(struct record_batch *batch)
+{
+    for (guint i = 0; i < batch->machine_ids->len; i++) {
+        struct machine *machine = listed_machine(batch, i);
+        if (machine)
+            shard_push_commands(batch->shard, machine);
+    }
 }
 
-/* The view is past the moment of the conflict, or the unknown end: take what is on record. */
+/** Ends a batch that was not committed, as far as is known here.
+ * @param ok the replica is past the end of the transaction, and shows what is on record. */
 static void reconcile_batch(void *arg, bool ok)
 {
     struct record_batch *batch = arg;
     struct shard *shard = batch->shard;
-    bool is_same_generation = batch->generation == shard->generation;
     shard->records.is_dirty = true;
     record_batch_close(batch);
-    for (guint i = 0; is_same_generation && i < batch->machine_ids->len; i++) {
-        struct machine *machine = shard_find_machine(shard, batch->machine_ids->pdata[i]);
-        if (machine)
-            rollback_machine(machine);
-    }
-    if (is_same_generation && ok)
-        shard_records_reconcile(shard);
-    for (guint i = 0; is_same_generation && i < batch->machine_ids->len; i++) {
-        struct machine *machine = shard_find_machine(shard, batch->machine_ids->pdata[i]);
-        if (machine)
-            shard_push_commands(shard, machine);
+    if (batch->generation == shard->generation) {
+        rollback_machines(batch);
+        if (ok)
+            shard_records_reconcile(shard);
+        push_commands(batch);
     }
     shard_schedule_flush(shard, ok);
     record_batch_free(batch);
 }
 
+static void log_outcome(const struct record_batch *batch, const struct txn_outcome *outcome)
+{
+    if (outcome->status == TXN_CONFLICT)
+        LOG_DEBUG("record_txn_conflict", "machines=%u first=%s", batch->machine_ids->len,
+                  outcome->failed_keys->len ? (char *)outcome->failed_keys->pdata[0] : "");
+    else if (outcome->status == TXN_UNKNOWN)
+        LOG_INFO("record_txn_unknown", "machines=%u", batch->machine_ids->len);
+}
+
 void record_batch_handle_outcome(void *arg, const struct txn_outcome *outcome)
 {
     struct record_batch *batch = arg;
     struct shard *shard = batch->shard;
     if (batch->generation != shard->generation) {
-        /* The map has changed meanwhile: the records were taken from the view then. */
         reconcile_batch(batch, true);
         return;
     }
-    switch (outcome->status) {
-    case TXN_COMMITTED:
-        commit_batch(batch, outcome);
-        return;
-    case TXN_CONFLICT:
-        LOG_DEBUG("record_conflict", "hosts=%u first=%s", batch->machine_ids->len,
-                  outcome->failed_keys->len ? (char *)outcome->failed_keys->pdata[0] : "");
-        replica_await_revision(shard->replica, outcome->at_revision, reconcile_batch, batch);
-        return;
-    case TXN_UNKNOWN:
-        LOG_INFO("record_unknown", "hosts=%u", batch->machine_ids->len);
-        replica_read_barrier(shard->replica, reconcile_batch, batch);
+    if (outcome->status == TXN_COMMITTED) {
+        commit_batch(batch, outcome->at_revision);
         return;
-    default:
-        reconcile_batch(batch, false);
     }
+    log_outcome(batch, outcome);
+    record_txn_await_outcome(shard, outcome, reconcile_batch, batch);
 }
--- a/src/shard/record_batch_select.c
+++ b/src/shard/record_batch_select.c
@@ -1,32 +1,48 @@
-/* Chooses which pages a transaction writes: a survey of what waits to be written, and what of it
- * comes first. */
+/**
+ * @file
+ * Chooses what a batch is about: collects what waits to be written, and picks the pages for which
+ * most does.
+ */
 #include "record_batch_internal.h"
 
+/** What waits for a page, in terms of ends that are fresh; an end counts 1 more for each second
+ * that it has waited, as it keeps resources allocated. */
 enum {
-    START_WEIGHT =
-        1, /* a start that waits for a page, beside an end that has waited a second less */
-    COMPLETION_WEIGHT = 1, /* and a mark */
-    MAX_SOURCE_PAGES = 4,  /* pages of others that one transaction takes machines over from */
+    END_WEIGHT = 1,
+    /** A start, or a record to be adopted. */
+    START_WEIGHT = 1,
+    COMPLETION_WEIGHT = 1,
 };
 
-/* Parts of a page's length: */
 enum {
-    ROOMY_PAGE_SHARE = 4, /* a page with so much room may take what is new */
-    ENOUGH_FOR_STARTS_SHARE =
-        5, /* pages that are written anyway with so much room are enough for that */
-    ENOUGH_FOR_ADOPTION_SHARE = 2, /* and with so much, when machines are taken over as well */
+    /** Pages of other nodes that one transaction adopts records from. */
+    MAX_SOURCE_PAGES = 4,
 };
 
-/* What there is to be written. */
+/** Shares of a page's bytes, as one part in so many. */
+enum {
+    /** A page with so many free bytes may be chosen for new records. */
+    ROOMY_PAGE_SHARE = 4,
+    /** So many free bytes on the pages that are written anyway are enough for new starts. */
+    ENOUGH_FOR_STARTS_SHARE = 5,
+    /** And so many when records are adopted as well. */
+    ENOUGH_FOR_ADOPTION_SHARE = 2,
+};
+
+/** What waits to be written. */
 struct write_demand {
     mono_time now;
-    double *page_weights;    /* by number: how much is waited for them */
-    bool has_unplaced;       /* starts, and marks for any page */
-    GPtrArray *source_pages; /* struct record_page: of other nodes, that records are to be taken
-                                over from */
+    /** By page number: the sum of the weights of what waits for that page. */
+    double *page_weights;
+    /** There are starts or completions that may go to any page. */
+    bool has_unplaced;
+    /** struct record_page: of other nodes, that records are to be adopted from. */
+    GPtrArray *source_pages;
 };
 
-/* Runs of jobs that were cancelled before their record was written: nothing was started. */
+/* ---- what waits ---- */
+
+/** Removes runs that were not recorded before their job was cancelled: nothing was started. */
 static void drop_placed_runs_of_over_jobs(struct shard *shard, struct machine *machine)
 {
     for (guint i = 0; i < machine->runs->len;) {
@@ -38,49 +54,56 @@
     }
 }
 
-/* What one task waits for. */
+/** Adds the page of another node that has the record of a run, if there is one. */
+static void add_source_demand(struct record_batch *batch, struct write_demand *demand,
+                              struct record_page *source_page)
+{
+    if (!g_ptr_array_find(demand->source_pages, source_page, NULL) &&
+        shard_source_page_is_usable(batch->shard, source_page, batch->legacy_format))
+        g_ptr_array_add(demand->source_pages, source_page);
+}
+
+/** Adds what one run waits for. */
 static void add_run_demand(struct record_batch *batch, struct write_demand *demand,
                            struct machine *machine, const struct task_run *run)
 {
-    struct shard *shard = batch->shard;
-    struct record_page *source_page = shard_source_page_of_run(shard, machine, run);
+    struct record_page *source_page = shard_source_page_of_run(batch->shard, machine, run);
     int required_page = batch->legacy_format ? shard_page_of_machine(machine) : -1;
-    if (source_page && !g_ptr_array_find(demand->source_pages, source_page, NULL) &&
-        shard_source_page_is_usable(shard, source_page, batch->legacy_format))
-        g_ptr_array_add(demand->source_pages, source_page);
+    if (source_page)
+        add_source_demand(batch, demand, source_page);
     if (run->phase == TASK_RUN_ENDED && run->record.page >= 0)
         demand->page_weights[run->record.page] +=
-            1 + (double)time_ms_since(demand->now, run->end.at) / 1000;
+            END_WEIGHT + (double)time_ms_since(demand->now, run->end.at) / 1000;
     if (source_page && required_page >= 0)
         demand->page_weights[required_page] += START_WEIGHT;
     if (run->phase == TASK_RUN_PLACED && required_page >= 0)
         demand->page_weights[required_page] += START_WEIGHT;
-    demand->has_unplaced =
-        demand->has_unplaced || (run->phase == TASK_RUN_PLACED && required_page < 0);
+    if (run->phase == TASK_RUN_PLACED && required_page < 0)
+        demand->has_unplaced = true;
 }
 
-/* What all tasks and marks wait for. */
-static void collect_demand(struct record_batch *batch, struct write_demand *want)
+/** Collects what all runs and completions wait for. */
+static void collect_demand(struct record_batch *batch, struct write_demand *demand)
 {
     struct shard *shard = batch->shard;
-    GHashTableIter it;
+    *demand = (struct write_demand){.now = loop_now(shard->loop),
+                                    .page_weights = g_new0(double, shard->records.pages->len + 1),
+                                    .source_pages = g_ptr_array_new()};
+    GHashTableIter iter;
     struct machine *machine;
-    want->now = loop_now(shard->loop);
-    want->page_weights = g_new0(double, shard->records.pages->len + 1);
-    want->source_pages = g_ptr_array_new();
-    want->has_unplaced = false;
-    g_hash_table_iter_init(&it, shard->machines);
-    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&machine)) {
+    g_hash_table_iter_init(&iter, shard->machines);
+    while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&machine)) {
         drop_placed_runs_of_over_jobs(shard, machine);
         for (guint i = 0; i < machine->runs->len; i++)
-            add_run_demand(batch, want, machine, machine->runs->pdata[i]);
+            add_run_demand(batch, demand, machine, machine->runs->pdata[i]);
     }
-    want->has_unplaced =
-        shard_completions_add_demand(shard, want->page_weights, COMPLETION_WEIGHT) ||
-        want->has_unplaced;
+    if (shard_completions_add_demand(shard, demand->page_weights, COMPLETION_WEIGHT))
+        demand->has_unplaced = true;
 }
 
-/* A number that no page has, or that of one that is empty. */
+/* ---- pages for new records ---- */
+
+/** The number of the first page that is empty and not in the batch, or that does not exist yet. */
 static int find_unused_page(struct shard *shard, const struct record_batch *batch)
 {
     int number = 0;
@@ -91,23 +114,27 @@
     return number;
 }
 
-/* The page with the most room; a new one if they are all quite full. */
+/** The page with the most free bytes that is not in the batch; an unused one if they are all quite
+ * full. */
 static int choose_page_for_more(struct shard *shard, const struct record_batch *batch)
 {
-    gsize max_bytes = shard_max_page_bytes(shard) / ROOMY_PAGE_SHARE;
+    gsize wanted_bytes = shard_max_page_bytes(shard) / ROOMY_PAGE_SHARE;
     int best = -1;
     for (guint i = 0; i < shard->records.pages->len; i++) {
         gsize free_bytes =
             record_batch_find_draft(batch, (int)i) ? 0 : shard_page_free_bytes(shard, (int)i);
-        if (free_bytes >= max_bytes) {
-            max_bytes = free_bytes + 1;
+        if (free_bytes >= wanted_bytes) {
+            wanted_bytes = free_bytes + 1;
             best = (int)i;
         }
     }
     return best >= 0 ? best : find_unused_page(shard, batch);
 }
 
-/* The page for which most is waited, and that is not among those to be written; -1: none. */
+/* ---- the choice ---- */
+
+/** The page with the highest weight that is not in the batch yet and can be written; -1: none.
+ * @param page_count of the pages that the weights are known of. */
 static int most_demanded_page(struct record_batch *batch, const struct write_demand *demand,
                               guint page_count)
 {
@@ -121,23 +148,23 @@
     return best;
 }
 
-/* From which pages of other nodes machines are taken over: most of them, another first each time.
- */
+/** Chooses the pages of other nodes to adopt records from. Each batch begins with another one, so
+ * that none waits for ever. */
 static void choose_sources(struct record_batch *batch, const struct write_demand *demand,
                            guint max_pages)
 {
     struct shard *shard = batch->shard;
     guint wanted = demand->source_pages->len;
     guint chosen = MIN(MIN(wanted, MAX_SOURCE_PAGES), max_pages);
-    for (guint i = 0; i < chosen; i++)
-        g_ptr_array_add(
-            batch->source_pages,
-            demand->source_pages->pdata[(i + shard->records.first_source_page) % wanted]);
+    for (guint i = 0; i < chosen; i++) {
+        guint position = (i + shard->records.first_source_page) % wanted;
+        g_ptr_array_add(batch->source_pages, demand->source_pages->pdata[position]);
+    }
     batch->has_more = chosen < wanted;
     shard->records.first_source_page++;
 }
 
-/* Which pages are written: most of them. */
+/** Chooses the own pages to write and opens their drafts. */
 static void choose_drafts(struct record_batch *batch, const struct write_demand *demand,
                           guint max_pages)
 {
@@ -148,26 +175,38 @@
     gsize free_bytes = 0;
     gsize enough_bytes = shard_max_page_bytes(shard) /
                          (adopts_records ? ENOUGH_FOR_ADOPTION_SHARE : ENOUGH_FOR_STARTS_SHARE);
-    int number;
-    while (batch->drafts->len < max_pages - (takes_new_records && free_bytes < enough_bytes) &&
-           (number = most_demanded_page(batch, demand, page_count)) >= 0) {
+    for (;;) {
+        bool needs_one_more = takes_new_records && free_bytes < enough_bytes;
+        if (batch->drafts->len >= max_pages - needs_one_more)
+            break;
+        int number = most_demanded_page(batch, demand, page_count);
+        if (number < 0)
+            break;
         page_draft_open(batch, number);
         free_bytes += shard_page_free_bytes(shard, number);
     }
-    batch->has_more = batch->has_more || most_demanded_page(batch, demand, page_count) >= 0;
+    if (most_demanded_page(batch, demand, page_count) >= 0)
+        batch->has_more = true;
     if (takes_new_records && free_bytes < enough_bytes)
         page_draft_open(batch, choose_page_for_more(shard, batch));
 }
 
+/** Own pages that a transaction may write: half of its writes at most, so that the other half is
+ * left for pages of other nodes and for the machines' own records. */
+static guint max_draft_count(const struct kv_limits *limits)
+{
+    guint by_writes = (guint)MAX(limits->max_txn_operations / 2, 1);
+    guint by_bytes = (guint)MAX(MAX_BATCH_BYTES / limits->max_value_bytes, 1);
+    return MIN(by_writes, by_bytes);
+}
+
 void record_batch_select_pages(struct record_batch *batch)
 {
     const struct kv_limits *limits = kv_client_limits(batch->shard->kv);
-    guint max_writes = (guint)limits->max_txn_operations;
-    guint max_drafts = (guint)MAX(limits->max_txn_operations / 2, 1);
-    max_drafts = MIN(max_drafts, (guint)MAX(MAX_BATCH_BYTES / limits->max_value_bytes, 1));
+    guint max_drafts = max_draft_count(limits);
     struct write_demand demand;
     collect_demand(batch, &demand);
-    choose_sources(batch, &demand, max_writes - max_drafts - 1);
+    choose_sources(batch, &demand, (guint)limits->max_txn_operations - max_drafts - 1);
     choose_drafts(batch, &demand, max_drafts);
     batch->spare_writes =
         limits->max_txn_operations - (int)(batch->drafts->len + batch->source_pages->len);
--- a/src/shard/run_records_flush.c
+++ b/src/shard/run_records_flush.c
@@ -1,15 +1,20 @@
-/* When records are written: soon after a change, within this node's share of the writes that the
- * state service allows. */
+/**
+ * @file
+ * When records are written: soon after a change, one transaction at a time, within this node's
+ * share of the writes that the state service allows.
+ */
 #include "record_batch_internal.h"
 
 #include <math.h>
 
 enum {
-    FLUSH_DELAY_MS = 4,   /* after a change, for what else comes in that moment */
-    RETRY_DELAY_MS = 120, /* after what could not be written */
+    /** After a change: other changes of that moment go into the same transaction. */
+    FLUSH_DELAY_MS = 4,
+    /** After a transaction that was refused, or of which the outcome could not be read. */
+    RETRY_DELAY_MS = 120,
 };
 
-/* Of the writes that the state service allows, as much as all nodes' records may use. */
+/** Of the writes that the state service allows, the share that the records of all nodes may use. */
 static const double RECORDS_SHARE = 0.8;
 
 void shard_request_flush(struct shard *shard)
@@ -29,23 +34,30 @@
     shard_request_flush(shard);
 }
 
-/* The longer writes wait for this node's share of them, the more goes into one. */
-static bool has_write_budget(struct shard *shard)
+/** Writes a second that this node may make. The live nodes share the writes, as they share the
+ * machines. */
+static double write_rate_share(const struct shard *shard)
 {
     const struct kv_limits *limits = kv_client_limits(shard->kv);
-    /* The nodes that live share the writes, as they share the machines. */
-    double writes_per_s =
-        limits->rate_limit_write_rps * RECORDS_SHARE / MAX(shard->replica->shard_map->len, 1);
+    return limits->rate_limit_write_rps * RECORDS_SHARE / MAX(shard->replica->shard_map->len, 1);
+}
+
+/** Refills the write budget, a token bucket, and tells whether there is a write in it. If not, the
+ * flush timer is set to when there will be: the longer changes wait, the more go into one
+ * transaction. */
+static bool has_write_budget(struct shard *shard)
+{
+    struct shard_records *records = &shard->records;
+    double writes_per_s = write_rate_share(shard);
     mono_time now = loop_now(shard->loop);
-    shard->records.write_budget =
-        MIN(MAX_WRITE_BURST,
-            shard->records.write_budget +
-                writes_per_s * (double)(now.us - shard->records.write_budget_at.us) / 1e6);
-    shard->records.write_budget_at = now;
-    if (shard->records.write_budget >= 1)
+    double elapsed_us = (double)(now.us - records->write_budget_at.us);
+    records->write_budget =
+        MIN(MAX_WRITE_BURST, records->write_budget + writes_per_s * elapsed_us / 1e6);
+    records->write_budget_at = now;
+    if (records->write_budget >= 1)
         return true;
-    timer_start(shard->loop, &shard->records.flush_timer,
-                (int64_t)ceil((1 - shard->records.write_budget) / writes_per_s * 1000));
+    timer_start(shard->loop, &records->flush_timer,
+                (int64_t)ceil((1 - records->write_budget) / writes_per_s * 1000));
     return false;
 }
 
@@ -54,35 +66,18 @@
     shard->records.write_budget -= writes;
 }
 
-void shard_finish_write(struct shard *shard, uint64_t generation, bool ok)
+void shard_finish_write(const struct pending_write *write, bool ok)
 {
+    struct shard *shard = write->shard;
     shard->records.txn_in_flight = false;
-    if (ok && generation == shard->generation)
+    if (ok && write->generation == shard->generation)
         shard_records_reconcile(shard);
     shard->records.is_dirty = true;
     shard_schedule_flush(shard, ok);
 }
 
-struct txn *shard_txn_new(struct shard *shard)
-{
-    struct txn *txn = txn_new();
-    char *node_key = key_node(shard->settings->label);
-    txn_compare(txn, node_key, membership_get_mod_revision(shard->membership));
-    txn_compare(txn, KEY_MAP, shard->replica->shard_map_mod_revision);
-    g_free(node_key);
-    return txn;
-}
-
-/* Whether this node is a member, and owns what it has by the newest map. */
-static bool may_write(const struct shard *shard)
-{
-    return membership_has_valid_lease(shard->membership) &&
-           shard->epoch.value == shard->replica->shard_map_epoch.value &&
-           shard_map_contains(shard->replica, shard->settings->label,
-                              membership_get_incarnation(shard->membership));
-}
-
-/* Nothing can be written as things are; a machine without records may be gone. */
+/** Drops a batch in which there is nothing to write, either because nothing has changed or because
+ * what waits fits on no page now. Machines that are gone and have no records are freed. */
 static void discard_batch(struct record_batch *batch)
 {
     struct shard *shard = batch->shard;
@@ -100,7 +95,8 @@
         shard_schedule_flush(shard, false);
 }
 
-static void write_records(struct shard *shard)
+/** Makes a batch of what has changed and commits it. */
+static void write_batch(struct shard *shard)
 {
     shard->records.is_dirty = false;
     struct record_batch *batch = record_batch_new(shard);
@@ -110,25 +106,26 @@
         discard_batch(batch);
         return;
     }
-    shard->records.write_budget -= writes;
     shard->records.write_waits.writes += writes;
-    shard->records.txn_in_flight = true;
-    kv_client_commit(shard->kv, KV_LANE_URGENT, batch->txn, record_batch_handle_outcome, batch);
+    record_txn_commit(shard, batch->txn, record_batch_handle_outcome, batch);
 }
 
 void shard_flush(void *arg)
 {
     struct shard *shard = arg;
-    if (shard->records.txn_in_flight || !may_write(shard))
+    if (shard->records.txn_in_flight || !record_txn_is_allowed(shard))
         return;
     bool split_due = shard_split_due(shard);
     bool inventory_due = shard_inventory_due(shard);
     if (!shard->records.is_dirty && !split_due && !inventory_due)
         return;
-    if (!has_write_budget(shard) || (split_due && shard_split(shard)))
+    if (!has_write_budget(shard))
+        return;
+    /* A page that is being split by copies must not be written before that has ended. */
+    if (split_due && shard_split(shard))
         return;
     if (inventory_due)
         shard_inventory_write(shard);
     else
-        write_records(shard);
+        write_batch(shard);
 }
--- a/src/shard/run_records_pages.c
+++ b/src/shard/run_records_pages.c
@@ -1,14 +1,19 @@
-/* This node's pages: which of them a machine's records are on, and how much room they have. */
+/**
+ * @file
+ * This node's pages: which of them a machine's records are on, and how many bytes are free on them.
+ */
 #include "run_records_internal.h"
 
 enum {
-    VALUE_BYTES = 32,       /* of a page's value besides its texts */
-    MAX_TASK_INDEX = 99999, /* a task's number, as long as it may get in a text */
+    /** Of a page's value besides its texts. */
+    PAGE_VALUE_OVERHEAD_BYTES = 32,
+    /** A task's index of the most digits that one may have. */
+    MAX_TASK_INDEX = 99999,
 };
 
 gsize shard_max_page_bytes(const struct shard *shard)
 {
-    return kv_client_limits(shard->kv)->max_value_bytes - VALUE_BYTES;
+    return kv_client_limits(shard->kv)->max_value_bytes - PAGE_VALUE_OVERHEAD_BYTES;
 }
 
 bool shard_page_is_too_long(const struct shard *shard, const struct record_page *page)
@@ -30,12 +35,13 @@
 
 struct own_page *shard_get_own_page(struct shard *shard, int page_number)
 {
-    while ((int)shard->records.pages->len <= page_number) {
+    GPtrArray *pages = shard->records.pages;
+    while ((int)pages->len <= page_number) {
         struct own_page *page = g_new0(struct own_page, 1);
         page->foreign_records = g_array_new(FALSE, FALSE, sizeof(struct record_page_entry));
-        g_ptr_array_add(shard->records.pages, page);
+        g_ptr_array_add(pages, page);
     }
-    return shard->records.pages->pdata[page_number];
+    return pages->pdata[page_number];
 }
 
 struct record_page *shard_find_replica_page(struct shard *shard, int page_number)
@@ -55,8 +61,7 @@
 bool shard_own_page_is_empty(struct shard *shard, int page_number)
 {
     return !shard_get_own_page(shard, page_number)->bytes &&
-           !shard_find_replica_page(shard, page_number) &&
-           !shard_own_page_is_too_long(shard, page_number);
+           !shard_find_replica_page(shard, page_number);
 }
 
 int shard_page_of_machine(const struct machine *machine)
@@ -71,13 +76,14 @@
 
 const char *shard_machine_page_description(struct machine *machine)
 {
-    if (machine->record.mod_revision.value || machine->record.change == MACHINE_RECORD_WRITTEN ||
-        machine->record.inventory_number >= 0)
+    struct machine_record_state *record = &machine->record;
+    if (record->mod_revision.value || record->change == MACHINE_RECORD_WRITTEN ||
+        record->inventory_number >= 0)
         return NULL;
-    if (!machine->record.page_description)
-        machine->record.page_description = machine_description_encode(
-            machine->address, machine->type_name, machine->zone, machine->is_spot);
-    return machine->record.page_description;
+    if (!record->page_description)
+        record->page_description = machine_description_encode(machine->address, machine->type_name,
+                                                              machine->zone, machine->is_spot);
+    return record->page_description;
 }
 
 struct record_page_entry shard_page_record_of(struct machine *machine, const struct task_run *run)
@@ -86,32 +92,56 @@
                                       shard_machine_page_description(machine)};
 }
 
+struct record_page_entry shard_page_record_in_replica(struct shard *shard,
+                                                      const struct run_record *run_record)
+{
+    const struct machine_record *machine = run_record->machine;
+    return (struct record_page_entry){
+        machine->id, run_record->job->id, run_record->attempt, run_record->task_index,
+        replica_get_machine_description(shard->replica, machine->id.text)};
+}
+
+/** The most bytes that the record of one more run of the machine may take. Its attempt and index
+ * are not known yet, so the longest ones count. */
+static gsize new_record_max_bytes(struct machine *machine, job_id job)
+{
+    struct record_page_entry record = {
+        machine->id, job, {UINT64_MAX}, MAX_TASK_INDEX, shard_machine_page_description(machine)};
+    return record_page_entry_max_bytes(&record, false, false);
+}
+
+/** Whether a record of the machine has not been adopted from another node's page yet. */
+static bool has_foreign_record(const struct machine *machine)
+{
+    for (guint i = 0; i < machine->runs->len; i++) {
+        const struct task_run *run = machine->runs->pdata[i];
+        if (run->record.is_foreign)
+            return true;
+    }
+    return false;
+}
+
 bool shard_can_record_run(struct shard *shard, struct machine *machine, job_id job)
 {
     if (!shard_uses_legacy_format(shard))
         return true;
-    for (guint i = 0; i < machine->runs->len; i++)
-        if (((struct task_run *)machine->runs->pdata[i])->record.is_foreign)
-            return false;
+    if (has_foreign_record(machine))
+        return false;
     int page_number = shard_page_of_machine(machine);
     if (page_number < 0)
         return true;
-    struct record_page_entry record = {
-        machine->id, job, {UINT64_MAX}, MAX_TASK_INDEX, shard_machine_page_description(machine)};
+    gsize record_bytes = new_record_max_bytes(machine, job);
     return !shard_own_page_is_too_long(shard, page_number) &&
-           shard_get_own_page(shard, page_number)->bytes +
-                   record_page_entry_max_bytes(&record, false, false) <=
+           shard_get_own_page(shard, page_number)->bytes + record_bytes <=
                shard_max_page_bytes(shard);
 }
 
 void shard_reserve_record(struct shard *shard, struct machine *machine, job_id job)
 {
     int page_number = shard_page_of_machine(machine);
-    struct record_page_entry record = {
-        machine->id, job, {UINT64_MAX}, MAX_TASK_INDEX, shard_machine_page_description(machine)};
+    gsize record_bytes = new_record_max_bytes(machine, job);
     if (page_number >= 0)
-        shard_get_own_page(shard, page_number)->bytes +=
-            record_page_entry_max_bytes(&record, false, false);
+        shard_page_reserve(shard, page_number, record_bytes);
     shard_mark_dirty(shard);
 }
 
@@ -122,10 +152,10 @@
 
 gsize shard_page_free_bytes(struct shard *shard, int page_number)
 {
-    gsize max_bytes = shard_max_page_bytes(shard),
-          used_bytes = shard_get_own_page(shard, page_number)->bytes +
+    gsize max_bytes = shard_max_page_bytes(shard);
+    gsize used_bytes = shard_get_own_page(shard, page_number)->bytes +
                        shard_completions_reserved_bytes(shard, page_number);
-    return shard_own_page_is_too_long(shard, page_number) || used_bytes > max_bytes
-               ? 0
-               : max_bytes - used_bytes;
+    if (shard_own_page_is_too_long(shard, page_number) || used_bytes > max_bytes)
+        return 0;
+    return max_bytes - used_bytes;
 }
--- a/src/shard/run_records_reconcile.c
+++ b/src/shard/run_records_reconcile.c
@@ -1,28 +1,44 @@
-/* Agreement with the view: takes what the pages of this node say, and which records its machines
- * have, from what was read of the state service. */
+/**
+ * @file
+ * Agreement with the replica: takes from it what this node's pages hold, and which records its
+ * machines have.
+ */
 #include "run_records_internal.h"
 
-/* One page of ours as the view shows it. */
-static void reconcile_page(struct shard *shard, int page_number)
+/** Takes over the records on the page whose machines other nodes own: they stay there until those
+ * adopt them. */
+static void collect_foreign_records(struct shard *shard, const struct record_page *replica_page,
+                                    GArray *foreign_records)
 {
-    struct own_page *page = shard_get_own_page(shard, page_number);
-    struct record_page *replica_page = shard_find_replica_page(shard, page_number);
-    page->mod_revision = replica_page ? replica_page->mod_revision : (revision){0};
-    g_array_set_size(page->foreign_records, 0);
-    for (guint i = 0; replica_page && i < replica_page->run_records->len; i++) {
+    for (guint i = 0; i < replica_page->run_records->len; i++) {
         struct run_record *run_record = replica_page->run_records->pdata[i];
         if (shard_find_machine(shard, run_record->machine->id.text))
             continue;
         struct record_page_entry record = {run_record->machine->id, run_record->job->id,
                                            run_record->attempt, run_record->task_index, NULL};
-        g_array_append_val(page->foreign_records, record);
+        g_array_append_val(foreign_records, record);
+    }
+}
+
+/** Makes one own page agree with the replica. */
+static void reconcile_page(struct shard *shard, int page_number)
+{
+    struct own_page *page = shard_get_own_page(shard, page_number);
+    struct record_page *replica_page = shard_find_replica_page(shard, page_number);
+    g_array_set_size(page->foreign_records, 0);
+    if (!replica_page) {
+        page->mod_revision = (revision){0};
+        page->bytes = 0;
+        return;
     }
-    if (replica_page && replica_page->completions_text)
+    page->mod_revision = replica_page->mod_revision;
+    collect_foreign_records(shard, replica_page, page->foreign_records);
+    if (replica_page->completions_text)
         shard_completions_read(shard, replica_page->completions_text, page_number);
-    page->bytes = replica_page ? replica_page->size_bytes : 0;
+    page->bytes = replica_page->size_bytes;
 }
 
-/* Records of our machines as the view shows them, on one page or (-1) on all. */
+/** Makes the machines' runs agree with the records on one own page or (-1) with all records. */
 static void reconcile_machines(struct shard *shard, int page_number)
 {
     GHashTableIter iter;
@@ -50,9 +66,15 @@
 void shard_handle_page_changed(struct shard *shard, const char *key)
 {
     struct record_page *page = g_hash_table_lookup(shard->replica->pages, key);
-    if (shard->records.txn_in_flight || !page || strcmp(page->label, shard->settings->label) != 0 ||
-        page->mod_revision.value <= shard_get_own_page(shard, page->number)->mod_revision.value)
+    bool is_own = page && strcmp(page->label, shard->settings->label) == 0;
+    /* What is missed while a transaction is in flight shows as a conflict when the page is next
+     * written. */
+    if (shard->records.txn_in_flight || !is_own)
+        return;
+    revision known = shard_get_own_page(shard, page->number)->mod_revision;
+    if (page->mod_revision.value <= known.value)
         return;
     reconcile_page(shard, page->number);
+    /* Only this page: of the others the replica may be older than what is known here. */
     reconcile_machines(shard, page->number);
 }
