--- /dev/null
+++ b/src/shard/completion_pages.c
@@ -0,0 +1,242 @@
+/**
+ * @file
+ * Which pages completions are written on: their choice, what a page says of them, moving them off a
+ * page that is too long, and what a committed transaction makes durable.
+ */
+#include "completions_internal.h"
+
+#include "log.h"
+
+/* ---- what a page says ---- */
+
+/** Bytes that a unit may still come to take on its page, two hexadecimal digits for eight tasks. */
+static gsize unit_reserved_bytes(const struct completion_unit *unit, const struct job *job)
+{
+    guint max_bytes = shard_completion_unit_bytes(job, unit->number);
+    if (unit->is_moving || max_bytes <= unit->bits->len)
+        return 0;
+    return 2 * (gsize)(max_bytes - unit->bits->len);
+}
+
+/** Whether a durable unit of another page has the bit. */
+static bool is_bit_covered(const GPtrArray *units, const struct completion_unit *unit, uint32_t bit)
+{
+    for (guint i = 0; i < units->len; i++) {
+        const struct completion_unit *other = units->pdata[i];
+        if (other != unit && !other->is_unwritten && !other->is_moving && other->page >= 0 &&
+            completion_unit_has_bit(other, bit))
+            return true;
+    }
+    return false;
+}
+
+/** Whether durable units of other pages have all bits of this one: its page may drop it. */
+static bool is_covered_elsewhere(struct shard *shard, const struct completion_unit *unit)
+{
+    GPtrArray *units = completion_units_find(shard, unit->job, unit->number);
+    for (uint32_t bit = 0; bit < unit->bits->len * 8; bit++)
+        if (completion_unit_has_bit(unit, bit) && !is_bit_covered(units, unit, bit))
+            return false;
+    return true;
+}
+
+/** The page whose completions are written out. */
+struct completions_writer {
+    struct page_completions *out;
+    int page_number;
+    bool legacy_format;
+};
+
+/** Adds a unit to the text of its page; a completion_unit_callback. */
+static void write_unit(struct shard *shard, struct completion_unit *unit, void *ctx)
+{
+    struct completions_writer *writer = ctx;
+    struct job *job =
+        unit->page == writer->page_number ? shard_find_live_job(shard, unit->job) : NULL;
+    if (!job || (unit->is_moving && is_covered_elsewhere(shard, unit)))
+        return;
+    completions_encode(writer->out->text, unit->job, unit->number, unit->bits,
+                       writer->legacy_format);
+    writer->out->has_unwritten = writer->out->has_unwritten || unit->is_unwritten;
+    writer->out->reserved_bytes += unit_reserved_bytes(unit, job);
+}
+
+void shard_completions_write(struct shard *shard, int page_number, bool legacy_format,
+                             struct page_completions *out)
+{
+    g_string_truncate(out->text, 0);
+    out->reserved_bytes = 0;
+    out->has_unwritten = false;
+    struct completions_writer writer = {out, page_number, legacy_format};
+    completion_units_for_each(shard, write_unit, &writer);
+}
+
+/** The sum of what the units of a page may still come to take. */
+struct reserved_total {
+    int page_number;
+    gsize bytes;
+};
+
+static void add_reserved_bytes(struct shard *shard, struct completion_unit *unit, void *ctx)
+{
+    struct reserved_total *total = ctx;
+    struct job *job =
+        unit->page == total->page_number ? shard_find_live_job(shard, unit->job) : NULL;
+    if (job)
+        total->bytes += unit_reserved_bytes(unit, job);
+}
+
+gsize shard_completions_reserved_bytes(struct shard *shard, int page_number)
+{
+    struct reserved_total total = {page_number, 0};
+    completion_units_for_each(shard, add_reserved_bytes, &total);
+    return total.bytes;
+}
+
+/* ---- moving off a page that is too long ---- */
+
+/** The page that a unit is moved off. */
+struct completion_move {
+    int page_number;
+    /** One was moved: one at a time is enough. */
+    bool is_done;
+};
+
+/** Copies the bits of a unit to one without a page. */
+static void move_unit(struct shard *shard, struct completion_unit *unit, void *ctx)
+{
+    struct completion_move *move = ctx;
+    if (move->is_done || unit->page != move->page_number || unit->is_moving)
+        return;
+    LOG_INFO("completions_moved", "page=%d job=%s", unit->page, unit->job.text);
+    move->is_done = true;
+    unit->is_moving = true;
+    struct completion_unit *copy = completion_unit_get(shard, unit->job, unit->number, -1);
+    bitmap_merge(copy->bits, unit->bits);
+    copy->is_unwritten = true;
+}
+
+void shard_completions_move(struct shard *shard, int page_number)
+{
+    struct completion_move move = {page_number, false};
+    completion_units_for_each(shard, move_unit, &move);
+}
+
+/* ---- the choice of pages ---- */
+
+/** The pages that units without a page may go to. */
+struct unit_placement {
+    const int *pages;
+    guint page_count;
+    /** Some units have no page yet. */
+    bool has_unplaced;
+};
+
+/** Marks a unit as empty. */
+static void unit_clear(struct completion_unit *unit)
+{
+    g_byte_array_set_size(unit->bits, 0);
+    unit->is_unwritten = false;
+    unit->is_moving = false;
+}
+
+/** Puts a unit on a page, or merges it with the one that is there; returns whether the page can
+ * have it. */
+static bool try_place_unit(struct shard *shard, struct completion_unit *unit, const struct job *job,
+                           int page_number)
+{
+    struct completion_unit *existing =
+        completion_unit_find(shard, unit->job, unit->number, page_number);
+    if (existing && existing->is_moving)
+        return false;
+    if (existing) {
+        bitmap_merge(existing->bits, unit->bits);
+        existing->is_unwritten = true;
+        unit_clear(unit);
+        return true;
+    }
+    gsize unit_bytes = completion_unit_max_bytes(shard, job, unit->number);
+    if (shard_page_free_bytes(shard, page_number) < unit_bytes)
+        return false;
+    shard_page_reserve(shard, page_number, unit_bytes);
+    unit->page = page_number;
+    return true;
+}
+
+/** Puts a unit without a page on the first one that can have it; a completion_unit_callback. */
+static void place_unit(struct shard *shard, struct completion_unit *unit, void *ctx)
+{
+    struct unit_placement *placement = ctx;
+    struct job *job = shard_find_live_job(shard, unit->job);
+    if (unit->page >= 0 || !unit->is_unwritten || !job)
+        return;
+    for (guint i = 0; i < placement->page_count; i++)
+        if (try_place_unit(shard, unit, job, placement->pages[i]))
+            return;
+    placement->has_unplaced = true;
+}
+
+bool shard_completions_place(struct shard *shard, const int *pages, guint page_count)
+{
+    struct unit_placement placement = {pages, page_count, false};
+    completion_units_for_each(shard, place_unit, &placement);
+    return !placement.has_unplaced;
+}
+
+/** Adds what the units of one key wait for. Returns whether some of them have no page. */
+static bool add_unit_demand(const GPtrArray *units, double *page_weights, double weight)
+{
+    bool has_unplaced = false;
+    for (guint i = 0; i < units->len; i++) {
+        struct completion_unit *unit = units->pdata[i];
+        unit->changed_in_txn = false;
+        if (unit->is_unwritten && unit->page >= 0)
+            page_weights[unit->page] += weight;
+        has_unplaced = has_unplaced || (unit->is_unwritten && unit->page < 0);
+    }
+    return has_unplaced;
+}
+
+bool shard_completions_add_demand(struct shard *shard, double *page_weights, double weight)
+{
+    bool has_unplaced = false;
+    GHashTableIter iter;
+    GPtrArray *units;
+    g_hash_table_iter_init(&iter, shard->records.completion_units);
+    while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&units)) {
+        const struct completion_unit *first = units->pdata[0];
+        if (!shard_find_live_job(shard, first->job))
+            /* Its job is over: its pages drop it when they are next written. */
+            g_hash_table_iter_remove(&iter);
+        else if (add_unit_demand(units, page_weights, weight))
+            has_unplaced = true;
+    }
+    return has_unplaced;
+}
+
+/* ---- after a transaction ---- */
+
+/** The pages that a committed transaction wrote. */
+struct written_pages {
+    page_predicate is_written;
+    const void *ctx;
+};
+
+/** Notes that a page holds a unit, unless the unit has changed since; a completion_unit_callback.
+ */
+static void mark_unit_durable(struct shard *shard, struct completion_unit *unit, void *ctx)
+{
+    struct written_pages *pages = ctx;
+    if (unit->page < 0 || !pages->is_written(pages->ctx, unit->page))
+        return;
+    if (unit->is_moving && is_covered_elsewhere(shard, unit))
+        unit_clear(unit);
+    else if (!unit->changed_in_txn)
+        unit->is_unwritten = false;
+}
+
+void shard_completions_mark_durable(struct shard *shard, page_predicate is_written, const void *ctx)
+{
+    struct written_pages pages = {is_written, ctx};
+    completion_units_for_each(shard, mark_unit_durable, &pages);
+}
--- a/src/shard/page_split_plan.c
+++ b/src/shard/page_split_plan.c
@@ -5,6 +5,8 @@
  */
 #include "page_split_plan.h"
 
+#include "completions_internal.h"
+
 bool node_supports_multi_page(const struct shard *shard, const char *label)
 {
     const struct node_record *node = g_hash_table_lookup(shard->replica->nodes, label);
@@ -170,16 +172,11 @@
     bool fits;
 };
 
-static char *unit_key(job_id job, uint32_t unit_number)
-{
-    return g_strdup_printf("%s %u", job.text, unit_number);
-}
-
 /** Notes a unit that another page holds; a completions_callback. */
 static void add_covered_unit(void *ctx, job_id job, uint32_t unit_number, const GByteArray *bits)
 {
     struct completion_split *split = ctx;
-    char *key = unit_key(job, unit_number);
+    char *key = completion_unit_key(job, unit_number);
     GByteArray *covered = g_hash_table_lookup(split->covered, key);
     if (!covered) {
         covered = g_byte_array_new();
@@ -207,7 +204,7 @@
 static bool is_covered(struct completion_split *split, job_id job, uint32_t unit_number,
                        const GByteArray *bits)
 {
-    char *key = unit_key(job, unit_number);
+    char *key = completion_unit_key(job, unit_number);
     GByteArray *covered = g_hash_table_lookup(split->covered, key);
     g_free(key);
     if (!covered)
