--- a/src/shard/completion_pages.c
+++ b/src/shard/completion_pages.c
@@ -1,13 +1,13 @@
 /**
  * @file
- * Which pages completions are written on: their choice, what a page says of them, moving them off a
+ * Which pages completions are written on: their choice, the text on a page, moving them off a
  * page that is too long, and what a committed transaction makes durable.
  */
 #include "completions_internal.h"
 
 #include "log.h"
 
-/* ---- what a page says ---- */
+/* ---- the text on a page ---- */
 
 /** Bytes that a unit may still come to take on its page, two hexadecimal digits for eight tasks. */
 static gsize unit_reserved_bytes(const struct completion_unit *unit, const struct job *job)
--- a/src/shard/machine_inventory.c
+++ b/src/shard/machine_inventory.c
@@ -1,8 +1,8 @@
 /**
  * @file
- * Inventories: one value each, that says of many machines what they are. Until a machine is listed
- * in one, each page with records of it has to say so, which takes more bytes there than its runs
- * do.
+ * Inventories: one value each, that describes many machines (address, type, zone, spot). Until a
+ * machine is listed in one, each page with records of it has to describe it, which takes more bytes
+ * there than its runs do.
  */
 #include "record_txn.h"
 
--- a/src/shard/record_batch.c
+++ b/src/shard/record_batch.c
@@ -110,8 +110,9 @@
 }
 
 /** Conditions the transaction on the job of a start: it is recorded only if the job is as it was
- * seen, not cancelled meanwhile. Returns false if the job depends on others that are not on record
- * as done, or the transaction has no condition left. */
+ * seen, not cancelled meanwhile. Returns false if the transaction has no condition left, or the job
+ * depends on others that this node has not seen done (docs/safety.md, "Too early is impossible").
+ */
 static bool add_job_compare(struct record_batch *batch, const struct job *job)
 {
     if (job->has_pending_dependencies)
--- a/src/shard/run_records_internal.h
+++ b/src/shard/run_records_internal.h
@@ -77,15 +77,16 @@
 /** The first own page that has a record of the machine; -1: none has. */
 int shard_page_of_machine(const struct machine *machine);
 
-/** What a page has to say of a machine that is described nowhere else; NULL: nothing. The machine
- * owns the text. */
+/** The description of a machine for the pages with records of it; NULL: it is described elsewhere,
+ * its address is not known yet, or a page cannot hold it, as a word of it has separators. The
+ * machine owns the text. */
 const char *shard_machine_page_description(struct machine *machine);
 
 /** The record of a run, as it is written. Its description belongs to the machine. */
 struct record_page_entry shard_page_record_of(struct machine *machine, const struct task_run *run);
 
-/** The record as the replica has it, with what a page has to say of its machine as far as the
- * replica knows it. Its description belongs to the replica. */
+/** The record as the replica has it, with the description of its machine if pages need that. The
+ * description belongs to the replica. */
 struct record_page_entry shard_page_record_in_replica(struct shard *shard,
                                                       const struct run_record *run_record);
 
