--- a/src/kv/kv_client.c
+++ b/src/kv/kv_client.c
@@ -1,27 +1,22 @@
-#include "kv_client.h"
+/**
+ * Key-value client: lanes, rate limits and the store's availability. Transactions are in
+ * kv_commit.c, the read barrier in kv_read_barrier.c.
+ */
+#include "kv_client_internal.h"
 
-#include "kv_codec.h"
 #include "log.h"
 
-#include <stdlib.h>
-
 enum {
-    READ_BARRIER_INTERVAL_MS = 40,
+    /** Pause after a 429. */
     RATE_LIMITED_RETRY_MS = 120,
-    TXN_TIMEOUT_MS = 2500,
-    TXN_QUEUE_TIMEOUT_MS = 2500,
     UNAVAILABLE_AFTER_SILENCE_MS = 1800,
     UNAVAILABLE_AFTER_503_MS = 150,
-    RATE_LIMITED_WRITES_BEFORE_LOWERING = 4, /* within RATE_LIMITED_WINDOW_MS of one another */
+    /** So many 429s for writes, close to one another, mean that the write rate was lowered. */
+    RATE_LIMITED_WRITES_BEFORE_LOWERING = 4,
     RATE_LIMITED_WINDOW_MS = 3000,
 };
 
-/* A budget that fills with time. */
-struct token_bucket {
-    double refill_per_s, capacity, tokens;
-    mono_time refilled_at;
-};
-
+/** A queued or sent request. */
 struct kv_call {
     struct kv_client *kv;
     enum kv_lane lane;
@@ -32,45 +27,23 @@
     void *callback_arg;
 };
 
-struct read_barrier_waiter {
-    read_barrier_callback callback;
-    void *callback_arg;
-};
-
-struct kv_client {
-    struct loop *loop;
-    struct http_client *http_client;
-    char *address;
-    struct kv_limits limits;
-    struct token_bucket request_bucket, write_bucket;
-    GQueue lanes[KV_LANE_COUNT];
-    struct timer queue_timer;
-    mono_time paused_until; /* after a 429 */
-    mono_time last_success_at;
-    bool is_refusing;        /* the last answer was a 503 */
-    int rate_limited_writes; /* 429s for writes, close to one another */
-    mono_time rate_limited_at;
-    GArray *barrier_waiters; /* struct read_barrier_waiter: for the next barrier */
-    bool barrier_in_flight;
-    struct timer barrier_timer;
-    mono_time last_barrier_at;
+/** What keeps a call in its lane. */
+enum call_hold {
+    HOLD_NONE,
+    /** The write rate: requests without writes may still be sent. */
+    HOLD_WRITES,
+    /** The pause after a 429 or the request rate: nothing may be sent. */
+    HOLD_ALL,
 };
 
 static void send_queued_calls(void *arg);
 
-static void token_bucket_refill(struct token_bucket *bucket, mono_time now)
-{
-    bucket->tokens =
-        MIN(bucket->capacity, bucket->tokens + bucket->refill_per_s *
-                                                   (double)(now.us - bucket->refilled_at.us) / 1e6);
-    bucket->refilled_at = now;
-}
-
-static void send_read_barrier(void *arg);
-
-/* The budgets are shared by all nodes. One node may need more than its share for a while, so each
- * may use over half; 429 tells when that was too much. */
-static double node_share_of_budget(const struct kv_limits *limits)
+/**
+ * The part of the rate limits that this node uses. They are shared by all nodes, but one node may
+ * need more than its equal share for a while, so each uses over half; a 429 shows when the nodes
+ * together were too fast.
+ */
+static double node_share_of_rate(const struct kv_limits *limits)
 {
     return limits->node_count > 1 ? 0.6 : 0.95;
 }
@@ -79,24 +52,19 @@
                                 const char *address, struct kv_limits limits)
 {
     struct kv_client *kv = g_new0(struct kv_client, 1);
+    mono_time now = loop_now(loop);
+    double node_share = node_share_of_rate(&limits);
     kv->loop = loop;
     kv->http_client = http_client;
     kv->address = g_strdup(address);
     kv->limits = limits;
-    kv->last_success_at = loop_now(loop);
-    double node_share = node_share_of_budget(&limits);
-    mono_time now = loop_now(loop);
-    kv->request_bucket = (struct token_bucket){limits.rate_limit_rps * node_share,
-                                               limits.rate_limit_rps * node_share,
-                                               limits.rate_limit_rps * node_share, now};
-    kv->write_bucket = (struct token_bucket){limits.rate_limit_write_rps * node_share,
-                                             limits.rate_limit_write_rps * node_share,
-                                             limits.rate_limit_write_rps * node_share, now};
-    for (int i = 0; i < KV_LANE_COUNT; i++)
-        g_queue_init(&kv->lanes[i]);
+    kv->last_success_at = now;
+    kv->request_bucket = token_bucket_full(limits.rate_limit_rps * node_share, now);
+    kv->write_bucket = token_bucket_full(limits.rate_limit_write_rps * node_share, now);
+    for (int lane = 0; lane < KV_LANE_COUNT; lane++)
+        g_queue_init(&kv->lanes[lane]);
     timer_init(&kv->queue_timer, send_queued_calls, kv);
-    timer_init(&kv->barrier_timer, send_read_barrier, kv);
-    kv->barrier_waiters = g_array_new(FALSE, FALSE, sizeof(struct read_barrier_waiter));
+    read_barrier_init(kv);
     return kv;
 }
 
@@ -111,13 +79,12 @@
 void kv_client_free(struct kv_client *kv)
 {
     timer_stop(kv->loop, &kv->queue_timer);
-    timer_stop(kv->loop, &kv->barrier_timer);
-    for (int i = 0; i < KV_LANE_COUNT; i++) {
+    read_barrier_clear(kv);
+    for (int lane = 0; lane < KV_LANE_COUNT; lane++) {
         struct kv_call *call;
-        while ((call = g_queue_pop_head(&kv->lanes[i])))
+        while ((call = g_queue_pop_head(&kv->lanes[lane])))
             call_free(call);
     }
-    g_array_unref(kv->barrier_waiters);
     g_free(kv->address);
     g_free(kv);
 }
@@ -127,6 +94,12 @@
     return &kv->limits;
 }
 
+bool kv_client_is_unavailable(const struct kv_client *kv)
+{
+    int64_t silent_ms = time_ms_since(loop_now(kv->loop), kv->last_success_at);
+    return silent_ms > (kv->is_refusing ? UNAVAILABLE_AFTER_503_MS : UNAVAILABLE_AFTER_SILENCE_MS);
+}
+
 static void call_finish(struct kv_call *call, const struct http_response *response)
 {
     http_response_callback callback = call->callback;
@@ -135,8 +108,10 @@
     callback(callback_arg, response);
 }
 
-/* The rate of writes may be lowered without notice. One 429 only says that all nodes together were
- * too quick for a moment; several within a short time say that less is granted now. */
+/**
+ * The write rate may be lowered without notice. One 429 only shows that all nodes together were too
+ * fast for a moment; several within a short time show that less is granted now.
+ */
 static void note_rate_limited_write(struct kv_client *kv)
 {
     struct kv_limits *limits = &kv->limits;
@@ -147,58 +122,104 @@
     if (++kv->rate_limited_writes < RATE_LIMITED_WRITES_BEFORE_LOWERING ||
         limits->rate_limit_next_write_rps >= limits->rate_limit_write_rps)
         return;
-    LOG_INFO("writes_slowed", "from=%.1f to=%.1f", limits->rate_limit_write_rps,
+    LOG_INFO("kv_write_rate_lowered", "from=%.1f to=%.1f", limits->rate_limit_write_rps,
              limits->rate_limit_next_write_rps);
     limits->rate_limit_write_rps = limits->rate_limit_next_write_rps;
     limits->rate_limit_lowered = true;
-    kv->write_bucket.refill_per_s = kv->write_bucket.capacity =
-        limits->rate_limit_write_rps * node_share_of_budget(limits);
-    kv->write_bucket.tokens = MIN(kv->write_bucket.tokens, kv->write_bucket.capacity);
+    token_bucket_set_rate(&kv->write_bucket,
+                          limits->rate_limit_write_rps * node_share_of_rate(limits));
+}
+
+/** A 429: the request was not carried out. It is sent again after a pause, first in its lane. */
+static void call_retry_later(struct kv_call *call)
+{
+    struct kv_client *kv = call->kv;
+    kv->paused_until = time_add_ms(loop_now(kv->loop), RATE_LIMITED_RETRY_MS);
+    token_bucket_drain(&kv->request_bucket);
+    token_bucket_drain(&kv->write_bucket);
+    g_queue_push_head(&kv->lanes[call->lane], call);
+    timer_start(kv->loop, &kv->queue_timer, RATE_LIMITED_RETRY_MS);
+    LOG_DEBUG("kv_rate_limited", "path=%s", call->path);
+    if (call->write_count)
+        note_rate_limited_write(kv);
 }
 
 static void call_on_response(void *arg, const struct http_response *response)
 {
     struct kv_call *call = arg;
     struct kv_client *kv = call->kv;
-    if (response->status == 429) {
-        /* Surely not carried out: it goes again, first in its lane. */
-        kv->paused_until = time_add_ms(loop_now(kv->loop), RATE_LIMITED_RETRY_MS);
-        kv->request_bucket.tokens = MIN(kv->request_bucket.tokens, 0);
-        kv->write_bucket.tokens = MIN(kv->write_bucket.tokens, 0);
-        g_queue_push_head(&kv->lanes[call->lane], call);
-        timer_start(kv->loop, &kv->queue_timer, RATE_LIMITED_RETRY_MS);
-        LOG_DEBUG("state_429", "path=%s", call->path);
-        if (call->write_count)
-            note_rate_limited_write(kv);
+    if (response->status == KV_HTTP_TOO_MANY_REQUESTS) {
+        call_retry_later(call);
         return;
     }
     if (response->status > 0) {
-        kv->is_refusing = response->status == 503;
+        kv->is_refusing = response->status == KV_HTTP_UNAVAILABLE;
         if (!kv->is_refusing)
             kv->last_success_at = loop_now(kv->loop);
     }
     call_finish(call, response);
 }
 
-bool kv_client_is_unavailable(const struct kv_client *kv)
-{
-    int64_t silent_ms = time_ms_since(loop_now(kv->loop), kv->last_success_at);
-    return silent_ms > (kv->is_refusing ? UNAVAILABLE_AFTER_503_MS : UNAVAILABLE_AFTER_SILENCE_MS);
-}
-
-static void call_send(struct kv_client *kv, struct kv_call *call)
+static void call_send(struct kv_call *call)
 {
+    struct kv_client *kv = call->kv;
     kv->request_bucket.tokens -= 1;
     kv->write_bucket.tokens -= call->write_count;
-    struct http_client_request request = {kv->address,
-                                          call->method,
-                                          call->path,
-                                          call->body,
-                                          call->body ? strlen(call->body) : 0,
-                                          call->response_timeout_ms};
+    struct http_client_request request = {
+        .address = kv->address,
+        .method = call->method,
+        .path = call->path,
+        .body = call->body,
+        .body_bytes = call->body ? strlen(call->body) : 0,
+        .timeout_ms = call->response_timeout_ms,
+    };
     kv->http_client->request(kv->http_client, &request, call_on_response, call);
 }
 
+/**
+ * Whether a call has to stay in its lane now, and for how long. The node's lease must be renewed in
+ * time whatever else happens, so that lane heeds only the pause after a 429.
+ */
+static enum call_hold call_hold(const struct kv_call *call, mono_time now, int64_t *wait_ms)
+{
+    const struct kv_client *kv = call->kv;
+    if (time_before(now, kv->paused_until)) {
+        *wait_ms = time_ms_since(kv->paused_until, now) + 1;
+        return HOLD_ALL;
+    }
+    if (call->lane == KV_LANE_LEASE)
+        return HOLD_NONE;
+    if (!token_bucket_has_token(&kv->request_bucket)) {
+        *wait_ms = token_bucket_wait_ms(&kv->request_bucket);
+        return HOLD_ALL;
+    }
+    if (call->write_count && !token_bucket_has_token(&kv->write_bucket)) {
+        *wait_ms = token_bucket_wait_ms(&kv->write_bucket);
+        return HOLD_WRITES;
+    }
+    return HOLD_NONE;
+}
+
+/** Sends what a lane may send now. False: nothing may be sent from the other lanes either. */
+static bool send_lane(struct kv_client *kv, enum kv_lane lane, mono_time now, int64_t *wait_ms)
+{
+    struct kv_call *call;
+    while ((call = g_queue_peek_head(&kv->lanes[lane]))) {
+        if (time_before(call->queue_deadline, now)) {
+            g_queue_pop_head(&kv->lanes[lane]);
+            call_finish(call, &(struct http_response){.status = HTTP_NOT_SENT});
+            continue;
+        }
+        enum call_hold hold = call_hold(call, now, wait_ms);
+        if (hold != HOLD_NONE)
+            return hold != HOLD_ALL;
+        g_queue_pop_head(&kv->lanes[lane]);
+        call_send(call);
+    }
+    return true;
+}
+
+/** Timer callback: sends all calls that may be sent now, and runs again for the next. */
 static void send_queued_calls(void *arg)
 {
     struct kv_client *kv = arg;
@@ -206,59 +227,42 @@
     token_bucket_refill(&kv->request_bucket, now);
     token_bucket_refill(&kv->write_bucket, now);
     int64_t wait_ms = 0;
-    for (int lane = 0; lane < KV_LANE_COUNT; lane++) {
-        struct kv_call *call;
-        while ((call = g_queue_peek_head(&kv->lanes[lane]))) {
-            if (time_before(call->queue_deadline, now)) {
-                g_queue_pop_head(&kv->lanes[lane]);
-                call_finish(call, &(struct http_response){.status = HTTP_NOT_SENT});
-                continue;
-            }
-            /* The lease is what everything hangs on: it does not wait for a budget, only for the
-             * pause that a 429 asks for. */
-            if (time_before(now, kv->paused_until)) {
-                wait_ms = time_ms_since(kv->paused_until, now) + 1;
-                goto later;
-            }
-            if (lane != KV_LANE_LEASE && kv->request_bucket.tokens < 1) {
-                wait_ms = (int64_t)((1 - kv->request_bucket.tokens) /
-                                    kv->request_bucket.refill_per_s * 1000) +
-                          1;
-                goto later;
-            }
-            if (lane != KV_LANE_LEASE && call->write_count && kv->write_bucket.tokens < 1) {
-                wait_ms = (int64_t)((1 - kv->write_bucket.tokens) / kv->write_bucket.refill_per_s *
-                                    1000) +
-                          1;
-                break; /* what writes nothing may pass */
-            }
-            g_queue_pop_head(&kv->lanes[lane]);
-            call_send(kv, call);
-        }
-    }
-later:
+    for (int lane = 0; lane < KV_LANE_COUNT; lane++)
+        if (!send_lane(kv, (enum kv_lane)lane, now, &wait_ms))
+            break;
     if (wait_ms)
         timer_start(kv->loop, &kv->queue_timer, wait_ms);
 }
 
+void kv_client_send(struct kv_client *kv, const struct kv_request *request,
+                    http_response_callback callback, void *callback_arg)
+{
+    struct kv_call *call = g_new(struct kv_call, 1);
+    *call = (struct kv_call){
+        .kv = kv,
+        .lane = request->lane,
+        .method = g_strdup(request->method),
+        .path = g_strdup(request->path),
+        .body = g_strdup(request->body),
+        .response_timeout_ms = request->response_timeout_ms,
+        .write_count = request->write_count,
+        .queue_deadline = time_add_ms(loop_now(kv->loop), request->queue_timeout_ms),
+        .callback = callback,
+        .callback_arg = callback_arg,
+    };
+    g_queue_push_tail(&kv->lanes[call->lane], call);
+    send_queued_calls(kv);
+}
+
 void kv_client_request(struct kv_client *kv, enum kv_lane lane, const char *method,
                        const char *path, const char *body, int response_timeout_ms,
                        int queue_timeout_ms, int write_count, http_response_callback callback,
                        void *callback_arg)
 {
-    struct kv_call *call = g_new0(struct kv_call, 1);
-    *call = (struct kv_call){kv,
-                             lane,
-                             g_strdup(method),
-                             g_strdup(path),
-                             g_strdup(body),
-                             response_timeout_ms,
-                             write_count,
-                             time_add_ms(loop_now(kv->loop), queue_timeout_ms),
-                             callback,
-                             callback_arg};
-    g_queue_push_tail(&kv->lanes[lane], call);
-    send_queued_calls(kv);
+    struct kv_request request = {
+        lane, method, path, body, response_timeout_ms, queue_timeout_ms, write_count,
+    };
+    kv_client_send(kv, &request, callback, callback_arg);
 }
 
 void kv_client_get(struct kv_client *kv, enum kv_lane lane, const char *key,
@@ -266,168 +270,13 @@
                    void *callback_arg)
 {
     char *path = g_strconcat("/keys/", key, NULL);
-    kv_client_request(kv, lane, "GET", path, NULL, response_timeout_ms, queue_timeout_ms, 0,
-                      callback, callback_arg);
+    struct kv_request request = {
+        .lane = lane,
+        .method = "GET",
+        .path = path,
+        .response_timeout_ms = response_timeout_ms,
+        .queue_timeout_ms = queue_timeout_ms,
+    };
+    kv_client_send(kv, &request, callback, callback_arg);
     g_free(path);
 }
-
-/* ---- transactions ---- */
-
-struct txn {
-    json_object *compares, *writes;
-    size_t size_bytes;
-};
-
-struct txn_call {
-    struct kv_client *kv;
-    txn_callback callback;
-    void *callback_arg;
-};
-
-struct txn *txn_new(void)
-{
-    struct txn *txn = g_new0(struct txn, 1);
-    txn->compares = json_object_new_array();
-    txn->writes = json_object_new_array();
-    return txn;
-}
-
-void txn_free(struct txn *txn)
-{
-    json_object_put(txn->compares);
-    json_object_put(txn->writes);
-    g_free(txn);
-}
-
-void txn_compare(struct txn *txn, const char *key, revision mod_revision)
-{
-    json_object_array_add(txn->compares, kv_encode_compare(key, mod_revision));
-    txn->size_bytes += strlen(key) + 40;
-}
-
-size_t kv_value_size_bytes(json_object *value)
-{
-    return strlen(json_object_to_json_string_ext(value, JSON_C_TO_STRING_PLAIN));
-}
-
-void txn_put(struct txn *txn, const char *key, json_object *value, lease_id lease)
-{
-    txn->size_bytes += kv_value_size_bytes(value);
-    json_object_array_add(txn->writes, kv_encode_put(key, value, lease));
-    txn->size_bytes += strlen(key) + 50;
-}
-
-void txn_delete(struct txn *txn, const char *key)
-{
-    json_object_array_add(txn->writes, kv_encode_delete(key));
-    txn->size_bytes += strlen(key) + 20;
-}
-
-guint txn_write_count(const struct txn *txn)
-{
-    return json_object_array_length(txn->writes);
-}
-
-guint txn_compare_count(const struct txn *txn)
-{
-    return json_object_array_length(txn->compares);
-}
-
-size_t txn_size_bytes(const struct txn *txn)
-{
-    return txn->size_bytes;
-}
-
-static void txn_on_response(void *arg, const struct http_response *response)
-{
-    struct txn_call *call = arg;
-    struct txn_outcome outcome = {.status = TXN_UNKNOWN};
-    json_object *body =
-        response->status > 0 ? json_parse(response->body, response->body_bytes) : NULL;
-    if (response->status == 200 && kv_decode_revision(body, &outcome.at_revision)) {
-        outcome.status = TXN_COMMITTED;
-    } else if (response->status == 409 && kv_decode_revision(body, &outcome.at_revision)) {
-        outcome.status = TXN_CONFLICT;
-        outcome.failed_keys = kv_decode_failed_keys(body);
-    } else if (response->status == 400) {
-        outcome.status = kv_is_lease_expired(body) ? TXN_LEASE_EXPIRED : TXN_REJECTED;
-        if (outcome.status == TXN_REJECTED) {
-            LOG_ERROR("txn_malformed", "answer=%.*s", (int)MIN(response->body_bytes, 200),
-                      response->body);
-            call->kv->limits.rate_limit_lowered =
-                true; /* if it was for its size, it is made smaller now */
-        }
-    } else if (response->status == 503 || response->status == HTTP_NOT_SENT) {
-        outcome.status = TXN_REJECTED;
-    }
-    call->callback(call->callback_arg, &outcome);
-    if (outcome.failed_keys)
-        g_ptr_array_unref(outcome.failed_keys);
-    json_object_put(body);
-    g_free(call);
-}
-
-void kv_client_commit(struct kv_client *kv, enum kv_lane lane, struct txn *txn,
-                      txn_callback callback, void *callback_arg)
-{
-    struct txn_call *call = g_new(struct txn_call, 1);
-    *call = (struct txn_call){kv, callback, callback_arg};
-    int write_count = (int)txn_write_count(txn);
-    json_object *body = kv_encode_txn(txn->compares, txn->writes);
-    kv_client_request(kv, lane, "POST", "/txn",
-                      json_object_to_json_string_ext(body, JSON_C_TO_STRING_PLAIN), TXN_TIMEOUT_MS,
-                      TXN_QUEUE_TIMEOUT_MS, write_count, txn_on_response, call);
-    json_object_put(body);
-    txn_free(txn);
-}
-
-/* ---- barrier ---- */
-
-struct read_barrier_batch {
-    struct kv_client *kv;
-    GArray *waiters;
-};
-
-static void read_barrier_on_outcome(void *arg, const struct txn_outcome *outcome)
-{
-    struct read_barrier_batch *batch = arg;
-    struct kv_client *kv = batch->kv;
-    kv->barrier_in_flight = false;
-    if (kv->barrier_waiters->len)
-        send_read_barrier(kv);
-    for (guint i = 0; i < batch->waiters->len; i++) {
-        struct read_barrier_waiter *waiter =
-            &g_array_index(batch->waiters, struct read_barrier_waiter, i);
-        waiter->callback(waiter->callback_arg, outcome->status == TXN_COMMITTED,
-                         outcome->at_revision);
-    }
-    g_array_unref(batch->waiters);
-    g_free(batch);
-}
-
-static void send_read_barrier(void *arg)
-{
-    struct kv_client *kv = arg;
-    if (kv->barrier_in_flight || !kv->barrier_waiters->len || kv->barrier_timer.queue_position)
-        return;
-    mono_time now = loop_now(kv->loop);
-    int64_t elapsed_ms = time_ms_since(now, kv->last_barrier_at);
-    if (elapsed_ms < READ_BARRIER_INTERVAL_MS) {
-        timer_start(kv->loop, &kv->barrier_timer, READ_BARRIER_INTERVAL_MS - elapsed_ms);
-        return;
-    }
-    kv->last_barrier_at = now;
-    kv->barrier_in_flight = true;
-    struct read_barrier_batch *batch = g_new(struct read_barrier_batch, 1);
-    *batch = (struct read_barrier_batch){kv, kv->barrier_waiters};
-    kv->barrier_waiters = g_array_new(FALSE, FALSE, sizeof(struct read_barrier_waiter));
-    kv_client_commit(kv, KV_LANE_URGENT, txn_new(), read_barrier_on_outcome, batch);
-}
-
-void kv_client_read_barrier(struct kv_client *kv, read_barrier_callback callback,
-                            void *callback_arg)
-{
-    struct read_barrier_waiter waiter = {callback, callback_arg};
-    g_array_append_val(kv->barrier_waiters, waiter);
-    send_read_barrier(kv);
-}
--- a/src/kv/kv_client.h
+++ b/src/kv/kv_client.h
@@ -1,89 +1,115 @@
-/* The state service's client: transactions, requests within the budgets, and the read barrier. */
-#ifndef LL_STORE_H
-#define LL_STORE_H
+/**
+ * Client of the consensus-backed key-value store.
+ *
+ * Requests wait in lanes, the most important lane first, until the rate limits (token buckets for
+ * all requests and for writes) and the pause after a 429 allow them. A request that was answered
+ * 429 was not carried out and is sent again. On top of plain requests stand transactions
+ * (kv_txn.h) and a read barrier.
+ *
+ * A callback is called exactly once for each request, unless the client is freed before. It may be
+ * called before the function returns, and may itself send requests.
+ */
+#ifndef LL_KV_CLIENT_H
+#define LL_KV_CLIENT_H
 
-#include "codec.h"
 #include "http.h"
+#include "kv_txn.h"
 
 struct kv_client;
 
-/* What the state service may be asked for. Values and transactions keep within the tighter of the
- * limits of now and those to come; values that were stored before may be longer. */
+/** HTTP statuses of the store that callers tell apart. */
+enum {
+    KV_HTTP_OK = 200,
+    KV_HTTP_BAD_REQUEST = 400,
+    KV_HTTP_CONFLICT = 409,
+    /** The watch asks for a revision that the store has compacted. */
+    KV_HTTP_GONE = 410,
+    KV_HTTP_TOO_MANY_REQUESTS = 429,
+    KV_HTTP_UNAVAILABLE = 503,
+};
+
+/**
+ * What the store accepts. Sizes of values and transactions are the tighter of the present limits
+ * and those announced for later; values stored before may be longer.
+ */
 struct kv_limits {
+    /** Requests and writes a second, shared by all nodes. */
     double rate_limit_rps, rate_limit_write_rps;
-    double rate_limit_next_write_rps; /* it may allow no more than that one day, without notice */
+    /** The write rate from some unannounced moment on. */
+    double rate_limit_next_write_rps;
     int max_txn_operations;
     size_t max_value_bytes;
-    bool rate_limit_lowered; /* the state service has shown that it allows less by now */
+    /** The store has shown that the later limits hold already. */
+    bool rate_limit_lowered;
+    /** The longest response this process can take. */
     size_t max_response_bytes;
-    int node_count; /* that share the budgets */
+    /** Nodes that share the rate limits. */
+    int node_count;
 };
 
+/** Creates a client of the store at HOST:PORT. The loop and the HTTP client must outlive it. */
 struct kv_client *kv_client_new(struct loop *loop, struct http_client *http_client,
                                 const char *address, struct kv_limits limits);
+/** Frees the client and drops queued requests without calling them back. */
 void kv_client_free(struct kv_client *kv);
+
+/** The limits in force; the rates and rate_limit_lowered change while the client runs. */
 const struct kv_limits *kv_client_limits(const struct kv_client *kv);
 
-/* Whether the state service has not answered this node for a moment, or refuses it. */
+/** Whether the store has not answered for a while, or answers 503. */
 bool kv_client_is_unavailable(const struct kv_client *kv);
 
-/* ---- plain requests ---- */
+/** Lanes in the order in which they are served. */
+enum kv_lane {
+    /** Renewals of the node's lease: bypass the rate limits. */
+    KV_LANE_LEASE,
+    KV_LANE_URGENT,
+    KV_LANE_WATCH,
+    KV_LANE_NORMAL,
+    KV_LANE_COUNT
+};
 
-enum kv_lane { KV_LANE_LEASE, KV_LANE_URGENT, KV_LANE_WATCH, KV_LANE_NORMAL, KV_LANE_COUNT };
+/** A request; the client copies the texts. */
+struct kv_request {
+    enum kv_lane lane;
+    const char *method, *path;
+    /** NULL: none. */
+    const char *body;
+    /** How long to wait for the response, once it is sent. */
+    int response_timeout_ms;
+    /** How long it may wait in its lane. */
+    int queue_timeout_ms;
+    /** Writes that it counts for in the rate limit of writes. */
+    int write_count;
+};
 
-/* Waits for its turn within the budget. After 429 it is sent again; status HTTP_NOT_SENT when that
- * took longer than poll_timeout_ms. */
-void kv_client_request(struct kv_client *kv, enum kv_lane lane, const char *method,
-                       const char *path, const char *body, int response_timeout_ms,
-                       int queue_timeout_ms, int write_count, http_response_callback callback,
-                       void *callback_arg);
+/** Queues a request. The response has status HTTP_NOT_SENT when its time in the lane ran out. */
+void kv_client_send(struct kv_client *kv, const struct kv_request *request,
+                    http_response_callback callback, void *callback_arg);
 
-/* Reads one key. */
+/** Reads one key; the response is decoded by kv_decode_value. Times as in struct kv_request. */
 void kv_client_get(struct kv_client *kv, enum kv_lane lane, const char *key,
                    int response_timeout_ms, int queue_timeout_ms, http_response_callback callback,
                    void *callback_arg);
 
-/* ---- transactions ---- */
-
-struct txn;
-
-enum txn_status {
-    TXN_COMMITTED,
-    TXN_CONFLICT, /* a condition did not hold */
-    TXN_LEASE_EXPIRED,
-    TXN_REJECTED, /* surely not carried out */
-    TXN_UNKNOWN,  /* it may have been carried out, or may be later */
-};
-
-struct txn_outcome {
-    enum txn_status status;
-    revision at_revision;   /* with TXN_COMMITTED and TXN_CONFLICT */
-    GPtrArray *failed_keys; /* keys, with TXN_CONFLICT */
-};
-
-typedef void (*txn_callback)(void *arg, const struct txn_outcome *outcome);
-
-struct txn *txn_new(void);
-void txn_free(struct txn *txn);
-void txn_compare(struct txn *txn, const char *key, revision mod_revision);
-/* Takes the value. lease 0: not attached. */
-void txn_put(struct txn *txn, const char *key, json_object *value, lease_id lease);
-void txn_delete(struct txn *txn, const char *key);
-guint txn_write_count(const struct txn *txn);
-guint txn_compare_count(const struct txn *txn);
-size_t txn_size_bytes(const struct txn *txn);
-/* What a value takes as it is sent. */
-size_t kv_value_size_bytes(json_object *value);
-/* Takes the transaction. */
+/** Sends a transaction and takes ownership of it. */
 void kv_client_commit(struct kv_client *kv, enum kv_lane lane, struct txn *txn,
                       txn_callback callback, void *callback_arg);
 
-/* ---- read barrier ---- */
+/** at_revision is set if ok. */
+typedef void (*read_barrier_callback)(void *arg, bool ok, revision at_revision);
 
-typedef void (*read_barrier_callback)(void *arg, bool ok, revision at);
-/* Tells a revision that was the newest at some moment after this call. Calls that come together
- * share one transaction without writes. */
+/**
+ * Reports a revision that was the store's newest at some moment after this call. Calls that come
+ * together share one transaction without writes.
+ */
 void kv_client_read_barrier(struct kv_client *kv, read_barrier_callback callback,
                             void *callback_arg);
 
+/** Like kv_client_send, with the fields of struct kv_request as arguments. */
+void kv_client_request(struct kv_client *kv, enum kv_lane lane, const char *method,
+                       const char *path, const char *body, int response_timeout_ms,
+                       int queue_timeout_ms, int write_count, http_response_callback callback,
+                       void *callback_arg);
+
 #endif
--- /dev/null
+++ b/src/kv/token_bucket.c
@@ -0,0 +1,36 @@
+/** Token bucket: see token_bucket.h. */
+#include "token_bucket.h"
+
+struct token_bucket token_bucket_full(double refill_per_s, mono_time now)
+{
+    return (struct token_bucket){refill_per_s, refill_per_s, refill_per_s, now};
+}
+
+void token_bucket_refill(struct token_bucket *bucket, mono_time now)
+{
+    double accrued = bucket->refill_per_s * (double)(now.us - bucket->refilled_at.us) / 1e6;
+    bucket->tokens = MIN(bucket->capacity, bucket->tokens + accrued);
+    bucket->refilled_at = now;
+}
+
+void token_bucket_set_rate(struct token_bucket *bucket, double refill_per_s)
+{
+    bucket->refill_per_s = refill_per_s;
+    bucket->capacity = refill_per_s;
+    bucket->tokens = MIN(bucket->tokens, bucket->capacity);
+}
+
+void token_bucket_drain(struct token_bucket *bucket)
+{
+    bucket->tokens = MIN(bucket->tokens, 0);
+}
+
+bool token_bucket_has_token(const struct token_bucket *bucket)
+{
+    return bucket->tokens >= 1;
+}
+
+int64_t token_bucket_wait_ms(const struct token_bucket *bucket)
+{
+    return (int64_t)((1 - bucket->tokens) / bucket->refill_per_s * 1000) + 1;
+}
--- a/src/replica/replica.h
+++ b/src/replica/replica.h
@@ -6,6 +6,7 @@
 #ifndef LL_VIEW_H
 #define LL_VIEW_H
 
+#include "codec.h"
 #include "job_dag.h"
 #include "kv_client.h"
 #include "kv_keys.h"
