--- a/src/kv/kv_codec.c
+++ b/src/kv/kv_codec.c
@@ -1,6 +1,8 @@
 /** Codec of the key-value store's protocol: see kv_codec.h. */
 #include "kv_codec.h"
 
+#include "kv_client.h"
+
 /* The words of the protocol. */
 static const char FIELD_REVISION[] = "Ledger";
 static const char FIELD_KEY[] = "K";
@@ -23,6 +25,11 @@
     return g_array_new(FALSE, TRUE, sizeof(struct kv_item));
 }
 
+json_object *kv_parse_response(const struct http_response *response)
+{
+    return response->status == KV_HTTP_OK ? json_parse(response->body, response->body_bytes) : NULL;
+}
+
 bool kv_decode_revision(json_object *body, revision *at_revision)
 {
     return json_get_u64(body, FIELD_REVISION, &at_revision->value);
--- a/src/kv/kv_codec.h
+++ b/src/kv/kv_codec.h
@@ -8,6 +8,7 @@
 #ifndef LL_KV_CODEC_H
 #define LL_KV_CODEC_H
 
+#include "http.h"
 #include "json_fields.h"
 
 /** A key as it was left by its last change. */
@@ -19,6 +20,12 @@
     revision mod_revision;
 };
 
+/**
+ * Parses the body of a response with status 200; NULL: another status, or not JSON. The caller owns
+ * it. All decoders take NULL for a malformed body.
+ */
+json_object *kv_parse_response(const struct http_response *response);
+
 /**
  * Decodes a page of keys: a new array of struct kv_item, the revision at which it was read, and
  * whether more keys follow. Items without key, value or revision are left out.
--- a/src/replica/job_dag.c
+++ b/src/replica/job_dag.c
@@ -1,26 +1,32 @@
+/** DAG of jobs: see job_dag.h. */
 #include "job_dag.h"
 
+/** Lower than any job's priority; the initial value of those that are not known. */
 enum { LOWEST_PRIORITY = 1000 };
 
-struct node {
+/** A job that depends on an unfinished one, or on which one depends. */
+struct job_dag_node {
     job_id id;
-    bool known;
-    struct job_dag_attributes own;
-    struct job_dag_state facts;
-    GPtrArray *needs, *after; /* struct node: what it needs, what needs it */
+    /** job_dag_add_job was called; until then only dependents have named it. */
+    bool is_known;
+    struct job_dag_attributes attributes;
+    struct job_dag_state state;
+    /** Arrays of struct job_dag_node. */
+    GPtrArray *dependencies, *dependents;
 };
 
 struct job_dag {
-    GHashTable *nodes; /* id -> struct node */
+    /** Job id -> struct job_dag_node. */
+    GHashTable *nodes;
     job_dag_observer observer;
     void *context;
 };
 
 static void node_free(gpointer q)
 {
-    struct node *node = q;
-    g_ptr_array_unref(node->needs);
-    g_ptr_array_unref(node->after);
+    struct job_dag_node *node = q;
+    g_ptr_array_unref(node->dependencies);
+    g_ptr_array_unref(node->dependents);
     g_free(node);
 }
 
@@ -44,76 +50,86 @@
     return g_hash_table_size(dag->nodes);
 }
 
-static struct node *find_node(struct job_dag *dag, job_id id)
+static struct job_dag_node *find_node(struct job_dag *dag, job_id id)
 {
     return g_hash_table_lookup(dag->nodes, id.text);
 }
 
-static struct node *get_or_create_node(struct job_dag *dag, job_id id)
+static struct job_dag_node *get_or_create_node(struct job_dag *dag, job_id id)
 {
-    struct node *node = find_node(dag, id);
+    struct job_dag_node *node = find_node(dag, id);
     if (node)
         return node;
-    node = g_new0(struct node, 1);
+    node = g_new0(struct job_dag_node, 1);
     node->id = id;
-    node->own = (struct job_dag_attributes){LOWEST_PRIORITY, NO_DEADLINE, 0};
-    node->facts.inherited_priority = LOWEST_PRIORITY;
-    node->facts.inherited_deadline = NO_DEADLINE;
-    node->needs = g_ptr_array_new();
-    node->after = g_ptr_array_new();
+    node->attributes = (struct job_dag_attributes){LOWEST_PRIORITY, NO_DEADLINE, 0};
+    node->state.inherited_priority = LOWEST_PRIORITY;
+    node->state.inherited_deadline = NO_DEADLINE;
+    node->dependencies = g_ptr_array_new();
+    node->dependents = g_ptr_array_new();
     g_hash_table_insert(dag->nodes, node->id.text, node);
     return node;
 }
 
-static void notify_observer(struct job_dag *dag, struct node *node)
+static void notify_observer(struct job_dag *dag, struct job_dag_node *node)
 {
-    if (node->known)
-        dag->observer(dag->context, node->id.text, &node->facts);
+    if (node->is_known)
+        dag->observer(dag->context, node->id.text, &node->state);
 }
 
-/* Works out what is lent to a job and, where that has changed, to those that it needs. A chain may
- * be long, so this is no recursion. */
-static void propagate_inherited(struct job_dag *dag, struct node *first)
+/** Derives a job's priority and deadline from its own and those of its dependents. */
+static void derive_inherited(const struct job_dag_node *node, int *priority, wall_time *deadline)
+{
+    *priority = node->attributes.priority;
+    *deadline = node->attributes.deadline;
+    for (guint i = 0; i < node->dependents->len; i++) {
+        const struct job_dag_node *dependent = node->dependents->pdata[i];
+        *priority = MIN(*priority, dependent->state.inherited_priority);
+        if (dependent->state.inherited_deadline.ms != NO_DEADLINE.ms)
+            deadline->ms = MIN(deadline->ms, dependent->state.inherited_deadline.ms -
+                                                 dependent->attributes.expected_run_ms);
+    }
+}
+
+/**
+ * Updates what a job inherits and, where that has changed, what its dependencies inherit in turn.
+ * A chain of jobs may be long, so there is a queue in place of recursion.
+ */
+static void propagate_inherited(struct job_dag *dag, struct job_dag_node *first)
 {
     GQueue pending = G_QUEUE_INIT;
     g_queue_push_tail(&pending, first);
-    struct node *node;
+    struct job_dag_node *node;
     while ((node = g_queue_pop_head(&pending))) {
-        int priority = node->own.priority;
-        wall_time deadline = node->own.deadline;
-        for (guint i = 0; i < node->after->len; i++) {
-            const struct node *dependent = node->after->pdata[i];
-            priority = MIN(priority, dependent->facts.inherited_priority);
-            if (dependent->facts.inherited_deadline.ms != NO_DEADLINE.ms)
-                deadline.ms = MIN(deadline.ms, dependent->facts.inherited_deadline.ms -
-                                                   dependent->own.expected_run_ms);
-        }
-        if (priority == node->facts.inherited_priority &&
-            deadline.ms == node->facts.inherited_deadline.ms)
+        int priority;
+        wall_time deadline;
+        derive_inherited(node, &priority, &deadline);
+        if (priority == node->state.inherited_priority &&
+            deadline.ms == node->state.inherited_deadline.ms)
             continue;
-        node->facts.inherited_priority = priority;
-        node->facts.inherited_deadline = deadline;
+        node->state.inherited_priority = priority;
+        node->state.inherited_deadline = deadline;
         notify_observer(dag, node);
-        for (guint i = 0; i < node->needs->len; i++)
-            g_queue_push_tail(&pending, node->needs->pdata[i]);
+        for (guint i = 0; i < node->dependencies->len; i++)
+            g_queue_push_tail(&pending, node->dependencies->pdata[i]);
     }
 }
 
-/* A job without links is nothing to be kept here. */
-static void remove_unlinked_node(struct job_dag *dag, struct node *node)
+/** Removes a job that neither depends on others nor has dependents. */
+static void remove_unlinked_node(struct job_dag *dag, struct job_dag_node *node)
 {
-    if (!node->needs->len && !node->after->len)
+    if (!node->dependencies->len && !node->dependents->len)
         g_hash_table_remove(dag->nodes, node->id.text);
 }
 
-/* Cuts what a job needs off it: that lends nothing to them any more. */
-static void unlink_dependencies(struct job_dag *dag, struct node *node)
+/** Removes the edges to a job's dependencies, which inherit nothing from it any more. */
+static void unlink_dependencies(struct job_dag *dag, struct job_dag_node *node)
 {
-    GPtrArray *dependencies = node->needs;
-    node->needs = g_ptr_array_new();
+    GPtrArray *dependencies = node->dependencies;
+    node->dependencies = g_ptr_array_new();
     for (guint i = 0; i < dependencies->len; i++) {
-        struct node *dependency = dependencies->pdata[i];
-        g_ptr_array_remove_fast(dependency->after, node);
+        struct job_dag_node *dependency = dependencies->pdata[i];
+        g_ptr_array_remove_fast(dependency->dependents, node);
         propagate_inherited(dag, dependency);
         remove_unlinked_node(dag, dependency);
     }
@@ -123,38 +139,39 @@
 void job_dag_add_job(struct job_dag *dag, job_id id, const struct job_dag_attributes *attributes,
                      const job_id *dependencies, guint dependency_count)
 {
-    struct node *node = find_node(dag, id);
-    if ((!node && !dependency_count) || (node && node->known))
+    struct job_dag_node *node = find_node(dag, id);
+    if ((!node && !dependency_count) || (node && node->is_known))
         return;
     node = get_or_create_node(dag, id);
-    node->known = true;
-    node->own = *attributes;
+    node->is_known = true;
+    node->attributes = *attributes;
     for (guint i = 0; i < dependency_count; i++) {
-        struct node *dependency = get_or_create_node(dag, dependencies[i]);
-        g_ptr_array_add(node->needs, dependency);
-        g_ptr_array_add(dependency->after, node);
+        struct job_dag_node *dependency = get_or_create_node(dag, dependencies[i]);
+        g_ptr_array_add(node->dependencies, dependency);
+        g_ptr_array_add(dependency->dependents, node);
     }
-    node->facts.pending_dependencies = dependency_count;
-    node->facts.inherited_priority = LOWEST_PRIORITY; /* so that it is worked out and told */
-    node->facts.inherited_deadline = NO_DEADLINE;
+    node->state.pending_dependencies = dependency_count;
+    /* Unlike any real value, so that propagation reports the job. */
+    node->state.inherited_priority = LOWEST_PRIORITY;
+    node->state.inherited_deadline = NO_DEADLINE;
     propagate_inherited(dag, node);
     notify_observer(dag, node);
 }
 
 void job_dag_mark_done(struct job_dag *dag, job_id id, wall_time ended_at)
 {
-    struct node *node = find_node(dag, id);
+    struct job_dag_node *node = find_node(dag, id);
     if (!node)
         return;
     unlink_dependencies(dag, node);
-    GPtrArray *dependents = node->after;
-    node->after = g_ptr_array_new();
+    GPtrArray *dependents = node->dependents;
+    node->dependents = g_ptr_array_new();
     for (guint i = 0; i < dependents->len; i++) {
-        struct node *dependent = dependents->pdata[i];
-        g_ptr_array_remove_fast(dependent->needs, node);
-        dependent->facts.pending_dependencies = dependent->needs->len;
-        dependent->facts.dependencies_done_at.ms =
-            MAX(dependent->facts.dependencies_done_at.ms, ended_at.ms);
+        struct job_dag_node *dependent = dependents->pdata[i];
+        g_ptr_array_remove_fast(dependent->dependencies, node);
+        dependent->state.pending_dependencies = dependent->dependencies->len;
+        dependent->state.dependencies_done_at.ms =
+            MAX(dependent->state.dependencies_done_at.ms, ended_at.ms);
         notify_observer(dag, dependent);
         remove_unlinked_node(dag, dependent);
     }
@@ -162,34 +179,44 @@
     remove_unlinked_node(dag, node);
 }
 
+/** Marks the direct dependents as cancelled and queues the ids of those that were not before. */
+static void cancel_dependents(struct job_dag *dag, struct job_dag_node *node, revision cancelled_at,
+                              GQueue *queued_ids)
+{
+    for (guint i = 0; i < node->dependents->len; i++) {
+        struct job_dag_node *dependent = node->dependents->pdata[i];
+        if (dependent->state.upstream_cancelled)
+            continue;
+        dependent->state.upstream_cancelled = true;
+        dependent->state.upstream_cancelled_at = cancelled_at;
+        notify_observer(dag, dependent);
+        g_queue_push_tail(queued_ids, g_memdup2(&dependent->id, sizeof dependent->id));
+    }
+}
+
+static void unlink_dependents(struct job_dag_node *node)
+{
+    while (node->dependents->len) {
+        struct job_dag_node *dependent = node->dependents->pdata[node->dependents->len - 1];
+        g_ptr_array_remove_fast(dependent->dependencies, node);
+        g_ptr_array_set_size(node->dependents, (gint)node->dependents->len - 1);
+    }
+}
+
 void job_dag_mark_cancelled(struct job_dag *dag, job_id id, revision cancelled_at)
 {
-    struct node *node = find_node(dag, id);
-    if (!node)
-        return;
-    /* Their ids, as one that is still to come may be let go meanwhile, with its last link. */
-    GQueue pending_ids = G_QUEUE_INIT;
-    g_queue_push_tail(&pending_ids, g_memdup2(&id, sizeof id));
+    /* Ids, not nodes: a queued node may be freed meanwhile with its last edge. */
+    GQueue queued_ids = G_QUEUE_INIT;
+    if (find_node(dag, id))
+        g_queue_push_tail(&queued_ids, g_memdup2(&id, sizeof id));
     job_id *next_id;
-    while ((next_id = g_queue_pop_head(&pending_ids))) {
-        node = find_node(dag, *next_id);
+    while ((next_id = g_queue_pop_head(&queued_ids))) {
+        struct job_dag_node *node = find_node(dag, *next_id);
         g_free(next_id);
         if (!node)
             continue;
-        for (guint i = 0; i < node->after->len; i++) {
-            struct node *dependent = node->after->pdata[i];
-            if (dependent->facts.upstream_cancelled)
-                continue;
-            dependent->facts.upstream_cancelled = true;
-            dependent->facts.upstream_cancelled_at = cancelled_at;
-            notify_observer(dag, dependent);
-            g_queue_push_tail(&pending_ids, g_memdup2(&dependent->id, sizeof dependent->id));
-        }
-        while (node->after->len) {
-            struct node *dependent = node->after->pdata[node->after->len - 1];
-            g_ptr_array_remove_fast(dependent->needs, node);
-            g_ptr_array_set_size(node->after, (gint)node->after->len - 1);
-        }
+        cancel_dependents(dag, node, cancelled_at, &queued_ids);
+        unlink_dependents(node);
         unlink_dependencies(dag, node);
         remove_unlinked_node(dag, node);
     }
@@ -198,9 +225,9 @@
 void job_dag_foreach_unknown(struct job_dag *dag, job_dag_unknown_callback callback, void *context)
 {
     GHashTableIter it;
-    struct node *node;
+    struct job_dag_node *node;
     g_hash_table_iter_init(&it, dag->nodes);
     while (g_hash_table_iter_next(&it, NULL, (gpointer *)&node))
-        if (!node->known)
+        if (!node->is_known)
             callback(context, node->id);
 }
--- a/src/replica/job_lookup.c
+++ b/src/replica/job_lookup.c
@@ -1,11 +1,14 @@
+/**
+ * Reads of single jobs: those that another job depends on and that are not in memory, as they were
+ * finished so long ago that they were evicted.
+ */
 #include "kv_codec.h"
 #include "replica_internal.h"
 
 enum {
-    LOOKUP_INTERVAL_MS = 1000,  /* between two rounds of reads */
-    MAX_LOOKUPS_IN_FLIGHT = 16, /* reads at once */
-    ANSWER_MS = 2500,           /* for an answer */
-    LANE_WAIT_MS = 10000,       /* for a request's turn within the budget */
+    /** From one round of reads to the next. */
+    LOOKUP_INTERVAL_MS = 1000,
+    MAX_LOOKUPS_IN_FLIGHT = 16,
 };
 
 struct job_lookup {
@@ -17,42 +20,41 @@
 {
     struct job_lookup *lookup = arg;
     struct replica *replica = lookup->replica;
-    json_object *object = response->status == 200 ? json_parse(response->body, response->body_bytes)
-                                                  : NULL,
-                *value = NULL;
+    json_object *body = kv_parse_response(response), *value = NULL;
     revision mod_revision;
-    replica->lookups_in_flight--;
-    if (kv_decode_value(object, &value, &mod_revision)) {
+    replica->internal->lookup.in_flight--;
+    if (kv_decode_value(body, &value, &mod_revision)) {
         char *key = key_job(lookup->job);
         replica_apply(replica, key, value, mod_revision);
         replica_publish_events(replica);
         g_free(key);
     }
-    json_object_put(object);
+    json_object_put(body);
     g_free(lookup);
 }
 
+/** job_dag_unknown_callback: reads the job, unless too many are being read. */
 static void lookup_job(void *context, job_id id)
 {
     struct replica *replica = context;
-    if (replica->lookups_in_flight >= MAX_LOOKUPS_IN_FLIGHT)
+    if (replica->internal->lookup.in_flight >= MAX_LOOKUPS_IN_FLIGHT)
         return;
     struct job_lookup *lookup = g_new(struct job_lookup, 1);
     *lookup = (struct job_lookup){replica, id};
-    replica->lookups_in_flight++;
+    replica->internal->lookup.in_flight++;
     char *key = key_job(id);
-    kv_client_get(replica->kv, KV_LANE_NORMAL, key, ANSWER_MS, LANE_WAIT_MS, lookup_on_response,
-                  lookup);
+    kv_client_get(replica->kv, KV_LANE_NORMAL, key, RESPONSE_TIMEOUT_MS, QUEUE_TIMEOUT_MS,
+                  lookup_on_response, lookup);
     g_free(key);
 }
 
-/* A job that another one needs may have been over for so long that it was not kept. */
 void replica_lookup_unknown_jobs(struct replica *replica)
 {
+    struct replica_lookup *lookup = &replica->internal->lookup;
     mono_time now = loop_now(replica->loop);
-    if (!replica->is_ready || replica->reload_seen_keys || replica->lookups_in_flight ||
-        time_ms_since(now, replica->lookup_started_at) < LOOKUP_INTERVAL_MS)
+    if (!replica->is_ready || replica_is_reloading(replica) || lookup->in_flight ||
+        time_ms_since(now, lookup->started_at) < LOOKUP_INTERVAL_MS)
         return;
-    replica->lookup_started_at = now;
+    lookup->started_at = now;
     job_dag_foreach_unknown(replica->job_dag, lookup_job, replica);
 }
--- a/src/replica/jobs.c
+++ b/src/replica/jobs.c
@@ -1,25 +1,35 @@
+/** Jobs: the values of ll/j/JOB, and what the job DAG and the pages say of them. */
 #include "log.h"
 #include "replica_internal.h"
+#include "stored_fields.h"
 
-void replica_job_free(gpointer p)
+static void discard_spec(struct job *job)
 {
-    struct job *job = p;
-    if (job->spec) {
-        job_spec_clear(job->spec);
-        g_free(job->spec);
-    }
-    if (job->completion_bits)
-        g_byte_array_unref(job->completion_bits);
-    if (job->run_records)
-        g_hash_table_unref(job->run_records);
+    if (!job->spec)
+        return;
+    job_spec_clear(job->spec);
+    g_clear_pointer(&job->spec, g_free);
+}
+
+static void discard_completions(struct job *job)
+{
+    g_clear_pointer(&job->completion_bits, g_byte_array_unref);
+}
+
+void replica_job_free(gpointer pointer)
+{
+    struct job *job = pointer;
+    discard_spec(job);
+    discard_completions(job);
+    g_clear_pointer(&job->run_records, g_hash_table_unref);
     g_free(job);
 }
 
 struct run_record *job_get_run_record(const struct job *job, uint32_t task_index)
 {
-    return job->run_records
-               ? g_hash_table_lookup(job->run_records, GUINT_TO_POINTER(task_index + 1))
-               : NULL;
+    if (!job->run_records)
+        return NULL;
+    return g_hash_table_lookup(job->run_records, GUINT_TO_POINTER(task_index + 1));
 }
 
 bool job_is_task_completed(const struct job *job, uint32_t task_index)
@@ -31,9 +41,9 @@
 struct job *replica_get_or_create_job(struct replica *replica, const char *id)
 {
     struct job *job = replica_get_job(replica, id);
+    job_id parsed_id;
     if (job)
         return job;
-    job_id parsed_id;
     if (!job_id_parse(&parsed_id, id))
         return NULL;
     job = g_new0(struct job, 1);
@@ -42,42 +52,12 @@
     return job;
 }
 
-static void job_discard_details(struct job *job)
-{
-    if (job->spec) {
-        job_spec_clear(job->spec);
-        g_free(job->spec);
-    }
-    job->spec = NULL;
-    if (job->completion_bits)
-        g_byte_array_unref(job->completion_bits);
-    job->completion_bits = NULL;
-}
-
-bool job_decode_final(struct job *job, json_object *value)
+static void add_job_event(struct replica *replica, const struct job *job)
 {
-    const char *state_word;
-    uint64_t task_count = 0;
-    if (!json_get_text(value, "f", &state_word))
-        return false;
-    json_get_u64(value, "n", &task_count);
-    job->state = strcmp(state_word, "done") == 0 ? JOB_DONE : JOB_CANCELLED;
-    job->task_count = (uint32_t)task_count;
-    job->completed_count = job->state == JOB_DONE ? job->task_count : 0;
-    uint64_t ended_ms = 0;
-    json_get_u64(value, "e", &ended_ms);
-    job->ended_at.ms = (int64_t)ended_ms;
-    return true;
+    replica_add_event(replica, (struct replica_event){.kind = REPLICA_EVENT_JOB, .job = job->id});
 }
 
-json_object *job_encode_final(enum job_state final_state, uint32_t task_count, wall_time ended_at)
-{
-    json_object *object = json_object_new_object();
-    json_put_text(object, "f", final_state == JOB_DONE ? "done" : "cancelled");
-    json_put_u64(object, "n", task_count);
-    json_put_u64(object, "e", (uint64_t)ended_at.ms);
-    return object;
-}
+/* ---- the job DAG ---- */
 
 void replica_on_job_dag_change(void *context, const char *id, const struct job_dag_state *dag_state)
 {
@@ -90,23 +70,25 @@
     job->inherited_priority = dag_state->inherited_priority;
     job->inherited_deadline = dag_state->inherited_deadline;
     if (dag_state->upstream_cancelled && job->state == JOB_ACTIVE) {
-        /* That is a fact from the moment when the other one was cancelled, without any write. */
+        /* It counts from the revision of that other cancellation, without any write. */
         job->is_upstream_cancelled = true;
         job->state = JOB_CANCELLED;
         job->cancelled_at = dag_state->upstream_cancelled_at;
     }
-    replica_add_event(replica, (struct replica_event){.kind = REPLICA_EVENT_JOB, .job = job->id});
+    add_job_event(replica, job);
 }
 
 static struct job_dag_attributes job_dag_attributes_of(const struct job *job)
 {
     const struct job_spec *spec = job->spec;
+    wall_time deadline = NO_DEADLINE;
+    if (spec->deadline_s >= 0)
+        deadline.ms = job->submitted_at.ms + (int64_t)(spec->deadline_s * 1000);
     return (struct job_dag_attributes){
         .priority = (int)spec->priority,
-        .deadline = spec->deadline_s >= 0
-                        ? (wall_time){job->submitted_at.ms + (int64_t)(spec->deadline_s * 1000)}
-                        : NO_DEADLINE,
-        .expected_run_ms = (int64_t)(spec->expected_run_s * 1000)};
+        .deadline = deadline,
+        .expected_run_ms = (int64_t)(spec->expected_run_s * 1000),
+    };
 }
 
 static void report_state_to_job_dag(struct replica *replica, const struct job *job)
@@ -121,7 +103,7 @@
     }
 }
 
-/* A job is read for the first time. */
+/** Adds a job that was read for the first time, and reports what is known of its dependencies. */
 static void add_to_job_dag(struct replica *replica, struct job *job)
 {
     const struct job_spec *spec = job->spec;
@@ -132,63 +114,110 @@
     job_dag_add_job(replica->job_dag, job->id, &attributes, spec->dependencies,
                     spec->dependency_count);
     for (guint i = 0; i < spec->dependency_count; i++) {
-        struct job *other = replica_get_job(replica, spec->dependencies[i].text);
-        if (other && other->is_known)
-            report_state_to_job_dag(replica, other);
+        struct job *dependency = replica_get_job(replica, spec->dependencies[i].text);
+        if (dependency && dependency->is_known)
+            report_state_to_job_dag(replica, dependency);
     }
 }
 
-void replica_apply_job(struct replica *replica, const char *id, json_object *value,
-                       revision mod_revision)
+/* ---- stored values ---- */
+
+bool job_decode_final(struct job *job, json_object *value)
+{
+    const char *final_state;
+    uint64_t task_count = 0, ended_ms = 0;
+    if (!json_get_text(value, JOB_FIELD_FINAL_STATE, &final_state))
+        return false;
+    json_get_u64(value, JOB_FIELD_TASK_COUNT, &task_count);
+    json_get_u64(value, JOB_FIELD_ENDED_MS, &ended_ms);
+    job->state = strcmp(final_state, JOB_FINAL_STATE_DONE) == 0 ? JOB_DONE : JOB_CANCELLED;
+    job->task_count = (uint32_t)task_count;
+    job->completed_count = job->state == JOB_DONE ? job->task_count : 0;
+    job->ended_at.ms = (int64_t)ended_ms;
+    return true;
+}
+
+json_object *job_encode_final(enum job_state final_state, uint32_t task_count, wall_time ended_at)
+{
+    json_object *object = json_object_new_object();
+    json_put_text(object, JOB_FIELD_FINAL_STATE,
+                  final_state == JOB_DONE ? JOB_FINAL_STATE_DONE : JOB_FINAL_STATE_CANCELLED);
+    json_put_u64(object, JOB_FIELD_TASK_COUNT, task_count);
+    json_put_u64(object, JOB_FIELD_ENDED_MS, (uint64_t)ended_at.ms);
+    return object;
+}
+
+/** A job whose final state job_decode_final has just read. */
+static void apply_final(struct replica *replica, struct job *job, revision mod_revision)
+{
+    discard_spec(job);
+    discard_completions(job);
+    if (!job->is_finished)
+        g_queue_push_tail(&replica->internal->finished_job_ids, g_strdup(job->id.text));
+    job->is_finished = true;
+    if (!job->cancelled_at.value)
+        job->cancelled_at = mod_revision;
+    report_state_to_job_dag(replica, job);
+}
+
+/** Reads what was submitted; false: it cannot be read. */
+static bool decode_spec(struct job *job, json_object *value)
+{
+    struct job_spec spec;
+    json_object *spec_value = NULL;
+    json_object_object_get_ex(value, JOB_FIELD_SPEC, &spec_value);
+    if (!job_spec_decode(spec_value, &spec) || !job_spec_decode_dependencies(spec_value, &spec)) {
+        LOG_ERROR("job_malformed", "job=%s", job->id.text);
+        job_spec_clear(&spec);
+        return false;
+    }
+    job->spec = g_memdup2(&spec, sizeof spec);
+    job->task_count = spec.task_count;
+    return true;
+}
+
+/** A job that is not finished. False: its value cannot be read. */
+static bool apply_unfinished(struct replica *replica, struct job *job,
+                             const struct key_update *update)
 {
-    struct job *job = replica_get_or_create_job(replica, id);
-    if (!job)
-        return;
     uint64_t submitted_ms = 0;
-    bool is_cancelled = false;
-    if (job_decode_final(job, value)) {
-        job_discard_details(job);
-        if (!job->is_finished)
-            g_queue_push_tail(&replica->finished_job_ids, g_strdup(id));
-        job->is_finished = true;
-        job->cancelled_at = job->cancelled_at.value ? job->cancelled_at : mod_revision;
+    bool is_cancelled = false, is_new = !job->spec;
+    json_get_bool(update->value, JOB_FIELD_IS_CANCELLED, &is_cancelled);
+    json_get_u64(update->value, JOB_FIELD_SUBMITTED_MS, &submitted_ms);
+    if (is_cancelled && job->state != JOB_CANCELLED)
+        job->cancelled_at = update->mod_revision;
+    job->state = is_cancelled || job->is_upstream_cancelled ? JOB_CANCELLED : JOB_ACTIVE;
+    job->submitted_at.ms = (int64_t)submitted_ms;
+    if (is_new && !decode_spec(job, update->value))
+        return false;
+    job->is_known = true;
+    if (is_new)
+        add_to_job_dag(replica, job);
+    if (job->state == JOB_CANCELLED)
         report_state_to_job_dag(replica, job);
-    } else if (value) {
-        json_get_bool(value, "c", &is_cancelled);
-        json_get_u64(value, "t", &submitted_ms);
-        bool is_first = !job->spec;
-        if (is_cancelled && job->state != JOB_CANCELLED)
-            job->cancelled_at = mod_revision;
-        job->state = is_cancelled || job->is_upstream_cancelled ? JOB_CANCELLED : JOB_ACTIVE;
-        job->submitted_at.ms = (int64_t)submitted_ms;
-        if (!job->spec) {
-            struct job_spec spec;
-            json_object *spec_value = NULL;
-            json_object_object_get_ex(value, "w", &spec_value);
-            if (!job_spec_decode(spec_value, &spec) ||
-                !job_spec_decode_dependencies(spec_value, &spec)) {
-                LOG_ERROR("job_unreadable", "job=%s", id);
-                return;
-            }
-            job->spec = g_memdup2(&spec, sizeof spec);
-            job->task_count = spec.task_count;
-        }
-        job->is_known = true;
-        if (is_first)
-            add_to_job_dag(replica, job);
-        if (job->state == JOB_CANCELLED)
-            report_state_to_job_dag(replica, job);
-    }
-    job->is_known = value != NULL;
-    job->mod_revision = mod_revision;
-    replica_add_event(replica, (struct replica_event){.kind = REPLICA_EVENT_JOB, .job = job->id});
+    return true;
+}
+
+void replica_apply_job(struct replica *replica, const struct key_update *update)
+{
+    struct job *job = replica_get_or_create_job(replica, update->name);
+    if (!job)
+        return;
+    if (job_decode_final(job, update->value))
+        apply_final(replica, job, update->mod_revision);
+    else if (update->value && !apply_unfinished(replica, job, update))
+        return;
+    job->is_known = update->value != NULL;
+    job->mod_revision = update->mod_revision;
+    add_job_event(replica, job);
 }
 
 void replica_merge_completions(void *context, job_id id, uint32_t unit, const GByteArray *bits)
 {
     struct replica *replica = context;
     struct job *job = replica_get_or_create_job(replica, id.text);
-    if (!job || (job->is_known && !job->spec))
+    bool is_finished = job && job->is_known && !job->spec;
+    if (!job || is_finished)
         return;
     if (!job->completion_bits)
         job->completion_bits = g_byte_array_new();
@@ -202,6 +231,5 @@
         has_changed = has_changed || new_bits;
     }
     if (has_changed)
-        replica_add_event(replica,
-                          (struct replica_event){.kind = REPLICA_EVENT_JOB, .job = job->id});
+        add_job_event(replica, job);
 }
--- a/src/replica/kv_keys.h
+++ b/src/replica/kv_keys.h
@@ -1,42 +1,50 @@
-/* The names of the scheduler's keys in the state service.
+/**
+ * The keys of the scheduler in the key-value store.
  *
- * ll/n/LABEL a live node, ll/leader, ll/map, ll/types, ll/features, ll/duty and ll/pending (see
- * role_codec.h), ll/j/JOB, ll/h/HOST what a machine is,
- * ll/a/LABEL/N what its machines are, many at once, ll/v/LABEL what its processes understand, for
- * good, ll/p/LABEL/N the pages on which LABEL keeps the run records of its machines and the tasks
- * that it saw done. */
-#ifndef LL_VIEW_KEYS_H
-#define LL_VIEW_KEYS_H
+ * All begin with ll/. Keys of roles and intents, ll/duty/ and ll/pending/, are in role_codec.h; the
+ * words of the values in stored_fields.h.
+ */
+#ifndef LL_KV_KEYS_H
+#define LL_KV_KEYS_H
 
 #include "types.h"
 
-/* What all keys begin with. */
 #define KEY_ROOT "ll/"
-/* The node that leads; on its lease. */
+/** The node that leads; attached to its lease. */
 #define KEY_LEADER "ll/leader"
-/* The epoch and the nodes that own machines in it. */
+/** The shard map: its epoch and the nodes that own machines in it. */
 #define KEY_MAP "ll/map"
-/* Machine types; and ll/types/1 and so on, if that would be too long. */
+/** Machine types; continued in ll/types/1 and so on where that would be too long. */
 #define KEY_TYPES "ll/types"
-/* Which features are on for all nodes (feature_switch.h). */
+/** Features that are on for all nodes. */
 #define KEY_FEATURES "ll/features"
 
-/* Each returns a new text: a job, */
+/** ll/j/JOB: a job. Never deleted. */
+#define KEY_JOB_PREFIX "ll/j/"
+/** ll/h/MACHINE: a machine's description and cached images. */
+#define KEY_MACHINE_PREFIX "ll/h/"
+/** ll/n/LABEL: a live node; attached to its lease. */
+#define KEY_NODE_PREFIX "ll/n/"
+/** ll/v/LABEL: the version that a process of the node has understood; never deleted. */
+#define KEY_VERSION_PREFIX "ll/v/"
+/** ll/p/LABEL/N: a page of the node's run records and completions. */
+#define KEY_PAGE_PREFIX "ll/p/"
+/** ll/a/LABEL/N: an inventory of the node's machines. */
+#define KEY_INVENTORY_PREFIX "ll/a/"
+/** Run records of a machine, as an early version stored them; not understood any more. */
+#define KEY_LEGACY_RECORDS_PREFIX "ll/m/"
+
+/* Each returns a new text. */
 char *key_job(job_id id);
-/* what a machine is and has fetched, */
 char *key_machine(machine_id id);
-/* a live node, */
 char *key_node(const char *label);
-/* what the processes of a node understand, */
 char *key_version(const char *label);
-/* a page of a node's run records, */
 char *key_record_page(const char *label, int number);
-/* a list of a node's machines. */
 char *key_inventory(const char *label, int number);
 
-/* Reads label (a new text) and number from the key of a page or a list of machines. */
+/** Reads the label (a new text) and the number from the key of a page or an inventory. */
 bool key_parse_page(const char *key, char **label, int *number);
-/* Whether it is a job's: these are never removed, and there may be very many. */
+/** Whether it is the key of a job; there may be very many of these. */
 bool key_is_job(const char *key);
 
 #endif
--- a/src/replica/machines.c
+++ b/src/replica/machines.c
@@ -1,30 +1,23 @@
+/** Machines: the values of ll/h/MACHINE, and the descriptions on pages and in inventories. */
 #include "image_cache.h"
 #include "replica_internal.h"
+#include "stored_fields.h"
 
-void replica_machine_free(gpointer p)
+void replica_machine_free(gpointer pointer)
 {
-    struct machine_record *machine = p;
+    struct machine_record *machine = pointer;
     g_ptr_array_unref(machine->run_records);
     g_ptr_array_unref(machine->cached_images);
     g_free(machine->description);
     g_free(machine);
 }
 
-void replica_inventory_free(gpointer p)
-{
-    struct machine_inventory *inventory = p;
-    g_ptr_array_unref(inventory->machines);
-    g_free(inventory->key);
-    g_free(inventory->label);
-    g_free(inventory);
-}
-
 struct machine_record *replica_get_or_create_machine(struct replica *replica, const char *id)
 {
     struct machine_record *machine = replica_get_machine(replica, id);
+    machine_id parsed_id;
     if (machine)
         return machine;
-    machine_id parsed_id;
     if (!machine_id_parse(&parsed_id, id))
         return NULL;
     machine = g_new0(struct machine_record, 1);
@@ -37,35 +30,42 @@
 
 void replica_remove_unused_machine(struct replica *replica, struct machine_record *machine)
 {
-    if (!machine->run_records->len && !machine->mod_revision.value && !machine->inventory)
+    bool has_own_key = machine->mod_revision.value != 0;
+    if (!has_own_key && !machine->run_records->len && !machine->inventory)
         g_hash_table_remove(replica->machines, machine->id.text);
 }
 
-/* {"a":ADDRESS,"b":TYPE,"y":ZONE,"l":SPOT,"i":[IMAGE...]} */
-void replica_apply_machine(struct replica *replica, const char *id, json_object *value,
-                           revision mod_revision)
+static void decode_machine(struct machine_record *machine, json_object *value)
 {
-    struct machine_record *machine =
-        value ? replica_get_or_create_machine(replica, id) : replica_get_machine(replica, id);
+    replica_copy_text(value, MACHINE_FIELD_ADDRESS, machine->address, sizeof machine->address);
+    replica_copy_text(value, MACHINE_FIELD_TYPE, machine->machine_type_name,
+                      sizeof machine->machine_type_name);
+    replica_copy_text(value, MACHINE_FIELD_ZONE, machine->zone, sizeof machine->zone);
+    json_get_bool(value, MACHINE_FIELD_IS_SPOT, &machine->is_spot);
+    g_clear_pointer(&machine->description, g_free);
+    json_object *images = json_get_array(value, MACHINE_FIELD_IMAGES);
+    g_ptr_array_set_size(machine->cached_images, 0);
+    for (size_t i = 0; images && i < json_object_array_length(images); i++)
+        image_cache_add(machine->cached_images,
+                        json_object_get_string(json_object_array_get_idx(images, i)));
+}
+
+void replica_apply_machine(struct replica *replica, const struct key_update *update)
+{
+    struct machine_record *machine = update->value
+                                         ? replica_get_or_create_machine(replica, update->name)
+                                         : replica_get_machine(replica, update->name);
     if (!machine)
         return;
     replica_add_event(
         replica, (struct replica_event){.kind = REPLICA_EVENT_MACHINE, .machine = machine->id});
-    machine->mod_revision = value ? mod_revision : (revision){0};
-    if (!value) {
+    if (update->value) {
+        machine->mod_revision = update->mod_revision;
+        decode_machine(machine, update->value);
+    } else {
+        machine->mod_revision = (revision){0};
         replica_remove_unused_machine(replica, machine);
-        return;
     }
-    replica_copy_text(value, "a", machine->address, sizeof machine->address);
-    replica_copy_text(value, "b", machine->machine_type_name, sizeof machine->machine_type_name);
-    replica_copy_text(value, "y", machine->zone, sizeof machine->zone);
-    json_get_bool(value, "l", &machine->is_spot);
-    g_clear_pointer(&machine->description, g_free);
-    json_object *list = json_get_array(value, "i");
-    g_ptr_array_set_size(machine->cached_images, 0);
-    for (size_t i = 0; list && i < json_object_array_length(list); i++)
-        image_cache_add(machine->cached_images,
-                        json_object_get_string(json_object_array_get_idx(list, i)));
 }
 
 const char *replica_get_machine_description(struct replica *replica, const char *machine_name)
@@ -79,70 +79,16 @@
     return machine->description;
 }
 
-void machine_apply_description(struct machine_record *machine, const char *description)
-{
-    char **parts = g_strsplit(description, ",", -1);
-    if (!machine->mod_revision.value && g_strv_length(parts) == 4) {
-        g_strlcpy(machine->address, parts[0], sizeof machine->address);
-        g_strlcpy(machine->machine_type_name, parts[1], sizeof machine->machine_type_name);
-        g_strlcpy(machine->zone, parts[2], sizeof machine->zone);
-        machine->is_spot = strcmp(parts[3], "1") == 0;
-        g_clear_pointer(&machine->description, g_free);
-    }
-    g_strfreev(parts);
-}
-
-struct inventory_reader {
-    struct replica *replica;
-    struct machine_inventory *inventory;
-};
-
-static void add_machine_to_inventory(void *context, machine_id machine_name,
-                                     const char *description)
+void machine_apply_description(struct machine_record *machine, const char *text)
 {
-    struct inventory_reader *reader = context;
-    struct machine_record *machine =
-        replica_get_or_create_machine(reader->replica, machine_name.text);
-    if (!machine || machine->inventory == reader->inventory)
+    struct machine_description description;
+    bool has_own_key = machine->mod_revision.value != 0;
+    if (has_own_key || !machine_description_decode(text, &description))
         return;
-    machine_apply_description(machine, description);
-    if (machine->inventory)
-        g_ptr_array_remove_fast(machine->inventory->machines, machine);
-    machine->inventory = reader->inventory;
-    g_ptr_array_add(reader->inventory->machines, machine);
-}
-
-void replica_apply_inventory(struct replica *replica, const char *key, json_object *value,
-                             revision mod_revision)
-{
-    struct machine_inventory *inventory = g_hash_table_lookup(replica->inventories, key);
-    const char *text = "";
-    if (!inventory) {
-        char *label;
-        int number;
-        if (!value || !key_parse_page(key, &label, &number))
-            return;
-        inventory = g_new0(struct machine_inventory, 1);
-        inventory->key = g_strdup(key);
-        inventory->label = label;
-        inventory->number = number;
-        inventory->machines = g_ptr_array_new();
-        g_hash_table_insert(replica->inventories, inventory->key, inventory);
-    }
-    inventory->mod_revision = mod_revision;
-    GPtrArray *previous_machines = inventory->machines;
-    inventory->machines = g_ptr_array_new();
-    for (guint i = 0; i < previous_machines->len; i++)
-        ((struct machine_record *)previous_machines->pdata[i])->inventory = NULL;
-    struct inventory_reader reader = {replica, inventory};
-    json_get_text(value, "a", &text);
-    inventory_decode(text, add_machine_to_inventory, &reader);
-    for (guint i = 0; i < previous_machines->len; i++)
-        replica_remove_unused_machine(replica, previous_machines->pdata[i]);
-    g_ptr_array_unref(previous_machines);
-    struct replica_event event = {.kind = REPLICA_EVENT_INVENTORY};
-    g_strlcpy(event.page_key, key, sizeof event.page_key);
-    replica_add_event(replica, event);
-    if (!value)
-        g_hash_table_remove(replica->inventories, key);
+    g_strlcpy(machine->address, description.address, sizeof machine->address);
+    g_strlcpy(machine->machine_type_name, description.machine_type_name,
+              sizeof machine->machine_type_name);
+    g_strlcpy(machine->zone, description.zone, sizeof machine->zone);
+    machine->is_spot = description.is_spot;
+    g_clear_pointer(&machine->description, g_free);
 }
--- a/src/replica/read_barrier.c
+++ b/src/replica/read_barrier.c
@@ -1,8 +1,8 @@
+/** Callers that wait until the replica reflects a revision, and the read barrier on top of that. */
 #include "replica_internal.h"
 
-enum {
-    AWAIT_TIMEOUT_MS = 1800, /* until a waiter is told that its revision did not come */
-};
+/** How long a caller waits for its revision. */
+enum { AWAIT_TIMEOUT_MS = 1800 };
 
 struct revision_waiter {
     revision revision_needed;
@@ -16,49 +16,61 @@
     return g_array_new(FALSE, FALSE, sizeof(struct revision_waiter));
 }
 
+/** Removes a waiter and calls it back, which may add others. */
+static void finish_waiter(GArray *waiters, guint index, bool ok)
+{
+    struct revision_waiter waiter = g_array_index(waiters, struct revision_waiter, index);
+    g_array_remove_index(waiters, index);
+    waiter.callback(waiter.callback_arg, ok);
+}
+
+static bool reflects_revision(const struct replica *replica, revision revision_needed)
+{
+    return replica->is_ready && revision_needed.value <= replica->applied_revision.value;
+}
+
 void replica_notify_waiters(struct replica *replica)
 {
-    for (guint i = 0; i < replica->waiters->len;) {
-        struct revision_waiter waiter = g_array_index(replica->waiters, struct revision_waiter, i);
-        if (replica->is_ready && waiter.revision_needed.value <= replica->applied_revision.value) {
-            g_array_remove_index(replica->waiters, i);
-            waiter.callback(waiter.callback_arg, true);
-        } else {
+    GArray *waiters = replica->internal->waiters;
+    for (guint i = 0; i < waiters->len;) {
+        const struct revision_waiter *waiter = &g_array_index(waiters, struct revision_waiter, i);
+        if (reflects_revision(replica, waiter->revision_needed))
+            finish_waiter(waiters, i, true);
+        else
             i++;
-        }
     }
 }
 
-void replica_expire_waiters(void *arg)
+void replica_expire_waiters(struct replica *replica)
 {
-    struct replica *replica = arg;
+    GArray *waiters = replica->internal->waiters;
     mono_time now = loop_now(replica->loop);
-    for (guint i = 0; i < replica->waiters->len;) {
-        struct revision_waiter waiter = g_array_index(replica->waiters, struct revision_waiter, i);
-        if (time_before(waiter.deadline, now)) {
-            g_array_remove_index(replica->waiters, i);
-            waiter.callback(waiter.callback_arg, false);
-        } else {
+    for (guint i = 0; i < waiters->len;) {
+        const struct revision_waiter *waiter = &g_array_index(waiters, struct revision_waiter, i);
+        if (time_before(waiter->deadline, now))
+            finish_waiter(waiters, i, false);
+        else
             i++;
-        }
     }
-    replica_lookup_unknown_jobs(replica);
-    timer_start(replica->loop, &replica->expire_timer, EXPIRY_CHECK_INTERVAL_MS);
 }
 
 void replica_await_revision(struct replica *replica, revision revision_needed,
                             replica_callback callback, void *callback_arg)
 {
-    if (replica->is_ready && revision_needed.value <= replica->applied_revision.value) {
+    if (reflects_revision(replica, revision_needed)) {
         callback(callback_arg, true);
         return;
     }
-    struct revision_waiter waiter = {revision_needed,
-                                     time_add_ms(loop_now(replica->loop), AWAIT_TIMEOUT_MS),
-                                     callback, callback_arg};
-    g_array_append_val(replica->waiters, waiter);
+    struct revision_waiter waiter = {
+        .revision_needed = revision_needed,
+        .deadline = time_add_ms(loop_now(replica->loop), AWAIT_TIMEOUT_MS),
+        .callback = callback,
+        .callback_arg = callback_arg,
+    };
+    g_array_append_val(replica->internal->waiters, waiter);
 }
 
+/** A read barrier that was sent to the store. */
 struct pending_barrier {
     struct replica *replica;
     replica_callback callback;
--- a/src/replica/replica.c
+++ b/src/replica/replica.c
@@ -1,9 +1,51 @@
+/** The replica: its life, its events, and the dispatch of changed keys. */
 #include "replica_internal.h"
 
 enum {
-    MAX_FINISHED_JOBS = 20000, /* jobs that are over and kept in memory */
+    DEFAULT_MAX_FINISHED_JOBS = 20000,
+    EXPIRY_CHECK_INTERVAL_MS = 200,
 };
 
+/** Timer callback: ends waits that took too long, and looks for evicted jobs. */
+static void replica_on_expiry_timer(void *arg)
+{
+    struct replica *replica = arg;
+    replica_expire_waiters(replica);
+    replica_lookup_unknown_jobs(replica);
+    timer_start(replica->loop, &replica->internal->expiry_timer, EXPIRY_CHECK_INTERVAL_MS);
+}
+
+static struct replica_internal *internal_new(struct replica *replica)
+{
+    struct replica_internal *internal = g_new0(struct replica_internal, 1);
+    internal->mod_revisions = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    internal->listeners = g_ptr_array_new();
+    internal->pending_events = g_array_new(FALSE, TRUE, sizeof(struct replica_event));
+    internal->machine_type_parts =
+        g_hash_table_new_full(g_str_hash, g_str_equal, g_free, machine_type_part_free);
+    internal->waiters = replica_waiters_new();
+    internal->watch.bucket.refilled_at = loop_now(replica->loop);
+    g_queue_init(&internal->finished_job_ids);
+    timer_init(&internal->watch.timer, replica_watch, replica);
+    timer_init(&internal->expiry_timer, replica_on_expiry_timer, replica);
+    return internal;
+}
+
+static void internal_free(struct replica *replica)
+{
+    struct replica_internal *internal = replica->internal;
+    timer_stop(replica->loop, &internal->watch.timer);
+    timer_stop(replica->loop, &internal->expiry_timer);
+    g_hash_table_unref(internal->mod_revisions);
+    g_hash_table_unref(internal->machine_type_parts);
+    g_ptr_array_unref(internal->listeners);
+    g_array_unref(internal->pending_events);
+    g_array_unref(internal->waiters);
+    g_queue_clear_full(&internal->finished_job_ids, g_free);
+    replica_reload_clear(&internal->reload);
+    g_free(internal);
+}
+
 struct replica *replica_new(struct loop *loop, struct kv_client *kv)
 {
     struct replica *replica = g_new0(struct replica, 1);
@@ -15,29 +57,19 @@
     replica->inventories =
         g_hash_table_new_full(g_str_hash, g_str_equal, NULL, replica_inventory_free);
     replica->nodes = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, replica_node_free);
-    replica->machine_type_parts =
-        g_hash_table_new_full(g_str_hash, g_str_equal, g_free, machine_type_part_free);
-    replica->singleton_roles = role_records_new();
     replica->announced_versions = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    replica->singleton_roles = role_records_new();
     replica->job_dag = job_dag_new(replica_on_job_dag_change, replica);
     replica->shard_map = g_array_new(FALSE, FALSE, sizeof(struct shard_map_entry));
     g_array_set_clear_func(replica->shard_map, shard_map_entry_clear);
-    replica->mod_revisions = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    replica->listeners = g_ptr_array_new();
-    replica->pending_events = g_array_new(FALSE, TRUE, sizeof(struct replica_event));
-    replica->waiters = replica_waiters_new();
-    replica->watch_refilled_at = loop_now(loop);
-    replica->max_finished_jobs = MAX_FINISHED_JOBS;
-    g_queue_init(&replica->finished_job_ids);
-    timer_init(&replica->watch_timer, replica_watch, replica);
-    timer_init(&replica->expire_timer, replica_expire_waiters, replica);
+    replica->max_finished_jobs = DEFAULT_MAX_FINISHED_JOBS;
+    replica->internal = internal_new(replica);
     return replica;
 }
 
 void replica_free(struct replica *replica)
 {
-    timer_stop(replica->loop, &replica->watch_timer);
-    timer_stop(replica->loop, &replica->expire_timer);
+    internal_free(replica);
     g_hash_table_unref(replica->pages);
     g_hash_table_unref(replica->inventories);
     g_hash_table_unref(replica->machines);
@@ -49,27 +81,18 @@
     g_array_unref(replica->shard_map);
     if (replica->machine_types)
         g_array_unref(replica->machine_types);
-    g_hash_table_unref(replica->machine_type_parts);
-    g_hash_table_unref(replica->mod_revisions);
-    if (replica->reload_seen_keys)
-        g_hash_table_unref(replica->reload_seen_keys);
-    g_free(replica->reload_last_key);
-    g_ptr_array_unref(replica->listeners);
-    g_array_unref(replica->pending_events);
-    g_array_unref(replica->waiters);
-    g_queue_clear_full(&replica->finished_job_ids, g_free);
     g_free(replica->leader_label);
     g_free(replica);
 }
 
 void replica_add_listener(struct replica *replica, struct actor *listener)
 {
-    g_ptr_array_add(replica->listeners, listener);
+    g_ptr_array_add(replica->internal->listeners, listener);
 }
 
 void replica_start(struct replica *replica)
 {
-    timer_start(replica->loop, &replica->expire_timer, EXPIRY_CHECK_INTERVAL_MS);
+    timer_start(replica->loop, &replica->internal->expiry_timer, EXPIRY_CHECK_INTERVAL_MS);
     replica_reload(replica);
 }
 
@@ -90,84 +113,134 @@
         g_strlcpy(out, text, size);
 }
 
+/* ---- events ---- */
+
 void replica_add_event(struct replica *replica, struct replica_event event)
 {
-    g_array_append_val(replica->pending_events, event);
+    g_array_append_val(replica->internal->pending_events, event);
+}
+
+void replica_add_page_event(struct replica *replica, enum replica_event_kind kind, const char *key)
+{
+    struct replica_event event = {.kind = kind};
+    g_strlcpy(event.page_key, key, sizeof event.page_key);
+    replica_add_event(replica, event);
+}
+
+static void unref_events(gpointer events)
+{
+    g_array_unref(events);
 }
 
-static void unref_events(gpointer p)
+void replica_publish_events(struct replica *replica)
 {
-    g_array_unref(p);
+    struct replica_internal *internal = replica->internal;
+    replica_evict_finished_jobs(replica);
+    if (internal->pending_events->len && replica->is_ready) {
+        for (guint i = 0; i < internal->listeners->len; i++)
+            actor_send(replica->loop, internal->listeners->pdata[i], MSG_REPLICA,
+                       g_array_ref(internal->pending_events), unref_events);
+        g_array_unref(internal->pending_events);
+        internal->pending_events = g_array_new(FALSE, TRUE, sizeof(struct replica_event));
+    }
+    replica_notify_waiters(replica);
+}
+
+/* ---- finished jobs ---- */
+
+static void evict_job(struct replica *replica, job_id id)
+{
+    char *key = key_job(id);
+    g_hash_table_remove(replica->internal->mod_revisions, key);
+    g_free(key);
+    g_hash_table_remove(replica->jobs, id.text);
+    replica->has_evicted_jobs = true;
 }
 
 void replica_evict_finished_jobs(struct replica *replica)
 {
-    for (guint n = replica->finished_job_ids.length; n > replica->max_finished_jobs; n--) {
-        char *id = g_queue_pop_head(&replica->finished_job_ids);
+    GQueue *ids = &replica->internal->finished_job_ids;
+    for (guint n = ids->length; n > replica->max_finished_jobs; n--) {
+        char *id = g_queue_pop_head(ids);
         struct job *job = replica_get_job(replica, id);
         if (job && job->run_records) { /* a page still names it */
-            g_queue_push_tail(&replica->finished_job_ids, id);
+            g_queue_push_tail(ids, id);
             continue;
         }
-        if (job) {
-            char *key = key_job(job->id);
-            g_hash_table_remove(replica->mod_revisions, key);
-            g_free(key);
-            g_hash_table_remove(replica->jobs, id);
-            replica->has_evicted_jobs = true;
-        }
+        if (job)
+            evict_job(replica, job->id);
         g_free(id);
     }
 }
 
-void replica_publish_events(struct replica *replica)
+/* ---- dispatch ---- */
+
+static void apply_legacy_records(struct replica *replica, const struct key_update *update)
 {
-    replica_evict_finished_jobs(replica);
-    if (replica->pending_events->len && replica->is_ready) {
-        for (guint i = 0; i < replica->listeners->len; i++)
-            actor_send(replica->loop, replica->listeners->pdata[i], MSG_REPLICA,
-                       g_array_ref(replica->pending_events), unref_events);
-        g_array_unref(replica->pending_events);
-        replica->pending_events = g_array_new(FALSE, TRUE, sizeof(struct replica_event));
+    if (update->value)
+        replica->internal->has_legacy_records = true;
+}
+
+/** Which function applies the values of a kind of keys. */
+struct key_handler {
+    const char *prefix;
+    /** The prefix is the whole key. */
+    bool is_whole_key;
+    void (*apply)(struct replica *replica, const struct key_update *update);
+};
+
+static const struct key_handler key_handlers[] = {
+    {KEY_JOB_PREFIX, false, replica_apply_job},
+    {KEY_MACHINE_PREFIX, false, replica_apply_machine},
+    {KEY_PAGE_PREFIX, false, replica_apply_page},
+    {KEY_LEGACY_RECORDS_PREFIX, false, apply_legacy_records},
+    {KEY_NODE_PREFIX, false, replica_apply_node},
+    {KEY_INVENTORY_PREFIX, false, replica_apply_inventory},
+    {KEY_VERSION_PREFIX, false, replica_apply_version},
+    {KEY_LEADER, true, replica_apply_leader},
+    {KEY_MAP, true, replica_apply_shard_map},
+    {KEY_FEATURES, true, replica_apply_features},
+    {KEY_TYPES, false, replica_apply_machine_types},
+    {KEY_ROOT, false, replica_apply_singleton_role},
+};
+
+static bool handles_key(const struct key_handler *handler, const char *key)
+{
+    return handler->is_whole_key ? strcmp(key, handler->prefix) == 0
+                                 : g_str_has_prefix(key, handler->prefix);
+}
+
+static void dispatch_update(struct replica *replica, struct key_update update)
+{
+    for (guint i = 0; i < G_N_ELEMENTS(key_handlers); i++) {
+        const struct key_handler *handler = &key_handlers[i];
+        if (!handles_key(handler, update.key))
+            continue;
+        update.name = update.key + strlen(handler->prefix);
+        handler->apply(replica, &update);
+        return;
     }
-    replica_notify_waiters(replica);
+}
+
+/** Whether the replica has a newer value already, or this one, from a page read after the watch. */
+static bool is_outdated(const revision *known, json_object *value, revision mod_revision)
+{
+    if (!known)
+        return false;
+    return value ? known->value >= mod_revision.value : known->value > mod_revision.value;
 }
 
 void replica_apply(struct replica *replica, const char *key, json_object *value,
                    revision mod_revision)
 {
-    revision *known_revision = g_hash_table_lookup(replica->mod_revisions, key);
-    if (known_revision && known_revision->value >= mod_revision.value && value)
-        return; /* read already, in a page that was newer than the watch */
-    if (known_revision && known_revision->value > mod_revision.value)
+    GHashTable *mod_revisions = replica->internal->mod_revisions;
+    if (is_outdated(g_hash_table_lookup(mod_revisions, key), value, mod_revision))
         return;
     if (value)
-        g_hash_table_replace(replica->mod_revisions, g_strdup(key),
+        g_hash_table_replace(mod_revisions, g_strdup(key),
                              g_memdup2(&mod_revision, sizeof mod_revision));
     else
-        g_hash_table_remove(replica->mod_revisions, key);
-    if (g_str_has_prefix(key, "ll/j/"))
-        replica_apply_job(replica, key + 5, value, mod_revision);
-    else if (g_str_has_prefix(key, "ll/h/"))
-        replica_apply_machine(replica, key + 5, value, mod_revision);
-    else if (g_str_has_prefix(key, "ll/p/"))
-        replica_apply_page(replica, key, value, mod_revision);
-    else if (g_str_has_prefix(key, "ll/m/") && value)
-        replica->has_legacy_records = true;
-    else if (g_str_has_prefix(key, "ll/n/"))
-        replica_apply_node(replica, key + 5, value, mod_revision);
-    else if (g_str_has_prefix(key, "ll/a/"))
-        replica_apply_inventory(replica, key, value, mod_revision);
-    else if (g_str_has_prefix(key, "ll/v/"))
-        replica_apply_version(replica, key + 5, value);
-    else if (strcmp(key, KEY_LEADER) == 0)
-        replica_apply_leader(replica, value, mod_revision);
-    else if (strcmp(key, KEY_MAP) == 0)
-        replica_apply_shard_map(replica, value, mod_revision);
-    else if (strcmp(key, KEY_FEATURES) == 0)
-        replica_apply_features(replica, value, mod_revision);
-    else if (g_str_has_prefix(key, KEY_TYPES))
-        replica_apply_machine_types(replica, key, value, mod_revision);
-    else
-        replica_apply_singleton_role(replica, key, value, mod_revision);
+        g_hash_table_remove(mod_revisions, key);
+    dispatch_update(replica,
+                    (struct key_update){.key = key, .value = value, .mod_revision = mod_revision});
 }
