--- a/src/base/types.h
+++ b/src/base/types.h
@@ -1,4 +1,7 @@
-/* Small types of their own for ids, versions and times, so that one cannot be taken for another. */
+/**
+ * Types for ids, revisions, times and amounts. Each is a struct of its own, so that the compiler
+ * refuses one in place of another.
+ */
 #ifndef LL_TYPES_H
 #define LL_TYPES_H
 
@@ -7,53 +10,59 @@
 #include <stdint.h>
 #include <string.h>
 
-/* Tables that remember something of machines hold at least so many: 4,000, and half as many again.
- * Beyond that they forget, and nothing is refused. */
+/**
+ * How many machines tables hold that keep facts about them: the largest fleet is 4,000 machines,
+ * and half as many again may come and go. A full table forgets; it never refuses.
+ */
 enum { MAX_TRACKED_MACHINES = 6000 };
 
-/* A moment of this machine's steady clock. */
+/** A moment on this machine's monotonic clock, in microseconds. */
 typedef struct {
     int64_t us;
 } mono_time;
 
-/* A moment of the time of day. */
+/** A moment of the wall clock, in milliseconds since 1970. */
 typedef struct {
     int64_t ms;
 } wall_time;
 
-/* A revision of the state service; a key's version is the revision of its last change. 0: no key.
+/**
+ * A revision of the key-value store. A key's mod_revision is that of its last write; 0: there is no
+ * such key.
  */
 typedef struct {
     uint64_t value;
 } revision;
 
-/* The map's epoch. It is the token that workers see, and only ever rises. */
+/** An epoch of the shard map. It only rises, and is the fencing token that agents compare. */
 typedef struct {
     uint64_t value;
 } epoch_no;
 
-/* One start of a task. Never used twice: see quota_ledger_next_attempt. */
+/** The number of one start of a task; never used twice. See quota_ledger_next_attempt. */
 typedef struct {
     uint64_t value;
 } attempt_no;
 
-/* A lease of the state service. */
+/** A lease of the key-value store; 0: none. */
 typedef struct {
     uint64_t value;
 } lease_id;
 
-/* A job's id as its user chose it. */
+/** A job's id, as its user chose it. */
 typedef struct {
     char text[48];
 } job_id;
 
-/* A machine's name as the cloud gave it. */
+/** A machine's id, as the cloud gave it. */
 typedef struct {
     char text[48];
 } machine_id;
 
-/* Processors, cards or memory, in thousandths: sums stay exact, so that a limit is never passed by
- * a rounding error. */
+/**
+ * CPUs, GPUs or gigabytes of memory, in thousandths: sums are exact, so that rounding errors never
+ * pass a limit.
+ */
 typedef struct {
     int64_t milli;
 } amount;
@@ -63,6 +72,7 @@
     return (mono_time){t.us + ms * 1000};
 }
 
+/** Milliseconds from then to now, rounded towards zero. */
 static inline int64_t time_ms_since(mono_time now, mono_time then)
 {
     return (now.us - then.us) / 1000;
@@ -83,7 +93,7 @@
     return strcmp(a.text, b.text) == 0;
 }
 
-/* False when the text is too long for an id or holds a character that keys cannot carry. */
+/** Parses an id; false: empty, too long, or with a character that is not allowed in keys. */
 bool job_id_parse(job_id *out, const char *text);
 bool machine_id_parse(machine_id *out, const char *text);
 
--- a/src/wire/cloud_codec.c
+++ b/src/wire/cloud_codec.c
@@ -1,8 +1,12 @@
-#include "codec.h"
-#include "json_fields.h"
+/** Codec of the cloud's messages: see cloud_codec.h. */
+#include "cloud_codec.h"
+#include "protocol_words.h"
 
+/** In the order of enum cloud_machine_stage. */
 static const char *const stage_words[] = {"booting", "running", "failed"};
 
+static const double MILLI = 1000;
+
 static void clear_machine_type(gpointer p)
 {
     g_strfreev(((struct machine_type *)p)->zones);
@@ -11,16 +15,16 @@
 static bool machine_type_decode(json_object *object, struct machine_type *type)
 {
     memset(type, 0, sizeof *type);
-    json_object *zones = json_get_array(object, "Yards");
-    if (!json_copy_text(object, "Label", type->name, sizeof type->name) ||
-        !json_get_amount(object, "Vcpus", &type->cpus) ||
-        !json_get_amount(object, "Cards", &type->gpus) ||
-        !json_get_amount(object, "MemoryGb", &type->memory) ||
-        !json_get_number(object, "LocalGb", &type->image_cache_gb) ||
-        !json_get_number(object, "FetchGbPerS", &type->fetch_gb_per_s) ||
-        !json_get_number(object, "Price", &type->price) ||
-        !json_get_number(object, "MarketPrice", &type->spot_price) ||
-        !json_get_number(object, "ReadyS", &type->boot_time_s) || !zones)
+    json_object *zones = json_get_array(object, FIELD_ZONES);
+    if (!json_copy_text(object, FIELD_TYPE_NAME, type->name, sizeof type->name) ||
+        !json_get_amount(object, FIELD_CPUS, &type->cpus) ||
+        !json_get_amount(object, FIELD_GPUS, &type->gpus) ||
+        !json_get_amount(object, FIELD_MEMORY_GB, &type->memory) ||
+        !json_get_number(object, FIELD_IMAGE_CACHE_GB, &type->image_cache_gb) ||
+        !json_get_number(object, FIELD_FETCH_GB_PER_S, &type->fetch_gb_per_s) ||
+        !json_get_number(object, FIELD_PRICE, &type->price) ||
+        !json_get_number(object, FIELD_SPOT_PRICE, &type->spot_price) ||
+        !json_get_number(object, FIELD_BOOT_TIME_S, &type->boot_time_s) || !zones)
         return false;
     size_t zone_count = json_object_array_length(zones);
     type->zones = g_new0(char *, zone_count + 1);
@@ -31,7 +35,7 @@
 
 GArray *machine_types_decode(json_object *object)
 {
-    json_object *list = json_get_array(object, "Builds");
+    json_object *list = json_get_array(object, FIELD_MACHINE_TYPES);
     if (!list)
         return NULL;
     GArray *types = g_array_new(FALSE, FALSE, sizeof(struct machine_type));
@@ -47,86 +51,98 @@
     return types;
 }
 
+static json_object *machine_type_encode(const struct machine_type *type)
+{
+    json_object *object = json_object_new_object(), *zones = json_object_new_array();
+    json_put_text(object, FIELD_TYPE_NAME, type->name);
+    json_put_number(object, FIELD_CPUS, type->cpus.milli / MILLI);
+    json_put_number(object, FIELD_GPUS, type->gpus.milli / MILLI);
+    json_put_number(object, FIELD_MEMORY_GB, type->memory.milli / MILLI);
+    json_put_number(object, FIELD_IMAGE_CACHE_GB, type->image_cache_gb);
+    json_put_number(object, FIELD_FETCH_GB_PER_S, type->fetch_gb_per_s);
+    json_put_number(object, FIELD_PRICE, type->price);
+    json_put_number(object, FIELD_SPOT_PRICE, type->spot_price);
+    json_put_number(object, FIELD_BOOT_TIME_S, type->boot_time_s);
+    for (char **zone = type->zones; *zone; zone++)
+        json_object_array_add(zones, json_object_new_string(*zone));
+    json_object_object_add(object, FIELD_ZONES, zones);
+    return object;
+}
+
 json_object *machine_types_encode(const GArray *types)
 {
     json_object *object = json_object_new_object(), *list = json_object_new_array();
-    for (guint i = 0; i < types->len; i++) {
-        const struct machine_type *type = &g_array_index(types, struct machine_type, i);
-        json_object *item = json_object_new_object(), *zones = json_object_new_array();
-        json_put_text(item, "Label", type->name);
-        json_put_number(item, "Vcpus", type->cpus.milli / 1000.0);
-        json_put_number(item, "Cards", type->gpus.milli / 1000.0);
-        json_put_number(item, "MemoryGb", type->memory.milli / 1000.0);
-        json_put_number(item, "LocalGb", type->image_cache_gb);
-        json_put_number(item, "FetchGbPerS", type->fetch_gb_per_s);
-        json_put_number(item, "Price", type->price);
-        json_put_number(item, "MarketPrice", type->spot_price);
-        json_put_number(item, "ReadyS", type->boot_time_s);
-        for (int k = 0; type->zones[k]; k++)
-            json_object_array_add(zones, json_object_new_string(type->zones[k]));
-        json_object_object_add(item, "Yards", zones);
-        json_object_array_add(list, item);
-    }
-    json_object_object_add(object, "Builds", list);
+    for (guint i = 0; i < types->len; i++)
+        json_object_array_add(list,
+                              machine_type_encode(&g_array_index(types, struct machine_type, i)));
+    json_object_object_add(object, FIELD_MACHINE_TYPES, list);
     return object;
 }
 
+static bool listed_machine_decode(json_object *object, struct listed_machine *machine)
+{
+    const char *stage;
+    char id[sizeof machine->id.text];
+    memset(machine, 0, sizeof *machine);
+    if (!json_copy_text(object, FIELD_ID, id, sizeof id) || !machine_id_parse(&machine->id, id) ||
+        !json_copy_text(object, FIELD_MACHINE_TYPE, machine->machine_type_name,
+                        sizeof machine->machine_type_name) ||
+        !json_copy_text(object, FIELD_ZONE, machine->zone, sizeof machine->zone) ||
+        !json_get_bool(object, FIELD_SPOT, &machine->is_spot) ||
+        !json_get_text(object, FIELD_STAGE, &stage))
+        return false;
+    int stage_index = WORD_INDEX(stage_words, stage);
+    if (stage_index < 0)
+        return false;
+    machine->stage = stage_index;
+    json_copy_text(object, FIELD_ADDRESS, machine->address, sizeof machine->address);
+    json_get_number(object, FIELD_AGE_S, &machine->age_s);
+    return true;
+}
+
 GArray *cloud_machines_decode(json_object *object, bool *more)
 {
-    json_object *list = json_get_array(object, "Masts");
-    if (!list || !json_get_bool(object, "More", more))
+    json_object *list = json_get_array(object, FIELD_MACHINES);
+    if (!list || !json_get_bool(object, FIELD_MORE, more))
         return NULL;
-    GArray *out = g_array_new(FALSE, TRUE, sizeof(struct listed_machine));
+    GArray *machines = g_array_new(FALSE, TRUE, sizeof(struct listed_machine));
     for (size_t i = 0; i < json_object_array_length(list); i++) {
-        json_object *item = json_object_array_get_idx(list, i);
-        struct listed_machine rental = {0};
-        const char *stage;
-        char id[48];
-        int stage_index;
-        if (!json_copy_text(item, "Id", id, sizeof id) || !machine_id_parse(&rental.id, id) ||
-            !json_copy_text(item, "Build", rental.machine_type_name,
-                            sizeof rental.machine_type_name) ||
-            !json_copy_text(item, "Yard", rental.zone, sizeof rental.zone) ||
-            !json_get_bool(item, "Loaners", &rental.is_spot) ||
-            !json_get_text(item, "Stage", &stage) ||
-            (stage_index = WORD_INDEX(stage_words, stage)) < 0) {
-            g_array_unref(out);
+        struct listed_machine machine;
+        if (!listed_machine_decode(json_object_array_get_idx(list, i), &machine)) {
+            g_array_unref(machines);
             return NULL;
         }
-        json_copy_text(item, "Address", rental.address, sizeof rental.address);
-        json_get_number(item, "HeldS", &rental.age_s);
-        rental.stage = stage_index;
-        g_array_append_val(out, rental);
+        g_array_append_val(machines, machine);
     }
-    return out;
+    return machines;
 }
 
 char *scale_out_request_encode(const char *request_id, const char *type_name, const char *zone,
                                bool is_spot, int machine_count)
 {
     json_object *object = json_object_new_object();
-    json_put_text(object, "Charter", request_id);
-    json_put_text(object, "Build", type_name);
-    json_put_text(object, "Yard", zone);
-    json_put_bool(object, "Loaners", is_spot);
-    json_object_object_add(object, "Number", json_object_new_int(machine_count));
+    json_put_text(object, FIELD_REQUEST_ID, request_id);
+    json_put_text(object, FIELD_MACHINE_TYPE, type_name);
+    json_put_text(object, FIELD_ZONE, zone);
+    json_put_bool(object, FIELD_SPOT, is_spot);
+    json_object_object_add(object, FIELD_MACHINE_COUNT, json_object_new_int(machine_count));
     return json_to_text_and_free(object);
 }
 
 GArray *scale_out_response_decode(json_object *object)
 {
-    json_object *list = json_get_array(object, "Masts");
+    json_object *list = json_get_array(object, FIELD_MACHINES);
     if (!list)
         return NULL;
-    GArray *out = g_array_new(FALSE, TRUE, sizeof(machine_id));
+    GArray *machines = g_array_new(FALSE, TRUE, sizeof(machine_id));
     for (size_t i = 0; i < json_object_array_length(list); i++) {
         json_object *item = json_object_array_get_idx(list, i);
         machine_id id;
         if (json_object_is_type(item, json_type_string) &&
             machine_id_parse(&id, json_object_get_string(item)))
-            g_array_append_val(out, id);
+            g_array_append_val(machines, id);
     }
-    return out;
+    return machines;
 }
 
 char *scale_in_request_encode(const machine_id *machines, guint machine_count)
@@ -134,6 +150,6 @@
     json_object *object = json_object_new_object(), *list = json_object_new_array();
     for (guint i = 0; i < machine_count; i++)
         json_object_array_add(list, json_object_new_string(machines[i].text));
-    json_object_object_add(object, "Masts", list);
+    json_object_object_add(object, FIELD_MACHINES, list);
     return json_to_text_and_free(object);
 }
--- a/src/wire/image_cache.c
+++ b/src/wire/image_cache.c
@@ -1,8 +1,9 @@
+/** Cached images of a machine: see image_cache.h. */
 #include "image_cache.h"
 
-static void release_image(gpointer q)
+static void release_image(gpointer image)
 {
-    g_ref_string_release(q);
+    g_ref_string_release(image);
 }
 
 GPtrArray *image_cache_new(void)
--- a/src/wire/job_codec.c
+++ b/src/wire/job_codec.c
@@ -1,8 +1,21 @@
-#include "codec.h"
-#include "json_fields.h"
+/** Codec of the messages of users: see job_codec.h. */
+#include "job_codec.h"
+#include "protocol_words.h"
 
-enum { MAX_DEPENDENCIES = 100 }; /* that one job may name */
+#include <stdlib.h>
 
+enum {
+    MAX_DEPENDENCIES = 100,
+    MAX_TASKS = 100000,
+    MAX_NAME_CHARS = 200,
+    MAX_MACHINE_TYPE_NAMES = 64,
+    MAX_MACHINE_TYPE_NAME_CHARS = 100,
+};
+
+static const double MAX_NUMBER = 1e9;
+static const double MILLI = 1000;
+
+/** In the order of enum job_form and of enum job_priority. */
 static const char *const form_words[] = {"sweep", "gang", "daemon"};
 static const char *const priority_words[] = {"prod", "high", "normal", "best_effort"};
 
@@ -26,41 +39,41 @@
 static bool decode_name(json_object *object, const char *field, char **out)
 {
     const char *text;
-    if (!json_get_text(object, field, &text) || !*text || strlen(text) > 200)
+    if (!json_get_text(object, field, &text) || !*text || strlen(text) > MAX_NAME_CHARS)
         return false;
     *out = g_strdup(text);
     return true;
 }
 
-/* Compared by address: images are looked up for every machine that might be chosen. */
+/** Interns the name: images are looked up for every machine that might be chosen. */
 static bool decode_image(json_object *object, char **out)
 {
     char *name = NULL;
-    if (!decode_name(object, "Mould", &name))
+    if (!decode_name(object, FIELD_IMAGE, &name))
         return false;
     *out = g_ref_string_new_intern(name);
     g_free(name);
     return true;
 }
 
-static bool decode_duration(json_object *object, const char *field, double *out)
+static bool decode_non_negative(json_object *object, const char *field, double *out)
 {
-    return json_get_number(object, field, out) && *out >= 0 && *out < 1e9;
+    return json_get_number(object, field, out) && *out >= 0 && *out < MAX_NUMBER;
 }
 
 static bool decode_machine_type_names(json_object *object, char ***out)
 {
-    if (json_is_absent(object, "Builds"))
+    if (json_is_absent(object, FIELD_MACHINE_TYPES))
         return true;
-    json_object *list = json_get_array(object, "Builds");
-    if (!list || json_object_array_length(list) > 64)
+    json_object *list = json_get_array(object, FIELD_MACHINE_TYPES);
+    if (!list || json_object_array_length(list) > MAX_MACHINE_TYPE_NAMES)
         return false;
     GPtrArray *names = g_ptr_array_new();
     bool ok = true;
     for (size_t i = 0; i < json_object_array_length(list); i++) {
         json_object *item = json_object_array_get_idx(list, i);
         ok = ok && json_object_is_type(item, json_type_string) &&
-             json_object_get_string_len(item) <= 100;
+             json_object_get_string_len(item) <= MAX_MACHINE_TYPE_NAME_CHARS;
         g_ptr_array_add(names, g_strdup(json_object_get_string(item)));
     }
     g_ptr_array_add(names, NULL);
@@ -80,43 +93,65 @@
 
 static bool decode_user_job_id(job_id *out, const char *text)
 {
-    return g_str_has_prefix(text, "wk-") && text[3] && job_id_parse(out, text);
+    return g_str_has_prefix(text, JOB_ID_PREFIX) && text[strlen(JOB_ID_PREFIX)] &&
+           job_id_parse(out, text);
 }
 
 bool job_spec_decode_id(json_object *object, job_id *out)
 {
     const char *text;
-    return json_get_text(object, "Id", &text) && decode_user_job_id(out, text);
+    return json_get_text(object, FIELD_ID, &text) && decode_user_job_id(out, text);
 }
 
-bool job_spec_decode(json_object *object, struct job_spec *spec)
+/** Who submits what, and how many tasks. */
+static bool decode_identity(json_object *object, struct job_spec *spec)
 {
-    memset(spec, 0, sizeof *spec);
-    spec->deadline_s = -1;
     int form = 0, priority = 0;
     uint64_t task_count = 0;
-    bool ok =
-        job_spec_decode_id(object, &spec->id) && decode_name(object, "Lot", &spec->job_class) &&
-        decode_name(object, "Crew", &spec->team_name) && decode_image(object, &spec->image) &&
-        decode_word(object, "Form", form_words, G_N_ELEMENTS(form_words), &form) &&
-        decode_word(object, "Urgency", priority_words, G_N_ELEMENTS(priority_words), &priority) &&
-        json_get_u64(object, "Pieces", &task_count) && task_count >= 1 && task_count <= 100000 &&
-        json_get_amount(object, "Vcpus", &spec->cpus) &&
-        json_get_amount(object, "Cards", &spec->gpus) &&
-        json_get_amount(object, "MemoryGb", &spec->memory) &&
-        decode_duration(object, "ImageGb", &spec->image_gb) &&
-        decode_machine_type_names(object, &spec->machine_type_names) &&
-        (json_is_absent(object, "Yard") || decode_name(object, "Yard", &spec->zone)) &&
-        json_get_bool(object, "OneZone", &spec->needs_single_zone) &&
-        json_get_bool(object, "Apart", &spec->needs_separate_zones) &&
-        json_get_bool(object, "Loaners", &spec->may_use_spot) &&
-        decode_duration(object, "ExpectedS", &spec->expected_run_s) &&
-        decode_duration(object, "MarkEveryS", &spec->checkpoint_interval_s) &&
-        decode_duration(object, "StowS", &spec->checkpoint_save_s) &&
-        (json_is_absent(object, "DueS") || decode_duration(object, "DueS", &spec->deadline_s));
+    bool ok = job_spec_decode_id(object, &spec->id) &&
+              decode_name(object, FIELD_JOB_CLASS, &spec->job_class) &&
+              decode_name(object, FIELD_TEAM, &spec->team_name) &&
+              decode_image(object, &spec->image) &&
+              decode_word(object, FIELD_FORM, form_words, G_N_ELEMENTS(form_words), &form) &&
+              decode_word(object, FIELD_PRIORITY, priority_words, G_N_ELEMENTS(priority_words),
+                          &priority) &&
+              json_get_u64(object, FIELD_TASK_COUNT, &task_count) && task_count >= 1 &&
+              task_count <= MAX_TASKS;
     spec->form = form;
     spec->priority = priority;
     spec->task_count = (uint32_t)task_count;
+    return ok;
+}
+
+/** What each task takes, and where it may run. */
+static bool decode_requirements(json_object *object, struct job_spec *spec)
+{
+    return json_get_amount(object, FIELD_CPUS, &spec->cpus) &&
+           json_get_amount(object, FIELD_GPUS, &spec->gpus) &&
+           json_get_amount(object, FIELD_MEMORY_GB, &spec->memory) &&
+           decode_non_negative(object, FIELD_IMAGE_GB, &spec->image_gb) &&
+           decode_machine_type_names(object, &spec->machine_type_names) &&
+           (json_is_absent(object, FIELD_ZONE) || decode_name(object, FIELD_ZONE, &spec->zone)) &&
+           json_get_bool(object, FIELD_SINGLE_ZONE, &spec->needs_single_zone) &&
+           json_get_bool(object, FIELD_SEPARATE_ZONES, &spec->needs_separate_zones) &&
+           json_get_bool(object, FIELD_SPOT, &spec->may_use_spot);
+}
+
+static bool decode_times(json_object *object, struct job_spec *spec)
+{
+    return decode_non_negative(object, FIELD_EXPECTED_RUN_S, &spec->expected_run_s) &&
+           decode_non_negative(object, FIELD_CHECKPOINT_INTERVAL_S, &spec->checkpoint_interval_s) &&
+           decode_non_negative(object, FIELD_CHECKPOINT_SAVE_S, &spec->checkpoint_save_s) &&
+           (json_is_absent(object, FIELD_DEADLINE_S) ||
+            decode_non_negative(object, FIELD_DEADLINE_S, &spec->deadline_s));
+}
+
+bool job_spec_decode(json_object *object, struct job_spec *spec)
+{
+    memset(spec, 0, sizeof *spec);
+    spec->deadline_s = -1;
+    bool ok = decode_identity(object, spec) && decode_requirements(object, spec) &&
+              decode_times(object, spec);
     if (!ok)
         job_spec_clear(spec);
     return ok;
@@ -132,9 +167,9 @@
 
 bool job_spec_decode_dependencies(json_object *object, struct job_spec *spec)
 {
-    if (json_is_absent(object, "Awaits"))
+    if (json_is_absent(object, FIELD_DEPENDENCIES))
         return true;
-    json_object *list = json_get_array(object, "Awaits");
+    json_object *list = json_get_array(object, FIELD_DEPENDENCIES);
     size_t count = list ? json_object_array_length(list) : 0;
     if (!list || count > MAX_DEPENDENCIES)
         return false;
@@ -153,53 +188,78 @@
     return true;
 }
 
+static json_object *encode_dependencies(const struct job_spec *spec)
+{
+    json_object *list = json_object_new_array();
+    for (guint i = 0; i < spec->dependency_count; i++)
+        json_object_array_add(list, json_object_new_string(spec->dependencies[i].text));
+    return list;
+}
+
+static json_object *encode_texts(char *const *texts)
+{
+    json_object *list = json_object_new_array();
+    for (; *texts; texts++)
+        json_object_array_add(list, json_object_new_string(*texts));
+    return list;
+}
+
 json_object *job_spec_encode(const struct job_spec *spec)
 {
     json_object *object = json_object_new_object();
-    json_put_text(object, "Id", spec->id.text);
-    json_put_text(object, "Lot", spec->job_class);
-    json_put_text(object, "Crew", spec->team_name);
-    json_put_text(object, "Mould", spec->image);
-    json_put_text(object, "Form", form_words[spec->form]);
-    json_put_text(object, "Urgency", priority_words[spec->priority]);
-    json_put_u64(object, "Pieces", spec->task_count);
-    json_put_number(object, "Vcpus", spec->cpus.milli / 1000.0);
-    json_put_number(object, "Cards", spec->gpus.milli / 1000.0);
-    json_put_number(object, "MemoryGb", spec->memory.milli / 1000.0);
-    json_put_number(object, "ImageGb", spec->image_gb);
-    if (spec->machine_type_names) {
-        json_object *list = json_object_new_array();
-        for (int i = 0; spec->machine_type_names[i]; i++)
-            json_object_array_add(list, json_object_new_string(spec->machine_type_names[i]));
-        json_object_object_add(object, "Builds", list);
-    }
+    json_put_text(object, FIELD_ID, spec->id.text);
+    json_put_text(object, FIELD_JOB_CLASS, spec->job_class);
+    json_put_text(object, FIELD_TEAM, spec->team_name);
+    json_put_text(object, FIELD_IMAGE, spec->image);
+    json_put_text(object, FIELD_FORM, form_words[spec->form]);
+    json_put_text(object, FIELD_PRIORITY, priority_words[spec->priority]);
+    json_put_u64(object, FIELD_TASK_COUNT, spec->task_count);
+    json_put_number(object, FIELD_CPUS, spec->cpus.milli / MILLI);
+    json_put_number(object, FIELD_GPUS, spec->gpus.milli / MILLI);
+    json_put_number(object, FIELD_MEMORY_GB, spec->memory.milli / MILLI);
+    json_put_number(object, FIELD_IMAGE_GB, spec->image_gb);
+    if (spec->machine_type_names)
+        json_object_object_add(object, FIELD_MACHINE_TYPES, encode_texts(spec->machine_type_names));
     if (spec->zone)
-        json_put_text(object, "Yard", spec->zone);
-    json_put_bool(object, "OneZone", spec->needs_single_zone);
-    json_put_bool(object, "Apart", spec->needs_separate_zones);
-    json_put_bool(object, "Loaners", spec->may_use_spot);
-    json_put_number(object, "ExpectedS", spec->expected_run_s);
-    json_put_number(object, "MarkEveryS", spec->checkpoint_interval_s);
-    json_put_number(object, "StowS", spec->checkpoint_save_s);
+        json_put_text(object, FIELD_ZONE, spec->zone);
+    json_put_bool(object, FIELD_SINGLE_ZONE, spec->needs_single_zone);
+    json_put_bool(object, FIELD_SEPARATE_ZONES, spec->needs_separate_zones);
+    json_put_bool(object, FIELD_SPOT, spec->may_use_spot);
+    json_put_number(object, FIELD_EXPECTED_RUN_S, spec->expected_run_s);
+    json_put_number(object, FIELD_CHECKPOINT_INTERVAL_S, spec->checkpoint_interval_s);
+    json_put_number(object, FIELD_CHECKPOINT_SAVE_S, spec->checkpoint_save_s);
     if (spec->deadline_s >= 0)
-        json_put_number(object, "DueS", spec->deadline_s);
-    if (spec->dependency_count) {
-        json_object *list = json_object_new_array();
-        for (guint i = 0; i < spec->dependency_count; i++)
-            json_object_array_add(list, json_object_new_string(spec->dependencies[i].text));
-        json_object_object_add(object, "Awaits", list);
-    }
+        json_put_number(object, FIELD_DEADLINE_S, spec->deadline_s);
+    if (spec->dependency_count)
+        json_object_object_add(object, FIELD_DEPENDENCIES, encode_dependencies(spec));
     return object;
 }
 
 char *job_status_encode(job_id id, const char *stage, long completed, long running)
 {
     json_object *object = json_object_new_object();
-    json_put_text(object, "Id", id.text);
-    json_put_text(object, "Stage", stage);
+    json_put_text(object, FIELD_ID, id.text);
+    json_put_text(object, FIELD_STAGE, stage);
     if (completed >= 0) {
-        json_object_object_add(object, "done", json_object_new_int64(completed));
-        json_object_object_add(object, "running", json_object_new_int64(running));
+        json_object_object_add(object, FIELD_DONE_COUNT, json_object_new_int64(completed));
+        json_object_object_add(object, FIELD_RUNNING_COUNT, json_object_new_int64(running));
     }
     return json_to_text_and_free(object);
 }
+
+bool task_name_parse(const char *text, job_id *job, uint32_t *index)
+{
+    const char *slash = strrchr(text, '/');
+    if (!slash || slash == text || slash - text >= (int)sizeof job->text ||
+        !g_ascii_isdigit(slash[1]))
+        return false;
+    char name[sizeof job->text];
+    memcpy(name, text, slash - text);
+    name[slash - text] = 0;
+    char *end;
+    unsigned long number = strtoul(slash + 1, &end, 10);
+    if (*end || number > MAX_TASKS)
+        return false;
+    *index = (uint32_t)number;
+    return job_id_parse(job, name);
+}
--- a/src/wire/placement_score.c
+++ b/src/wire/placement_score.c
@@ -1,19 +1,37 @@
+/** Ranking of machines: see placement_score.h. The weights were found by trials; docs/design.md. */
 #include "placement_score.h"
 
+enum {
+    SERVICE_IMAGE_WEIGHT = 4,
+    SERVICE_ZONE_SIZE_WEIGHT = 8,
+    SERVICE_SERVICE_SHARE_WEIGHT = 2,
+    URGENT_IMAGE_WEIGHT = 8,
+    IMAGE_WEIGHT = 2,
+    SPOT_WEIGHT = 4,
+    ORDINARY_MACHINE_PENALTY = 6,
+};
+
+/**
+ * Services stay for long: they are packed together, so that the other machines can be drained and
+ * returned. Those that may be in any zone leave small zones to those that need separate zones.
+ */
+static double service_score(const struct placement_facts *facts)
+{
+    return SERVICE_IMAGE_WEIGHT * facts->has_image +
+           SERVICE_ZONE_SIZE_WEIGHT * facts->relative_zone_size +
+           SERVICE_SERVICE_SHARE_WEIGHT * facts->service_share + facts->allocated_share;
+}
+
 double placement_score(const struct job_spec *spec, const struct placement_facts *facts)
 {
-    /* Services stay for long: they go together, so that the other machines can be emptied and given
-     * back. Whatever may use spot machines leaves the others to them. */
     if (spec->form == FORM_SERVICE)
-        /* Whoever may go anywhere leaves the small zone to those that must sit apart. */
-        return 4 * facts->has_image + 8 * facts->relative_zone_size + 2 * facts->service_share +
-               facts->allocated_share;
-    /* Who is in a hurry does not wait for an image; for the others a fetch costs less than the
-     * price of an ordinary machine. */
-    double image_weight = spec->priority <= PRIORITY_HIGH ? 8 : 2;
-    /* An ordinary machine that no service holds was rented for a backlog: it is left to run empty.
-     */
-    double ordinary_penalty = !facts->is_spot && facts->service_share <= 0 ? 6 : 0;
-    return image_weight * facts->has_image + 4 * facts->is_spot + facts->service_share +
-           facts->allocated_share - ordinary_penalty;
+        return service_score(facts);
+    /* Urgent tasks should not wait for an image; for the others, fetching it costs less than an
+     * ordinary machine. */
+    double image_weight = spec->priority <= PRIORITY_HIGH ? URGENT_IMAGE_WEIGHT : IMAGE_WEIGHT;
+    /* An ordinary machine without services was rented for a backlog, and should be drained. */
+    bool should_drain = !facts->is_spot && facts->service_share <= 0;
+    double penalty = should_drain ? ORDINARY_MACHINE_PENALTY : 0;
+    return image_weight * facts->has_image + SPOT_WEIGHT * facts->is_spot + facts->service_share +
+           facts->allocated_share - penalty;
 }
--- a/src/wire/placement_score.h
+++ b/src/wire/placement_score.h
@@ -1,20 +1,27 @@
-/* Which of several machines that would do is taken: the same for the leader, which deals where it
- * expects a task to go, and for the part, which decides. */
-#ifndef LL_SCORE_H
-#define LL_SCORE_H
+/**
+ * The ranking of machines on which a task fits. The leader uses it to dispatch a task to the shard
+ * where it expects it to be placed, and the shard to place it, so both prefer the same machine.
+ */
+#ifndef LL_PLACEMENT_SCORE_H
+#define LL_PLACEMENT_SCORE_H
 
-#include "codec.h"
+#include "job_codec.h"
 
+/** What counts of a machine; shares are between 0 and 1. */
 struct placement_facts {
-    bool has_image;            /* the machine has the task's image */
-    bool is_spot;              /* it is a spot machine */
-    double allocated_share;    /* share that is booked */
-    double service_share;      /* share that services hold */
-    double relative_zone_size; /* size of its zone's ordinary part beside the largest zone's; 1 if
-                                  unknown */
+    /** It has fetched the task's image. */
+    bool has_image;
+    bool is_spot;
+    /** Share of its resources that is allocated. */
+    double allocated_share;
+    /** Share of its resources that services hold. */
+    double service_share;
+    /** Resources of the ordinary machines of its zone, as a share of the largest zone's; 1:
+     * unknown. */
+    double relative_zone_size;
 };
 
-/* The higher the better. */
+/** The higher, the better. */
 double placement_score(const struct job_spec *spec, const struct placement_facts *facts);
 
 #endif
--- a/src/wire/resources.c
+++ b/src/wire/resources.c
@@ -1,10 +1,15 @@
+/** Resources: see resources.h. */
 #include "resources.h"
 
+enum { MAX_FIT_COUNT = 1000000 };
+/** The share of a resource that there is none of. */
+static const double UNAVAILABLE_SHARE = 1e9;
+
 static double share_of_total(int64_t requested, int64_t total)
 {
     if (requested == 0)
         return 0;
-    return total > 0 ? (double)requested / (double)total : 1e9;
+    return total > 0 ? (double)requested / (double)total : UNAVAILABLE_SHARE;
 }
 
 double resources_dominant_share(struct resources requested, struct resources total)
@@ -22,7 +27,7 @@
 
 int64_t resources_fit_count(struct resources free, struct resources requested)
 {
-    int64_t count = 1000000;
+    int64_t count = MAX_FIT_COUNT;
     count = fit_count(free.cpus.milli, requested.cpus.milli, count);
     count = fit_count(free.gpus.milli, requested.gpus.milli, count);
     return fit_count(free.memory.milli, requested.memory.milli, count);
@@ -63,6 +68,16 @@
            g_strv_contains((const char *const *)spec->machine_type_names, type_name);
 }
 
+/** Whether a job may use machines of a type at all, in some zone. */
+static bool job_spec_allows_type(const struct job_spec *spec, const struct machine_type *type)
+{
+    const char *const *names = (const char *const *)spec->machine_type_names;
+    const char *const *zones = (const char *const *)type->zones;
+    if (names && !g_strv_contains(names, type->name))
+        return false;
+    return zones[0] && (!spec->zone || g_strv_contains(zones, spec->zone));
+}
+
 const struct machine_type *machine_type_smallest_fit(const GArray *types,
                                                      const struct job_spec *spec)
 {
@@ -70,14 +85,11 @@
     double best_share = 0;
     for (guint i = 0; types && i < types->len; i++) {
         const struct machine_type *type = &g_array_index(types, struct machine_type, i);
-        if (spec->machine_type_names &&
-            !g_strv_contains((const char *const *)spec->machine_type_names, type->name))
-            continue;
-        if (spec->zone && !g_strv_contains((const char *const *)type->zones, spec->zone))
+        if (!job_spec_allows_type(spec, type))
             continue;
         double share =
             resources_dominant_share(resources_of_job_spec(spec), resources_of_machine_type(type));
-        if (type->zones[0] && share <= 1 && (!best || share > best_share)) {
+        if (share <= 1 && (!best || share > best_share)) {
             best = type;
             best_share = share;
         }
--- a/src/wire/resources.h
+++ b/src/wire/resources.h
@@ -1,9 +1,14 @@
-/* What tasks take of machines. */
-#ifndef LL_ROOM_H
-#define LL_ROOM_H
+/**
+ * Resources of machines and tasks: arithmetic, fit, and which machine types a job may use. Amounts
+ * are exact, in thousandths.
+ */
+#ifndef LL_RESOURCES_H
+#define LL_RESOURCES_H
 
-#include "codec.h"
+#include "cloud_codec.h"
+#include "job_codec.h"
 
+/** Resources that a task requests or a machine has. */
 struct resources {
     amount cpus, gpus, memory;
 };
@@ -32,25 +37,30 @@
     remaining->memory.milli -= subtracted.memory.milli;
 }
 
+/** What is left of a total. */
 static inline struct resources resources_remaining(struct resources total, struct resources used)
 {
     resources_subtract(&total, used);
     return total;
 }
 
+/** Whether a request fits into what is free. */
 static inline bool resources_fit(struct resources free, struct resources requested)
 {
     return requested.cpus.milli <= free.cpus.milli && requested.gpus.milli <= free.gpus.milli &&
            requested.memory.milli <= free.memory.milli;
 }
 
-/* The largest share that is asked of any one resource; over 1 when it does not fit. */
+/** The largest share of the total that is requested of any one resource; over 1: it does not fit.
+ */
 double resources_dominant_share(struct resources requested, struct resources total);
-/* How many of ask fit into free. */
+/** How many times a request fits into what is free, at most 1,000,000. */
 int64_t resources_fit_count(struct resources free, struct resources requested);
 
-/* What a task that asks nothing special asks of machines, and where ("": anywhere). While room only
- * shrinks, what needs at least as much as something that found none finds none either. */
+/**
+ * A request for which no machine was found, in one zone or ("") in any. As long as free resources
+ * only shrink, no machine is found for any larger request either, so these need not be tried.
+ */
 struct unschedulable {
     struct resources resources;
     bool may_use_spot;
@@ -65,16 +75,19 @@
     return unschedulable;
 }
 
-/* In a list of struct unschedulable that found nothing. */
-bool unschedulable_list_covers(const GArray *unschedulable_list, const struct unschedulable *lack);
+/** Whether a request is at least as large as one in an array of struct unschedulable. */
+bool unschedulable_list_covers(const GArray *unschedulable_list,
+                               const struct unschedulable *request);
 
-/* The machine type of that name, or NULL. */
+/** The machine type of that name in an array, which may be NULL; NULL: there is none. */
 const struct machine_type *machine_type_find(const GArray *types, const char *name);
-/* Whether a job's tasks may ever run on machines of a type, in a zone, of a kind. */
+/** Whether a job's constraints allow a machine of a type, in a zone, spot or ordinary. */
 bool job_spec_allows_machine(const struct job_spec *spec, const char *type_name, const char *zone,
                              bool is_spot);
-/* The smallest machine type that the job may use, by the share a task asks of it; NULL when no
- * type can hold a task. */
+/**
+ * The smallest machine type that the job may use: the one of which a task requests the largest
+ * share. NULL: a task fits on none.
+ */
 const struct machine_type *machine_type_smallest_fit(const GArray *types,
                                                      const struct job_spec *spec);
 
