--- a/src/cloud/scale_in.c
+++ b/src/cloud/scale_in.c
@@ -165,7 +165,7 @@
 {
     struct cloud_call *call = arg;
     struct cloud_provider *cloud = call->cloud;
-    bool mine = call->generation == cloud->generation, done = response->status == 200;
+    bool mine = call->generation == cloud->generation, done = response->status == HTTP_STATUS_OK;
     for (guint i = 0; i < call->ids->len; i++) {
         const char *id = call->ids->pdata[i];
         struct scale_in_request *entry =
--- a/src/cluster/failure_detector.c
+++ b/src/cluster/failure_detector.c
@@ -160,7 +160,7 @@
     struct failure_detector *detector = ctx;
     struct peer_health *peer = g_new0(struct peer_health, 1);
     struct health_report report;
-    if (response->status == 200 && health_report_decode(response->message, &report)) {
+    if (response->status == HTTP_STATUS_OK && health_report_decode(response->message, &report)) {
         peer->is_reachable = true;
         peer->is_served = report.is_served;
         peer->uptime_ms = report.uptime_ms;
--- a/src/shard/agent_requests.c
+++ b/src/shard/agent_requests.c
@@ -61,7 +61,7 @@
 static bool handle_agent_answer(struct shard *shard, struct machine *machine,
                                 const struct http_response *response, bool is_probe)
 {
-    if (response->status != 200 && response->status != 409)
+    if (response->status != HTTP_STATUS_OK && response->status != HTTP_STATUS_CONFLICT)
         return false;
     struct heartbeat heartbeat;
     json_object *object = json_parse(response->body, response->body_bytes);
@@ -87,7 +87,7 @@
         if (!run || command->verb != COMMAND_RUN)
             continue;
         run->start.in_flight--;
-        if (status != 200)
+        if (status != HTTP_STATUS_OK)
             run->start.sent_at = (mono_time){0};
     }
 }
