--- a/src/net/http_client.c
+++ b/src/net/http_client.c
@@ -1,69 +1,12 @@
-#include "http.h"
-#include "idle_list.h"
-#include "log.h"
-#include "settings.h"
-
-#include <errno.h>
-#include <netinet/in.h>
-#include <netinet/tcp.h>
-#include <sys/epoll.h>
-#include <sys/socket.h>
-#include <unistd.h>
+/** The HTTP client: requests wait at their endpoint for a connection, within limits on connections
+ * in all and for each address. client_connection.c carries them. */
+#include "http_client_internal.h"
 
+/* Endpoints are looked through for unused ones only beyond so many. */
 enum { MIN_ENDPOINT_SWEEP_THRESHOLD = 2000 };
 
-struct connection_pool;
-struct http_endpoint;
-
-struct http_exchange {
-    struct connection_pool *pool;
-    char *request_text; /* the request as it goes out */
-    size_t request_bytes;
-    http_response_callback callback;
-    void *callback_arg;
-    struct http_endpoint *endpoint;
-    struct timer timer;
-    struct client_connection *connection; /* NULL: waits for a connection */
-};
-
-/* One connection. */
-struct client_connection {
-    struct loop_io io;
-    struct connection_pool *pool;
-    struct http_endpoint *endpoint;
-    bool is_connecting, is_watching_writable;
-    struct http_exchange *exchange;
-    size_t sent_bytes;
-    GByteArray *input;
-    struct timer timer; /* connecting, or idle */
-    struct idle_entry idle_entry;
-};
-
-/* One address. */
-struct http_endpoint {
-    char *address;
-    GQueue queued_exchanges; /* struct http_exchange */
-    GPtrArray *connections;
-    bool is_exempt;  /* see http_client_exempt_address */
-    bool is_starved; /* in the client's list of those that wait for a connection of others to end */
-};
-
-struct connection_pool {
-    struct http_client interface;
-    struct loop *loop;
-    struct http_client_limits limits;
-    GHashTable *endpoints;
-    guint endpoint_sweep_threshold; /* so many are looked through for some to forget */
-    GQueue idle_connections;        /* struct client_connection */
-    GQueue starved_endpoints;       /* struct http_endpoint */
-    struct timer starved_timer;
-    int connection_count, queued_count;
-};
-
-static void endpoint_send_queued(struct connection_pool *pool, struct http_endpoint *endpoint);
-
-static void exchange_finish(struct connection_pool *pool, struct http_exchange *exchange,
-                            const struct http_response *response)
+void http_exchange_finish(struct connection_pool *pool, struct http_exchange *exchange,
+                          const struct http_response *response)
 {
     timer_stop(pool->loop, &exchange->timer);
     if (!exchange->connection && g_queue_remove(&exchange->endpoint->queued_exchanges, exchange))
@@ -75,26 +18,12 @@
     callback(callback_arg, response);
 }
 
-static void schedule_starved_endpoints(struct connection_pool *pool)
+void http_pool_schedule_starved(struct connection_pool *pool)
 {
     if (pool->starved_endpoints.head && !pool->starved_timer.queue_position)
         timer_start(pool->loop, &pool->starved_timer, 0);
 }
 
-static void connection_close(struct client_connection *connection)
-{
-    struct connection_pool *pool = connection->pool;
-    idle_list_update(&connection->pool->idle_connections, &connection->idle_entry, false);
-    schedule_starved_endpoints(pool);
-    timer_stop(pool->loop, &connection->timer);
-    loop_remove_io(pool->loop, &connection->io);
-    close(connection->io.fd);
-    g_byte_array_unref(connection->input);
-    g_ptr_array_remove_fast(connection->endpoint->connections, connection);
-    pool->connection_count--;
-    loop_defer_free(pool->loop, connection);
-}
-
 static void endpoint_free(struct http_endpoint *endpoint)
 {
     g_ptr_array_unref(endpoint->connections);
@@ -102,8 +31,8 @@
     g_free(endpoint);
 }
 
-/* Machines come and go: addresses that nothing is sent to any more are forgotten each time their
- * number has doubled. */
+/* Machines come and go: endpoints that are not used any more are removed each time the number of
+ * all has doubled. */
 static void sweep_unused_endpoints(struct connection_pool *pool)
 {
     if (g_hash_table_size(pool->endpoints) < pool->endpoint_sweep_threshold)
@@ -122,209 +51,6 @@
         MAX(2 * g_hash_table_size(pool->endpoints), MIN_ENDPOINT_SWEEP_THRESHOLD);
 }
 
-/* Ends the connection and, with it, what it was carrying. */
-static void connection_fail(struct client_connection *connection)
-{
-    struct connection_pool *pool = connection->pool;
-    struct http_endpoint *endpoint = connection->endpoint;
-    struct http_exchange *exchange = connection->exchange;
-    bool was_sent = connection->sent_bytes > 0;
-    connection_close(connection);
-    if (exchange) {
-        exchange->connection = NULL;
-        exchange_finish(
-            pool, exchange,
-            &(struct http_response){.status = was_sent ? HTTP_NO_RESPONSE : HTTP_NOT_SENT});
-    }
-    endpoint_send_queued(pool, endpoint);
-}
-
-static void connection_write(struct client_connection *connection)
-{
-    struct http_exchange *exchange = connection->exchange;
-    while (exchange && connection->sent_bytes < exchange->request_bytes) {
-        ssize_t written_bytes =
-            send(connection->io.fd, exchange->request_text + connection->sent_bytes,
-                 exchange->request_bytes - connection->sent_bytes, MSG_NOSIGNAL);
-        if (written_bytes < 0 && (errno == EAGAIN || errno == EINTR))
-            break;
-        if (written_bytes < 0) {
-            connection_fail(connection);
-            return;
-        }
-        connection->sent_bytes += written_bytes;
-    }
-    bool wants_write = exchange && connection->sent_bytes < exchange->request_bytes;
-    if (wants_write != connection->is_watching_writable) {
-        connection->is_watching_writable = wants_write;
-        loop_modify_io(connection->pool->loop, &connection->io,
-                       wants_write ? EPOLLIN | EPOLLOUT : EPOLLIN);
-    }
-}
-
-static void connection_start_exchange(struct client_connection *connection,
-                                      struct http_exchange *exchange)
-{
-    idle_list_update(&connection->pool->idle_connections, &connection->idle_entry, false);
-    connection->exchange = exchange;
-    connection->sent_bytes = 0;
-    exchange->connection = connection;
-    if (!connection->is_connecting) {
-        timer_stop(connection->pool->loop, &connection->timer);
-        connection_write(connection);
-    }
-}
-
-static void connection_become_idle(struct client_connection *connection)
-{
-    idle_list_update(&connection->pool->idle_connections, &connection->idle_entry,
-                     !connection->endpoint->is_exempt);
-    schedule_starved_endpoints(connection->pool);
-    timer_start(connection->pool->loop, &connection->timer,
-                connection->pool->limits.idle_timeout_ms);
-}
-
-static void connection_finish_exchange(struct client_connection *connection, struct http_head *head,
-                                       const char *body, size_t body_bytes, size_t consumed_bytes)
-{
-    struct connection_pool *pool = connection->pool;
-    struct http_endpoint *endpoint = connection->endpoint;
-    struct http_exchange *exchange = connection->exchange;
-    char *body_copy = g_strndup(body, body_bytes);
-    struct http_response response = {head->status, body_copy, body_bytes, head->retry_after_s};
-    bool must_close = head->closes_connection || connection->input->len > consumed_bytes ||
-                      connection->sent_bytes < exchange->request_bytes;
-    connection->exchange = NULL;
-    exchange->connection = NULL;
-    if (must_close) {
-        connection_close(connection);
-    } else {
-        g_byte_array_set_size(connection->input, 0);
-        connection_become_idle(connection);
-    }
-    exchange_finish(pool, exchange, &response);
-    g_free(body_copy);
-    endpoint_send_queued(pool, endpoint);
-}
-
-static void connection_parse_response(struct client_connection *connection)
-{
-    struct http_head head;
-    const char *data = (const char *)connection->input->data;
-    size_t limit = connection->pool->limits.max_response_bytes;
-    enum http_parse_result result = http_parse_head(data, connection->input->len, true, &head);
-    if (result == HTTP_PARSE_INCOMPLETE)
-        return;
-    if (result != HTTP_PARSE_DONE) {
-        connection_fail(connection);
-        return;
-    }
-    const char *body = data + head.head_bytes;
-    if (head.is_chunked) {
-        if (memcmp(data + connection->input->len - 4, "\r\n\r\n", 4) != 0)
-            return; /* long ones are not gone through again and again */
-        GString *decoded_body = g_string_new(NULL);
-        size_t consumed_bytes;
-        result = http_parse_chunks(body, connection->input->len - head.head_bytes, limit,
-                                   decoded_body, &consumed_bytes);
-        if (result == HTTP_PARSE_DONE)
-            connection_finish_exchange(connection, &head, decoded_body->str, decoded_body->len,
-                                       head.head_bytes + consumed_bytes);
-        else if (result != HTTP_PARSE_INCOMPLETE)
-            connection_fail(connection);
-        g_string_free(decoded_body, TRUE);
-        return;
-    }
-    size_t body_bytes = head.content_length < 0 ? 0 : (size_t)head.content_length;
-    if (body_bytes > limit) {
-        LOG_ERROR("answer_too_large", "addr=%s bytes=%zu", connection->endpoint->address,
-                  body_bytes);
-        connection_fail(connection);
-        return;
-    }
-    if (connection->input->len - head.head_bytes >= body_bytes)
-        connection_finish_exchange(connection, &head, body, body_bytes,
-                                   head.head_bytes + body_bytes);
-}
-
-static void connection_on_io(struct loop_io *io, uint32_t events)
-{
-    struct client_connection *connection = (struct client_connection *)io;
-    if (connection->is_connecting) {
-        int socket_error = 0;
-        socklen_t size = sizeof socket_error;
-        getsockopt(io->fd, SOL_SOCKET, SO_ERROR, &socket_error, &size);
-        if (socket_error || (events & (EPOLLERR | EPOLLHUP))) {
-            connection_fail(connection);
-            return;
-        }
-        connection->is_connecting = false;
-        connection->is_watching_writable = true; /* that is how it is being watched */
-        timer_stop(connection->pool->loop, &connection->timer);
-        if (!connection->exchange)
-            connection_become_idle(connection);
-        connection_write(connection);
-        return;
-    }
-    if (events & EPOLLOUT) {
-        connection_write(connection);
-        if (!io->ready)
-            return;
-    }
-    if (!(events & (EPOLLIN | EPOLLERR | EPOLLHUP)))
-        return;
-    char buffer[32768];
-    ssize_t size = recv(io->fd, buffer, sizeof buffer, 0);
-    loop_refresh(connection->pool->loop);
-    if (size < 0 && (errno == EAGAIN || errno == EINTR))
-        return;
-    if (size <= 0 || !connection->exchange) {
-        connection_fail(connection);
-        return;
-    }
-    g_byte_array_append(connection->input, (guint8 *)buffer, size);
-    connection_parse_response(connection);
-}
-
-static void connection_on_timeout(void *arg)
-{
-    connection_fail(arg);
-}
-
-static bool connection_open(struct connection_pool *pool, struct http_endpoint *endpoint,
-                            struct http_exchange *exchange)
-{
-    struct sockaddr_in socket_address = {.sin_family = AF_INET};
-    uint16_t port;
-    if (!address_parse(endpoint->address, &socket_address.sin_addr.s_addr, &port))
-        return false;
-    socket_address.sin_port = htons(port);
-    int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0), enabled = 1;
-    if (fd < 0)
-        return false;
-    setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof enabled);
-    if (connect(fd, (struct sockaddr *)&socket_address, sizeof socket_address) < 0 &&
-        errno != EINPROGRESS) {
-        close(fd);
-        return false;
-    }
-    struct client_connection *connection = g_new0(struct client_connection, 1);
-    connection->io.fd = fd;
-    connection->io.ready = connection_on_io;
-    connection->pool = pool;
-    connection->endpoint = endpoint;
-    connection->is_connecting = true;
-    connection->input = g_byte_array_new();
-    connection->idle_entry.link.data = connection;
-    timer_init(&connection->timer, connection_on_timeout, connection);
-    timer_start(pool->loop, &connection->timer, pool->limits.connect_timeout_ms);
-    g_ptr_array_add(endpoint->connections, connection);
-    pool->connection_count++;
-    loop_add_io(pool->loop, &connection->io, EPOLLOUT);
-    connection_start_exchange(connection, exchange);
-    return true;
-}
-
 static struct client_connection *find_idle_connection(struct http_endpoint *endpoint)
 {
     for (guint i = 0; i < endpoint->connections->len; i++) {
@@ -335,19 +61,20 @@
     return NULL;
 }
 
-/* Closes the connection that nobody has used for longest, to any address. */
+/* Closes the connection that has been idle longest, to any address. False: none is idle. */
 static bool close_longest_idle_connection(struct connection_pool *pool)
 {
     if (!pool->idle_connections.head)
         return false;
-    connection_close(pool->idle_connections.head->data);
+    client_connection_close(pool->idle_connections.head->data);
     return true;
 }
 
-static void endpoint_send_queued(struct connection_pool *pool, struct http_endpoint *endpoint)
+void http_endpoint_send_queued(struct connection_pool *pool, struct http_endpoint *endpoint)
 {
     while (endpoint->queued_exchanges.head) {
-        /* One that is free is used before room is made, which could close that very one. */
+        /* An idle connection to this endpoint comes first: making room could close that very one.
+         */
         struct client_connection *connection = find_idle_connection(endpoint);
         if (!connection &&
             (int)endpoint->connections->len >= pool->limits.max_connections_per_address)
@@ -363,22 +90,22 @@
         struct http_exchange *exchange = g_queue_pop_head(&endpoint->queued_exchanges);
         pool->queued_count--;
         if (connection) {
-            connection_start_exchange(connection, exchange);
-        } else if (!connection_open(pool, endpoint, exchange)) {
+            client_connection_start(connection, exchange);
+        } else if (!client_connection_open(pool, endpoint, exchange)) {
             exchange->connection = NULL;
-            exchange_finish(pool, exchange, &(struct http_response){.status = HTTP_NOT_SENT});
+            http_exchange_finish(pool, exchange, &(struct http_response){.status = HTTP_NOT_SENT});
         }
     }
 }
 
-/* There may be room for those that found none. */
+/* Timer callback: there may be connections for the endpoints that could open none. */
 static void serve_starved_endpoints(void *arg)
 {
     struct connection_pool *pool = arg;
     for (guint n = pool->starved_endpoints.length; n > 0; n--) {
         struct http_endpoint *endpoint = g_queue_pop_head(&pool->starved_endpoints);
         endpoint->is_starved = false;
-        endpoint_send_queued(pool, endpoint);
+        http_endpoint_send_queued(pool, endpoint);
         if (endpoint->is_starved)
             return;
     }
@@ -388,9 +115,10 @@
 {
     struct http_exchange *exchange = arg;
     if (exchange->connection)
-        connection_fail(exchange->connection);
+        client_connection_fail(exchange->connection);
     else
-        exchange_finish(exchange->pool, exchange, &(struct http_response){.status = HTTP_NOT_SENT});
+        http_exchange_finish(exchange->pool, exchange,
+                             &(struct http_response){.status = HTTP_NOT_SENT});
 }
 
 static struct http_endpoint *endpoint_get_or_create(struct connection_pool *pool,
@@ -443,7 +171,7 @@
     timer_start(pool->loop, &exchange->timer, request->timeout_ms);
     g_queue_push_tail(&endpoint->queued_exchanges, exchange);
     pool->queued_count++;
-    endpoint_send_queued(pool, endpoint);
+    http_endpoint_send_queued(pool, endpoint);
 }
 
 struct http_client *http_client_new(struct loop *loop, struct http_client_limits limits)
@@ -482,7 +210,7 @@
                 g_free(connection->exchange->request_text);
                 g_free(connection->exchange);
             }
-            connection_close(connection);
+            client_connection_close(connection);
         }
         endpoint_free(endpoint);
     }
--- a/src/net/http_parser.c
+++ b/src/net/http_parser.c
@@ -1,8 +1,15 @@
+/** The parser of HTTP/1.1 heads and chunked bodies. It takes what this service's peers send, and
+ * refuses what two parsers could read differently. */
 #include "http.h"
 
 #include <stdlib.h>
 
-enum { MAX_HEAD_BYTES = 8192 };
+enum {
+    MAX_HEAD_BYTES = 8192,
+    MAX_CHUNK_LINE_BYTES = 64, /* of a chunk's size and extensions */
+    MAX_CHUNK_SIZE_DIGITS = 12,
+    MAX_RETRY_AFTER_S = 86400,
+};
 
 static bool parse_decimal(const char *text, const char *end, int64_t *out)
 {
@@ -77,42 +84,57 @@
     return false;
 }
 
-static bool parse_header_field(const char *line, const char *end, struct http_head *head)
+/* Whether a field name is a non-empty token. */
+static bool is_token(const char *text, const char *end)
 {
-    const char *colon = memchr(line, ':', end - line);
-    if (!colon || colon == line)
+    if (text == end)
         return false;
-    for (const char *character = line; character < colon; character++)
-        if ((unsigned char)*character <= ' ' || (unsigned char)*character >= 127)
+    for (; text < end; text++)
+        if ((unsigned char)*text <= ' ' || (unsigned char)*text >= 127)
             return false;
-    const char *value = colon + 1;
-    while (value < end && (*value == ' ' || *value == '\t'))
-        value++;
-    while (end > value && (end[-1] == ' ' || end[-1] == '\t'))
-        end--;
+    return true;
+}
+
+/* Takes the value of a field; false: malformed. Unknown fields are skipped. */
+static bool apply_header_field(struct http_head *head, const char *name, const char *name_end,
+                               const char *value, const char *end)
+{
     int64_t number;
-    if (is_field_name(line, colon, "content-length")) {
+    if (is_field_name(name, name_end, "content-length")) {
         /* Two lengths that differ are how requests get smuggled past one another. */
         if (!parse_decimal(value, end, &number) ||
             (head->content_length >= 0 && head->content_length != number))
             return false;
         head->content_length = number;
-    } else if (is_field_name(line, colon, "transfer-encoding")) {
+    } else if (is_field_name(name, name_end, "transfer-encoding")) {
         if (!is_field_name(value, end, "chunked"))
             return false;
         head->is_chunked = true;
-    } else if (is_field_name(line, colon, "connection")) {
+    } else if (is_field_name(name, name_end, "connection")) {
         if (contains_word(value, end, "close"))
             head->closes_connection = true;
         else if (contains_word(value, end, "keep-alive"))
             head->closes_connection = false;
-    } else if (is_field_name(line, colon, "retry-after")) {
-        if (parse_decimal(value, end, &number) && number < 86400)
+    } else if (is_field_name(name, name_end, "retry-after")) {
+        if (parse_decimal(value, end, &number) && number < MAX_RETRY_AFTER_S)
             head->retry_after_s = (int)number;
     }
     return true;
 }
 
+static bool parse_header_field(const char *line, const char *end, struct http_head *head)
+{
+    const char *colon = memchr(line, ':', end - line);
+    if (!colon || !is_token(line, colon))
+        return false;
+    const char *value = colon + 1;
+    while (value < end && (*value == ' ' || *value == '\t'))
+        value++;
+    while (end > value && (end[-1] == ' ' || end[-1] == '\t'))
+        end--;
+    return apply_header_field(head, line, colon, value, end);
+}
+
 enum http_parse_result http_parse_head(const char *data, size_t length, bool is_response,
                                        struct http_head *head)
 {
@@ -150,8 +172,9 @@
     for (;;) {
         const char *line_end = g_strstr_len(data + offset, length - offset, "\r\n");
         if (!line_end)
-            return length - offset > 64 ? HTTP_PARSE_MALFORMED : HTTP_PARSE_INCOMPLETE;
-        if (!g_ascii_isxdigit(data[offset]) || line_end - (data + offset) > 12)
+            return length - offset > MAX_CHUNK_LINE_BYTES ? HTTP_PARSE_MALFORMED
+                                                          : HTTP_PARSE_INCOMPLETE;
+        if (!g_ascii_isxdigit(data[offset]) || line_end - (data + offset) > MAX_CHUNK_SIZE_DIGITS)
             return HTTP_PARSE_MALFORMED;
         uint64_t size = g_ascii_strtoull(data + offset, NULL, 16);
         offset = line_end + 2 - data;
@@ -183,31 +206,31 @@
 const char *http_status_text(int status)
 {
     switch (status) {
-    case 200:
+    case HTTP_STATUS_OK:
         return "OK";
-    case 201:
+    case HTTP_STATUS_CREATED:
         return "Created";
-    case 400:
+    case HTTP_STATUS_BAD_REQUEST:
         return "Bad Request";
-    case 404:
+    case HTTP_STATUS_NOT_FOUND:
         return "Not Found";
-    case 405:
+    case HTTP_STATUS_METHOD_NOT_ALLOWED:
         return "Method Not Allowed";
-    case 408:
+    case HTTP_STATUS_REQUEST_TIMEOUT:
         return "Request Timeout";
-    case 409:
+    case HTTP_STATUS_CONFLICT:
         return "Conflict";
-    case 413:
+    case HTTP_STATUS_BODY_TOO_LARGE:
         return "Content Too Large";
-    case 421:
+    case HTTP_STATUS_MISDIRECTED:
         return "Misdirected Request";
-    case 422:
+    case HTTP_STATUS_UNPROCESSABLE:
         return "Unprocessable Content";
-    case 429:
+    case HTTP_STATUS_TOO_MANY_REQUESTS:
         return "Too Many Requests";
-    case 431:
+    case HTTP_STATUS_HEAD_TOO_LARGE:
         return "Request Header Fields Too Large";
-    case 503:
+    case HTTP_STATUS_UNAVAILABLE:
         return "Service Unavailable";
     default:
         return "Status";
--- a/src/net/http_server.c
+++ b/src/net/http_server.c
@@ -1,3 +1,4 @@
+/** The HTTP server: connections are kept alive, with one request at a time each. */
 #define _GNU_SOURCE /* accept4 */
 #include "http.h"
 #include "idle_list.h"
@@ -11,10 +12,19 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
+enum {
+    /* Read at once, and kept of what comes before the response is sent. */
+    READ_BYTES = 16384,
+    /* Other events get their turn after so many new connections. */
+    MAX_ACCEPTS_PER_WAKEUP = 16,
+};
+
+/* READING: a request, or idle; HANDLING: the handler owes the response; WRITING: the response is
+ * being sent. The states follow one another in this order, and READING again. */
 enum connection_state { CONNECTION_READING, CONNECTION_HANDLING, CONNECTION_WRITING };
 
 struct server_connection {
-    struct loop_io io;
+    struct loop_io io; /* first, so that its callback finds the connection */
     struct http_server *server;
     connection_ref ref;
     enum connection_state state;
@@ -32,7 +42,7 @@
     struct loop_io io;
     struct http_server_limits limits;
     http_handler handler;
-    void *ctx;
+    void *context;           /* of the handler */
     GHashTable *connections; /* ref -> struct server_connection */
     GQueue idle_connections;
     uint64_t next_ref;
@@ -53,7 +63,7 @@
     loop_defer_free(server->loop, connection);
 }
 
-/* What is read next is a new request, or the rest of one. */
+/* Reads a new request, or the rest of one. */
 static void connection_await_request(struct server_connection *connection)
 {
     connection->state = CONNECTION_READING;
@@ -122,78 +132,101 @@
     connection_respond(connection, status, NULL, "{}", 2);
 }
 
-/* Hands over the request at the front of the buffer, once it is whole. */
-static void connection_parse_request(struct server_connection *connection)
+/* The body of a request; `text` points into the input or into `decoded`. */
+struct request_body {
+    GString *decoded; /* of a chunked body; owned, NULL: none */
+    const char *text;
+    size_t length_bytes;
+    size_t consumed_bytes; /* of the input, behind the head */
+};
+
+static enum http_parse_result read_chunked_body(const struct server_connection *connection,
+                                                const struct http_head *head,
+                                                struct request_body *body)
 {
-    struct http_server *server = connection->server;
-    struct http_head head;
-    const char *data = (const char *)connection->input->data;
-    switch (http_parse_head(data, connection->input->len, false, &head)) {
-    case HTTP_PARSE_INCOMPLETE:
-        return;
-    case HTTP_PARSE_MALFORMED:
-        connection_respond_error(connection, 400);
-        return;
-    case HTTP_PARSE_TOO_LARGE:
-        connection_respond_error(connection, 431);
-        return;
-    case HTTP_PARSE_DONE:
-        break;
+    size_t max_bytes = connection->server->limits.max_body_bytes;
+    size_t received_bytes = connection->input->len - head->head_bytes;
+    body->decoded = g_string_new(NULL);
+    enum http_parse_result result = http_parse_chunks(body->text, received_bytes, max_bytes,
+                                                      body->decoded, &body->consumed_bytes);
+    if (result != HTTP_PARSE_DONE) {
+        /* Chunk sizes and extensions take room, too, but no more than the body itself. */
+        bool is_too_large = received_bytes > max_bytes * 2;
+        return is_too_large ? HTTP_PARSE_TOO_LARGE : result;
     }
-    GString *decoded_body = NULL;
-    const char *body = data + head.head_bytes;
-    size_t body_bytes = 0, consumed_bytes = 0;
-    if (head.is_chunked) {
-        decoded_body = g_string_new(NULL);
-        enum http_parse_result result =
-            http_parse_chunks(body, connection->input->len - head.head_bytes,
-                              server->limits.max_body_bytes, decoded_body, &consumed_bytes);
-        if (result != HTTP_PARSE_DONE) {
-            g_string_free(decoded_body, TRUE);
-            if (result == HTTP_PARSE_TOO_LARGE ||
-                connection->input->len > head.head_bytes + server->limits.max_body_bytes * 2)
-                connection_respond_error(connection, 413);
-            else if (result == HTTP_PARSE_MALFORMED)
-                connection_respond_error(connection, 400);
-            return;
-        }
-        body = decoded_body->str;
-        body_bytes = decoded_body->len;
-    } else if (head.content_length > 0) {
-        if ((uint64_t)head.content_length > server->limits.max_body_bytes) {
-            connection_respond_error(connection, 413);
-            return;
-        }
-        if (connection->input->len - head.head_bytes < (size_t)head.content_length)
-            return;
-        body_bytes = consumed_bytes = head.content_length;
-    }
-    char *text = g_strndup(body, body_bytes);
-    g_byte_array_remove_range(connection->input, 0, head.head_bytes + consumed_bytes);
-    if (decoded_body)
-        g_string_free(decoded_body, TRUE);
-    connection->closes_after_response = head.closes_connection;
+    body->text = body->decoded->str;
+    body->length_bytes = body->decoded->len;
+    return HTTP_PARSE_DONE;
+}
+
+static enum http_parse_result read_body(const struct server_connection *connection,
+                                        const struct http_head *head, struct request_body *body)
+{
+    body->text = (const char *)connection->input->data + head->head_bytes;
+    if (head->is_chunked)
+        return read_chunked_body(connection, head, body);
+    if (head->content_length <= 0)
+        return HTTP_PARSE_DONE;
+    size_t length_bytes = (size_t)head->content_length;
+    if (length_bytes > connection->server->limits.max_body_bytes)
+        return HTTP_PARSE_TOO_LARGE;
+    if (connection->input->len - head->head_bytes < length_bytes)
+        return HTTP_PARSE_INCOMPLETE;
+    body->length_bytes = body->consumed_bytes = length_bytes;
+    return HTTP_PARSE_DONE;
+}
+
+/* Removes a whole request from the input and gives it to the handler. */
+static void connection_handle_request(struct server_connection *connection, struct http_head *head,
+                                      const struct request_body *body)
+{
+    struct http_server *server = connection->server;
+    g_autofree char *text = g_strndup(body->text, body->length_bytes);
+    g_byte_array_remove_range(connection->input, 0, head->head_bytes + body->consumed_bytes);
+    connection->closes_after_response = head->closes_connection;
     connection->state = CONNECTION_HANDLING;
-    idle_list_update(&connection->server->idle_connections, &connection->idle_entry, false);
+    idle_list_update(&server->idle_connections, &connection->idle_entry, false);
     timer_stop(server->loop, &connection->timer);
-    char *query = strchr(head.target, '?');
+    char *query = strchr(head->target, '?');
     if (query)
         *query++ = 0;
-    struct http_request request = {head.method, head.target, query ? query : "",
-                                   text,        body_bytes,  NULL};
-    server->handler(server->ctx, &server->responder, connection->ref, &request);
-    g_free(text);
+    struct http_request request = {.method = head->method,
+                                   .path = head->target,
+                                   .query = query ? query : "",
+                                   .body = text,
+                                   .body_bytes = body->length_bytes};
+    server->handler(server->context, &server->responder, connection->ref, &request);
 }
 
-static void connection_process_input(struct server_connection *connection)
+/* Handles the request at the front of the input, once it is whole. */
+static void connection_parse_request(struct server_connection *connection)
 {
-    size_t before = connection->input->len;
-    if (connection->state != CONNECTION_READING)
+    struct http_head head;
+    enum http_parse_result result = http_parse_head((const char *)connection->input->data,
+                                                    connection->input->len, false, &head);
+    if (result == HTTP_PARSE_TOO_LARGE) {
+        connection_respond_error(connection, HTTP_STATUS_HEAD_TOO_LARGE);
         return;
-    if (before) {
-        idle_list_update(&connection->server->idle_connections, &connection->idle_entry, false);
-        connection_parse_request(connection);
     }
+    struct request_body body = {0};
+    if (result == HTTP_PARSE_DONE)
+        result = read_body(connection, &head, &body);
+    if (result == HTTP_PARSE_DONE)
+        connection_handle_request(connection, &head, &body);
+    else if (result == HTTP_PARSE_MALFORMED)
+        connection_respond_error(connection, HTTP_STATUS_BAD_REQUEST);
+    else if (result == HTTP_PARSE_TOO_LARGE)
+        connection_respond_error(connection, HTTP_STATUS_BODY_TOO_LARGE);
+    if (body.decoded)
+        g_string_free(body.decoded, TRUE);
+}
+
+static void connection_process_input(struct server_connection *connection)
+{
+    if (connection->state != CONNECTION_READING || !connection->input->len)
+        return;
+    idle_list_update(&connection->server->idle_connections, &connection->idle_entry, false);
+    connection_parse_request(connection);
 }
 
 static void connection_on_io(struct loop_io *io, uint32_t events)
@@ -203,7 +236,7 @@
         connection_write(connection);
         return;
     }
-    char buffer[16384];
+    char buffer[READ_BYTES];
     ssize_t received_bytes = recv(io->fd, buffer, sizeof buffer, 0);
     loop_refresh(connection->server->loop);
     if (received_bytes < 0 && (errno == EAGAIN || errno == EINTR))
@@ -212,9 +245,9 @@
         connection_close(connection);
         return;
     }
-    /* There is no pipelining: whoever sends on while an answer is due gets no more room. */
+    /* Pipelining is not supported: a peer that sends on before the response gets no more room. */
     if (connection->state != CONNECTION_READING &&
-        connection->input->len + received_bytes > 16384) {
+        connection->input->len + received_bytes > READ_BYTES) {
         connection_close(connection);
         return;
     }
@@ -232,7 +265,7 @@
 {
     struct server_connection *connection = arg;
     if (connection->state == CONNECTION_READING && connection->input->len) {
-        connection_respond_error(connection, 408);
+        connection_respond_error(connection, HTTP_STATUS_REQUEST_TIMEOUT);
         return;
     }
     connection_close(connection);
@@ -252,10 +285,10 @@
     (void)events;
     struct http_server *server =
         (struct http_server *)((char *)io - offsetof(struct http_server, io));
-    for (int i = 0; i < 16; i++) {
+    for (int i = 0; i < MAX_ACCEPTS_PER_WAKEUP; i++) {
         int fd = accept4(io->fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
         if (fd < 0) {
-            /* No socket left: make room by dropping the connection that has idled longest. */
+            /* No file descriptor is left: close the connection that has been idle longest. */
             if ((errno == EMFILE || errno == ENFILE) && server->idle_connections.head)
                 connection_close(server->idle_connections.head->data);
             return;
@@ -286,7 +319,7 @@
 
 struct http_server *http_server_new(struct loop *loop, const char *address,
                                     struct http_server_limits limits, http_handler handler,
-                                    void *ctx, char **error)
+                                    void *context, char **error)
 {
     struct sockaddr_in socket_address = {.sin_family = AF_INET};
     uint16_t port;
@@ -309,7 +342,7 @@
     server->loop = loop;
     server->limits = limits;
     server->handler = handler;
-    server->ctx = ctx;
+    server->context = context;
     server->connections = g_hash_table_new(g_int64_hash, g_int64_equal);
     g_queue_init(&server->idle_connections);
     server->io.fd = fd;
--- a/src/net/node_rpc.c
+++ b/src/net/node_rpc.c
@@ -5,51 +5,67 @@
 #include <errno.h>
 #include <stdlib.h>
 
-struct handler {
-    node_rpc_handler handle;
-    void *ctx;
+/* Words of the messages that all nodes have in common. */
+static const char PATH_PREFIX[] = "/bus/";
+static const char FORWARD_PATH[] = "/bus/relay";
+static const char FIELD_SENDER[] = "from";
+static const char FIELD_METHOD[] = "method";
+static const char FIELD_PATH[] = "path";
+static const char FIELD_BODY[] = "body";
+
+struct registered_handler {
+    node_rpc_handler handler;
+    void *context;
 };
 
 struct node_rpc {
     struct actor actor;
     struct loop *loop;
-    struct http_client *net;
+    struct http_client *http_client;
     const struct settings *settings;
-    GHashTable *handlers;
+    GHashTable *handlers; /* kind -> struct registered_handler */
     http_handler forward_handler;
-    void *forward_handler_ctx;
+    void *forward_context;
 };
 
-/* A message to the own node, waiting in the mailbox. */
-struct local {
+/* A call to the own node, which waits in the mailbox. */
+struct local_call {
     char *kind;
     cJSON *message;
-    node_rpc_callback done;
-    void *arg;
+    node_rpc_callback callback;
+    void *callback_arg;
+};
+
+/* A call to another node that has had no response yet. */
+struct remote_call {
+    node_rpc_callback callback;
+    void *callback_arg;
 };
 
-static void local_free(gpointer p)
+static void local_call_free(gpointer data)
 {
-    struct local *local = p;
-    g_free(local->kind);
-    cJSON_Delete(local->message);
-    g_free(local);
+    struct local_call *call = data;
+    g_free(call->kind);
+    cJSON_Delete(call->message);
+    g_free(call);
 }
 
-static int dispatch(struct node_rpc *rpc, const char *kind, const char *from, const cJSON *m,
-                    cJSON **answer)
+static int handle_message(struct node_rpc *rpc, const char *kind, const char *from,
+                          const cJSON *message, cJSON **answer)
 {
-    struct handler *handler = g_hash_table_lookup(rpc->handlers, kind);
-    return handler ? handler->handle(handler->ctx, from, m, answer) : 404;
+    const struct registered_handler *registered = g_hash_table_lookup(rpc->handlers, kind);
+    if (!registered)
+        return HTTP_STATUS_NOT_FOUND;
+    return registered->handler(registered->context, from, message, answer);
 }
 
-static void on_message(struct actor *self, const struct message *msg)
+static void on_local_call(struct actor *self, const struct message *mail)
 {
     struct node_rpc *rpc = (struct node_rpc *)self;
-    struct local *local = msg->body;
+    struct local_call *call = mail->body;
     cJSON *answer = NULL;
-    int status = dispatch(rpc, local->kind, rpc->settings->label, local->message, &answer);
-    local->done(local->arg, status, answer);
+    int status = handle_message(rpc, call->kind, rpc->settings->label, call->message, &answer);
+    call->callback(call->callback_arg, status, answer);
     cJSON_Delete(answer);
 }
 
@@ -57,9 +73,9 @@
                               const struct settings *settings)
 {
     struct node_rpc *rpc = g_new0(struct node_rpc, 1);
-    rpc->actor = (struct actor){"bus", on_message};
+    rpc->actor = (struct actor){"node_rpc", on_local_call};
     rpc->loop = loop;
-    rpc->net = http_client;
+    rpc->http_client = http_client;
     rpc->settings = settings;
     rpc->handlers = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     return rpc;
@@ -71,136 +87,173 @@
     g_free(rpc);
 }
 
-void node_rpc_register(struct node_rpc *rpc, const char *kind, node_rpc_handler handler, void *ctx)
-{
-    struct handler *h = g_new(struct handler, 1);
-    *h = (struct handler){handler, ctx};
-    g_hash_table_replace(rpc->handlers, g_strdup(kind), h);
-}
-
-struct sent {
-    node_rpc_callback done;
-    void *arg;
-};
-
-static void on_response(void *arg, const struct http_response *a)
+void node_rpc_register(struct node_rpc *rpc, const char *kind, node_rpc_handler handler,
+                       void *context)
 {
-    struct sent *sent = arg;
-    cJSON *answer = a->status > 0 ? cJSON_ParseWithLength(a->body, a->body_bytes) : NULL;
-    sent->done(sent->arg, a->status, answer);
-    cJSON_Delete(answer);
-    g_free(sent);
+    struct registered_handler *registered = g_new(struct registered_handler, 1);
+    *registered = (struct registered_handler){handler, context};
+    g_hash_table_replace(rpc->handlers, g_strdup(kind), registered);
 }
 
-static const char *find_endpoint(struct node_rpc *rpc, const char *label)
+/* The address of another node; NULL: the settings name none of that label. */
+static const char *find_address(const struct node_rpc *rpc, const char *label)
 {
     for (guint i = 0; i < rpc->settings->siblings->len; i++) {
-        struct sibling *sibling = &g_array_index(rpc->settings->siblings, struct sibling, i);
+        const struct sibling *sibling = &g_array_index(rpc->settings->siblings, struct sibling, i);
         if (strcmp(sibling->label, label) == 0)
             return sibling->endpoint;
     }
     return NULL;
 }
 
+/* ---- calls ---- */
+
+static void on_response(void *arg, const struct http_response *response)
+{
+    struct remote_call *call = arg;
+    cJSON *answer = NULL;
+    if (response->status > 0)
+        answer = cJSON_ParseWithLength(response->body, response->body_bytes);
+    call->callback(call->callback_arg, response->status, answer);
+    cJSON_Delete(answer);
+    g_free(call);
+}
+
+/* Sends a message, which it does not take, to an address. */
+static void post_message(struct node_rpc *rpc, const char *address, const char *path,
+                         const cJSON *message, int timeout_ms, http_response_callback callback,
+                         void *callback_arg)
+{
+    char *body = cJSON_PrintUnformatted(message);
+    const struct http_client_request request = {.address = address,
+                                                .method = "POST",
+                                                .path = path,
+                                                .body = body,
+                                                .body_bytes = strlen(body),
+                                                .timeout_ms = timeout_ms};
+    rpc->http_client->request(rpc->http_client, &request, callback, callback_arg);
+    free(body);
+}
+
+static void call_own_node(struct node_rpc *rpc, const char *kind, cJSON *message,
+                          node_rpc_callback callback, void *callback_arg)
+{
+    struct local_call *call = g_new(struct local_call, 1);
+    *call = (struct local_call){g_strdup(kind), message, callback, callback_arg};
+    actor_send(rpc->loop, &rpc->actor, 0, call, local_call_free);
+}
+
 void node_rpc_call(struct node_rpc *rpc, const char *to, const char *kind, cJSON *message,
-                   int timeout_ms, node_rpc_callback done, void *arg)
+                   int timeout_ms, node_rpc_callback callback, void *callback_arg)
 {
     if (strcmp(to, rpc->settings->label) == 0) {
-        struct local *local = g_new(struct local, 1);
-        *local = (struct local){g_strdup(kind), message, done, arg};
-        actor_send(rpc->loop, &rpc->actor, 0, local, local_free);
+        call_own_node(rpc, kind, message, callback, callback_arg);
         return;
     }
-    const char *address = find_endpoint(rpc, to);
+    const char *address = find_address(rpc, to);
     if (!address) {
         cJSON_Delete(message);
-        done(arg, HTTP_NOT_SENT, NULL);
+        callback(callback_arg, HTTP_NOT_SENT, NULL);
         return;
     }
-    cJSON_AddStringToObject(message, "from", rpc->settings->label);
-    char *body = cJSON_PrintUnformatted(message);
+    struct remote_call *call = g_new(struct remote_call, 1);
+    *call = (struct remote_call){callback, callback_arg};
+    g_autofree char *path = g_strconcat(PATH_PREFIX, kind, NULL);
+    cJSON_AddStringToObject(message, FIELD_SENDER, rpc->settings->label);
+    post_message(rpc, address, path, message, timeout_ms, on_response, call);
     cJSON_Delete(message);
-    char *path = g_strconcat("/bus/", kind, NULL);
-    struct sent *sent = g_new(struct sent, 1);
-    *sent = (struct sent){done, arg};
-    struct http_client_request request = {address, "POST", path, body, strlen(body), timeout_ms};
-    rpc->net->request(rpc->net, &request, on_response, sent);
-    g_free(path);
-    free(body);
 }
 
 void node_rpc_forward(struct node_rpc *rpc, const char *to, const struct http_request *request,
-                      int timeout_ms, http_response_callback done, void *arg)
+                      int timeout_ms, http_response_callback callback, void *callback_arg)
 {
-    const char *address = find_endpoint(rpc, to);
+    const char *address = find_address(rpc, to);
+    if (!address) {
+        callback(callback_arg, &(struct http_response){.status = HTTP_NOT_SENT});
+        return;
+    }
+    g_autofree char *request_body = g_strndup(request->body, request->body_bytes);
     cJSON *message = cJSON_CreateObject();
-    cJSON_AddStringToObject(message, "from", rpc->settings->label);
-    cJSON_AddStringToObject(message, "method", request->method);
-    cJSON_AddStringToObject(message, "path", request->path);
-    char *request_body = g_strndup(request->body, request->body_bytes);
-    cJSON_AddStringToObject(message, "body", request_body);
-    char *body = cJSON_PrintUnformatted(message);
-    struct http_client_request net_request = {address, "POST",       "/bus/relay",
-                                              body,    strlen(body), timeout_ms};
-    if (address)
-        rpc->net->request(rpc->net, &net_request, done, arg);
-    else
-        done(arg, &(struct http_response){.status = HTTP_NOT_SENT});
-    free(body);
-    g_free(request_body);
+    cJSON_AddStringToObject(message, FIELD_SENDER, rpc->settings->label);
+    cJSON_AddStringToObject(message, FIELD_METHOD, request->method);
+    cJSON_AddStringToObject(message, FIELD_PATH, request->path);
+    cJSON_AddStringToObject(message, FIELD_BODY, request_body);
+    post_message(rpc, address, FORWARD_PATH, message, timeout_ms, callback, callback_arg);
     cJSON_Delete(message);
 }
 
-void node_rpc_set_forward_handler(struct node_rpc *rpc, http_handler serve, void *ctx)
+/* ---- other nodes' calls ---- */
+
+void node_rpc_set_forward_handler(struct node_rpc *rpc, http_handler handler, void *context)
+{
+    rpc->forward_handler = handler;
+    rpc->forward_context = context;
+}
+
+static void respond_empty(struct http_responder *responder, connection_ref to, int status)
 {
-    rpc->forward_handler = serve;
-    rpc->forward_handler_ctx = ctx;
+    responder->respond(responder, to, status, NULL, "{}", strlen("{}"));
 }
 
 static void serve_forwarded(struct node_rpc *rpc, struct http_responder *responder,
-                            connection_ref from, const char *who, const cJSON *message)
+                            connection_ref from, const char *sender, const cJSON *message)
 {
-    const char *method = node_rpc_get_text(message, "method"),
-               *path = node_rpc_get_text(message, "path"),
-               *body = node_rpc_get_text(message, "body");
+    const char *method = node_rpc_get_text(message, FIELD_METHOD);
+    const char *path = node_rpc_get_text(message, FIELD_PATH);
+    const char *body = node_rpc_get_text(message, FIELD_BODY);
     if (!rpc->forward_handler || !method || !path || !body) {
-        responder->respond(responder, from, 400, NULL, "{}", 2);
+        respond_empty(responder, from, HTTP_STATUS_BAD_REQUEST);
         return;
     }
-    struct http_request request = {method, path, "", body, strlen(body), who};
-    rpc->forward_handler(rpc->forward_handler_ctx, responder, from, &request);
+    const struct http_request request = {.method = method,
+                                         .path = path,
+                                         .query = "",
+                                         .body = body,
+                                         .body_bytes = strlen(body),
+                                         .forwarded_by = sender};
+    rpc->forward_handler(rpc->forward_context, responder, from, &request);
+}
+
+static void serve_call(struct node_rpc *rpc, struct http_responder *responder, connection_ref from,
+                       const char *kind, const char *sender, const cJSON *message)
+{
+    cJSON *answer = NULL;
+    int status = handle_message(rpc, kind, sender, message, &answer);
+    if (answer) {
+        char *text = cJSON_PrintUnformatted(answer);
+        responder->respond(responder, from, status, NULL, text, strlen(text));
+        free(text);
+    } else {
+        respond_empty(responder, from, status);
+    }
+    cJSON_Delete(answer);
 }
 
-void node_rpc_serve(void *ctx, struct http_responder *responder, connection_ref from,
+void node_rpc_serve(void *context, struct http_responder *responder, connection_ref from,
                     const struct http_request *request)
 {
-    struct node_rpc *rpc = ctx;
-    if (strcmp(request->method, "POST") != 0 || !g_str_has_prefix(request->path, "/bus/")) {
-        responder->respond(responder, from, 404, NULL, "{}", 2);
+    struct node_rpc *rpc = context;
+    if (strcmp(request->method, "POST") != 0 || !g_str_has_prefix(request->path, PATH_PREFIX)) {
+        respond_empty(responder, from, HTTP_STATUS_NOT_FOUND);
         return;
     }
     cJSON *message = cJSON_ParseWithLength(request->body, request->body_bytes);
-    const char *who = node_rpc_get_text(message, "from");
-    if (!who || !find_endpoint(rpc, who)) {
-        LOG_ERROR("bus_malformed", "path=%s bytes=%zu", request->path, request->body_bytes);
-        cJSON_Delete(message);
-        responder->respond(responder, from, 400, NULL, "{}", 2);
-        return;
+    const char *sender = node_rpc_get_text(message, FIELD_SENDER);
+    if (!sender || !find_address(rpc, sender)) {
+        LOG_ERROR("node_message_malformed", "path=%s bytes=%zu", request->path,
+                  request->body_bytes);
+        respond_empty(responder, from, HTTP_STATUS_BAD_REQUEST);
+    } else if (strcmp(request->path, FORWARD_PATH) == 0) {
+        serve_forwarded(rpc, responder, from, sender, message);
+    } else {
+        const char *kind = request->path + strlen(PATH_PREFIX);
+        serve_call(rpc, responder, from, kind, sender, message);
     }
-    if (strcmp(request->path, "/bus/relay") == 0) {
-        serve_forwarded(rpc, responder, from, who, message);
-        cJSON_Delete(message);
-        return;
-    }
-    cJSON *answer = NULL;
-    int status = dispatch(rpc, request->path + 5, who, message, &answer);
-    char *text = answer ? cJSON_PrintUnformatted(answer) : NULL;
-    responder->respond(responder, from, status, NULL, text ? text : "{}", text ? strlen(text) : 2);
-    free(text);
-    cJSON_Delete(answer);
     cJSON_Delete(message);
 }
 
+/* ---- fields of messages ---- */
+
 void node_rpc_put_u64(cJSON *object, const char *field, uint64_t value)
 {
     char text[24];
