--- a/src/shard/completion_pages.c
+++ b/src/shard/completion_pages.c
@@ -4,6 +4,7 @@
  * page that is too long, and what a committed transaction makes durable.
  */
 #include "completions_internal.h"
+#include "run_records_internal.h"
 
 #include "log.h"
 
--- a/src/shard/completions.c
+++ b/src/shard/completions.c
@@ -4,6 +4,7 @@
  * before. completion_pages.c has which pages they are written on.
  */
 #include "completions_internal.h"
+#include "run_records_internal.h"
 
 /* ---- units ---- */
 
--- a/src/shard/machine_inventory.c
+++ b/src/shard/machine_inventory.c
@@ -4,6 +4,7 @@
  * machine is listed in one, each page with records of it has to describe it, which takes more bytes
  * there than its runs do.
  */
+#include "machine_inventory_internal.h"
 #include "record_txn.h"
 
 enum {
@@ -15,6 +16,14 @@
     INVENTORY_VALUE_OVERHEAD_BYTES = 32,
 };
 
+/** An inventory of this node. */
+struct own_inventory {
+    /** 0: it is not stored yet. */
+    revision mod_revision;
+    /** It lists machines that this node does not own any more, or that are gone. */
+    bool is_stale;
+};
+
 /** A write of an inventory until its end. */
 struct inventory_write {
     struct pending_write pending;
--- a/src/shard/machine_returns.c
+++ b/src/shard/machine_returns.c
@@ -6,6 +6,7 @@
 #include "machine_returns_internal.h"
 
 #include "log.h"
+#include "machine_inventory_internal.h"
 #include "run_records_internal.h"
 #include "task_end_internal.h"
 #include "task_placement_internal.h"
--- a/src/shard/page_split.c
+++ b/src/shard/page_split.c
@@ -8,6 +8,7 @@
  * pages with copies of records, until what is not copied can be written in one. docs/safety.md,
  * "Pages that exceed today's limits", argues why each step by itself is safe.
  */
+#include "page_split_internal.h"
 #include "page_split_plan.h"
 #include "record_txn.h"
 
--- a/src/shard/record_batch_adopt.c
+++ b/src/shard/record_batch_adopt.c
@@ -3,6 +3,7 @@
  * Adopts run records from pages of other nodes, for machines that this node owns by now. One
  * transaction puts a record on an own page and takes it off the other node's.
  */
+#include "page_split_internal.h"
 #include "record_batch_internal.h"
 
 bool shard_source_page_is_usable(struct shard *shard, const struct record_page *page,
--- a/src/shard/record_batch_internal.h
+++ b/src/shard/record_batch_internal.h
@@ -6,6 +6,7 @@
 #ifndef LL_RECORD_BATCH_INTERNAL_H
 #define LL_RECORD_BATCH_INTERNAL_H
 
+#include "completions_internal.h"
 #include "record_txn.h"
 
 enum {
--- a/src/shard/run_records_flush.c
+++ b/src/shard/run_records_flush.c
@@ -3,6 +3,8 @@
  * When records are written: soon after a change, one transaction at a time, within this node's
  * share of the writes that the state service allows.
  */
+#include "machine_inventory_internal.h"
+#include "page_split_internal.h"
 #include "record_batch_internal.h"
 
 #include <math.h>
--- a/src/shard/run_records_pages.c
+++ b/src/shard/run_records_pages.c
@@ -2,6 +2,7 @@
  * @file
  * This node's pages: which of them a machine's records are on, and how many bytes are free on them.
  */
+#include "completions_internal.h"
 #include "run_records_internal.h"
 
 enum {
--- a/src/shard/run_records_reconcile.c
+++ b/src/shard/run_records_reconcile.c
@@ -3,6 +3,8 @@
  * Agreement with the replica: takes from it what this node's pages hold, and which records its
  * machines have.
  */
+#include "completions_internal.h"
+#include "machine_inventory_internal.h"
 #include "run_records_internal.h"
 
 /** Takes over the records on the page whose machines other nodes own: they stay there until those
--- a/src/shard/shard.c
+++ b/src/shard/shard.c
@@ -5,6 +5,7 @@
 #include "shard_internal.h"
 
 #include "agent_session_internal.h"
+#include "completions_internal.h"
 #include "machine_returns_internal.h"
 #include "run_records_internal.h"
 #include "shard_epoch_internal.h"
--- a/src/shard/shard_internal.h
+++ b/src/shard/shard_internal.h
@@ -9,24 +9,6 @@
 #include "arq.h"
 #include "machine_internal.h"
 
-/* A list of our machines and what they are. */
-struct own_inventory {
-    revision mod_revision;
-    bool is_stale; /* it names machines that are not ours */
-};
-
-/* Tasks of a job that this node saw done: those of a unit of COMPLETION_UNIT_TASKS that one page
- * says. */
-struct completion_unit {
-    job_id job;
-    uint32_t number;
-    GByteArray *bits;
-    int page;            /* -1: none was chosen yet */
-    bool is_unwritten;   /* its page does not say all of it yet */
-    bool changed_in_txn; /* some came since the transaction under way was made */
-    bool is_moving;      /* its page is to say it no more, once others do */
-};
-
 /** Machines that go back to the cloud. */
 struct shard_returns {
     /** Names of machines that were returned: heartbeats that still come from them are ignored. The
@@ -86,7 +68,7 @@
 struct shard_records {
     /** struct own_page, by number. */
     GPtrArray *pages;
-    /** struct own_inventory, by number. */
+    /** struct own_inventory, by number; see machine_inventory.c. */
     GPtrArray *inventories;
     /** "JOB UNIT" -> GPtrArray of struct completion_unit, one a page. */
     GHashTable *completion_units;
@@ -152,49 +134,4 @@
  * runs are to be stopped. */
 bool shard_job_is_over(struct shard *shard, job_id id);
 
-/* completions.c: what is done */
-typedef bool (*page_predicate)(const void *ctx, int page);
-/* What a page says of tasks that are done, and the room that this may come to take besides. */
-struct page_completions {
-    GString *text;
-    gsize reserved_bytes;
-    bool has_unwritten; /* it did not say all of that before */
-};
-/* Whether a mark for it may be written now. */
-bool shard_can_record_completion(struct shard *shard, const struct task_run *run);
-/* A task is done: to be recorded, in the same transaction as its end or before. */
-void shard_add_completion(struct shard *shard, struct task_run *run);
-/* Whether that is said for good, or will be with the pages that are written now. */
-bool shard_completion_is_written(struct shard *shard, const struct task_run *run,
-                                 page_predicate is_written, const void *ctx);
-guint shard_completion_unit_bytes(const struct job *job, uint32_t unit_number);
-void shard_completions_read(struct shard *shard, const char *text, int page_number);
-void shard_completions_write(struct shard *shard, int page_number, bool legacy_format,
-                             struct page_completions *out);
-gsize shard_completions_reserved_bytes(struct shard *shard, int page);
-/* Some marks are to leave the page. */
-void shard_completions_move(struct shard *shard, int page_number);
-/* Marks that are on no page yet go to one of these; false when some find no room. */
-bool shard_completions_place(struct shard *shard, const int *pages, guint page_count);
-/* Those pages were written. */
-void shard_completions_mark_durable(struct shard *shard, page_predicate is_written,
-                                    const void *ctx);
-/* Adds to what is waited for by page; true when some marks are on none. A batch begins with that.
- */
-bool shard_completions_add_demand(struct shard *shard, double *page_weights, double weight);
-
-/* machine_inventory.c: lists of machines */
-void shard_inventories_reconcile(struct shard *shard);
-bool shard_inventory_due(struct shard *shard);
-/* A machine is not to be listed any more. */
-void shard_inventory_drop_machine(struct shard *shard, const struct machine *machine);
-void shard_inventory_write(struct shard *shard);
-
-/* page_split.c: pages that are too long by now */
-bool shard_label_has_long_page(const struct shard *shard, const char *label);
-bool shard_split_due(struct shard *shard);
-/* False when nothing can be done about it yet, and other work may go on. */
-bool shard_split(struct shard *shard);
-void shard_completion_units_free(gpointer data); /* completions.c */
-
 #endif
--- a/src/shard/task_end.c
+++ b/src/shard/task_end.c
@@ -7,6 +7,7 @@
 #include "task_end_internal.h"
 
 #include "agent_session_internal.h"
+#include "completions_internal.h"
 #include "log.h"
 #include "run_records_internal.h"
 
