--- a/src/shard/agent_session.c
+++ b/src/shard/agent_session.c
@@ -17,13 +17,6 @@
     REDIRECT_INTERVAL_MS = 45000,
 };
 
-enum http_status {
-    STATUS_OK = 200,
-    STATUS_BAD_REQUEST = 400,
-    STATUS_MISDIRECTED = 421,
-    STATUS_UNAVAILABLE = 503,
-};
-
 /** A heartbeat with the request that it came in. */
 struct heartbeat_request {
     struct shard *shard;
@@ -63,7 +56,7 @@
 {
     char *text = agent_commands_encode(request->shard->epoch, 0,
                                        (struct agent_command *)commands->data, commands->len);
-    respond_json(request->responder, request->connection, STATUS_OK, text);
+    respond_json(request->responder, request->connection, HTTP_STATUS_OK, text);
     g_array_unref(commands);
 }
 
@@ -74,7 +67,7 @@
     struct forwarded_heartbeat *forwarded = arg;
     bool was_answered = response->status > 0;
     respond_json(forwarded->responder, forwarded->connection,
-                 was_answered ? (enum http_status)response->status : STATUS_UNAVAILABLE,
+                 was_answered ? (enum http_status)response->status : HTTP_STATUS_UNAVAILABLE,
                  was_answered ? g_strndup(response->body, response->body_bytes) : g_strdup("{}"));
     g_free(forwarded);
 }
@@ -96,7 +89,7 @@
     g_strlcpy(redirect->owner, owner, sizeof redirect->owner);
     redirect->at = loop_now(shard->loop);
     g_hash_table_replace(shard->redirects, g_strdup(request->heartbeat->machine.text), redirect);
-    respond_json(request->responder, request->connection, STATUS_MISDIRECTED,
+    respond_json(request->responder, request->connection, HTTP_STATUS_MISDIRECTED,
                  agent_redirect_encode(owner));
 }
 
@@ -105,7 +98,7 @@
 {
     struct shard *shard = request->shard;
     if (shard_lacks_cancelled_task(shard, request->heartbeat)) {
-        respond_empty(request, STATUS_UNAVAILABLE);
+        respond_empty(request, HTTP_STATUS_UNAVAILABLE);
         return;
     }
     GArray *commands = shard_collect_stop_commands(shard, request->heartbeat);
@@ -254,7 +247,7 @@
     const char *via_node = request->http->forwarded_by ? request->http->forwarded_by : "";
     struct machine *machine = shard_find_machine(shard, heartbeat->machine.text);
     if (is_ignored(shard, machine, heartbeat)) {
-        respond_empty(request, STATUS_UNAVAILABLE);
+        respond_empty(request, HTTP_STATUS_UNAVAILABLE);
         /* A copy that was delayed, whose sender has given up; or the agent has been restarted,
          * which its answer to a probe shows. */
         if (machine && !machine->is_gone)
@@ -264,7 +257,7 @@
     machine = machine_for_heartbeat(shard, heartbeat);
     bool is_accepted = accept_heartbeat(shard, machine, heartbeat, via_node);
     if (shard_must_not_renew_lease(shard, machine)) {
-        respond_empty(request, STATUS_UNAVAILABLE);
+        respond_empty(request, HTTP_STATUS_UNAVAILABLE);
         return;
     }
     machine->lease.last_answered_at = loop_now(shard->loop);
@@ -284,7 +277,7 @@
         owner = shard_map_get_owner(replica, request->heartbeat->machine.text);
     if (!owner || shard->epoch.value != replica->shard_map_epoch.value ||
         !shard_may_renew_leases(shard) || request->heartbeat->fencing_token > shard->epoch.value)
-        respond_empty(request, STATUS_UNAVAILABLE);
+        respond_empty(request, HTTP_STATUS_UNAVAILABLE);
     else if (strcmp(owner, shard->settings->label) != 0)
         handle_other_heartbeat(request, owner);
     else
@@ -301,7 +294,7 @@
     json_object_put(object);
     if (!is_valid) {
         LOG_ERROR("heartbeat_malformed", "bytes=%zu", http->body_bytes);
-        respond_empty(&request, STATUS_BAD_REQUEST);
+        respond_empty(&request, HTTP_STATUS_BAD_REQUEST);
         return;
     }
     handle_heartbeat(&request);
--- a/src/shard/shard.c
+++ b/src/shard/shard.c
@@ -171,11 +171,6 @@
 
 /* ---- construction ---- */
 
-static void free_json(gpointer data)
-{
-    cJSON_Delete(data);
-}
-
 static GHashTable *name_set_new(void)
 {
     return g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
@@ -185,10 +180,10 @@
 {
     shard->loop = setup->loop;
     shard->net = setup->net;
-    shard->kv = setup->store;
-    shard->replica = setup->view;
-    shard->membership = setup->members;
-    shard->node_rpc = setup->bus;
+    shard->kv = setup->kv;
+    shard->replica = setup->replica;
+    shard->membership = setup->membership;
+    shard->node_rpc = setup->node_rpc;
     shard->cancel_broadcast = setup->cancel_broadcast;
     shard->lease_proxy = setup->lease_proxy;
     shard->failure_detector = setup->failure_detector;
@@ -198,7 +193,7 @@
 static void init_status(struct shard *shard)
 {
     shard->status.rejected_dispatches = g_array_new(FALSE, FALSE, sizeof(struct dispatch));
-    shard->status.events = g_ptr_array_new_with_free_func(free_json);
+    shard->status.events = g_array_new(FALSE, FALSE, sizeof(struct task_event));
     timer_init(&shard->status.timer, shard_send_status, shard);
 }
 
@@ -224,7 +219,7 @@
 struct shard *shard_new(const struct shard_setup *setup)
 {
     struct shard *shard = g_new0(struct shard, 1);
-    shard->actor = (struct actor){"part", handle_message};
+    shard->actor = (struct actor){"shard", handle_message};
     init_collaborators(shard, setup);
     shard->machines = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, shard_machine_free);
     shard->redirects = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
@@ -237,7 +232,8 @@
     timer_init(&shard->tick_timer, handle_tick, shard);
     replica_add_listener(shard->replica, &shard->actor);
     cancel_broadcast_set_listener(shard->cancel_broadcast, &shard->actor);
-    node_rpc_register(shard->node_rpc, "deal", shard_handle_dispatch_message, shard);
+    node_rpc_register(shard->node_rpc, SHARD_MESSAGE_DISPATCH, shard_handle_dispatch_message,
+                      shard);
     return shard;
 }
 
@@ -257,7 +253,7 @@
     g_hash_table_unref(shard->returns.older_returned);
     g_hash_table_unref(shard->returns.cordoned);
     g_array_unref(shard->status.rejected_dispatches);
-    g_ptr_array_unref(shard->status.events);
+    g_array_unref(shard->status.events);
     g_ptr_array_unref(shard->placement.available_machines);
     g_array_unref(shard->placement.unschedulable);
     g_free(shard);
