--- a/src/shard/agent_session.c
+++ b/src/shard/agent_session.c
@@ -136,49 +136,6 @@
 
 /* ---- heartbeats of own machines ---- */
 
-bool shard_heartbeat_is_newer(const struct machine *machine, const struct heartbeat *heartbeat)
-{
-    const struct machine_heartbeat *newest = &machine->heartbeat;
-    return heartbeat->agent_epoch > newest->agent_epoch ||
-           (heartbeat->agent_epoch == newest->agent_epoch &&
-            heartbeat->sequence > newest->sequence);
-}
-
-/** A machine keeps its type, zone and kind. */
-static bool describes_machine(const struct machine *machine, const struct heartbeat *heartbeat)
-{
-    return strcmp(machine->type_name, heartbeat->machine_type_name) == 0 &&
-           strcmp(machine->zone, heartbeat->zone) == 0 && machine->is_spot == heartbeat->is_spot;
-}
-
-/** Whether it has the number of the newest heartbeat, but names other tasks. */
-static bool contradicts_newest(const struct machine *machine, const struct heartbeat *heartbeat)
-{
-    const struct machine_heartbeat *newest = &machine->heartbeat;
-    return newest->has_reported && heartbeat->agent_epoch == newest->agent_epoch &&
-           heartbeat->sequence == newest->sequence &&
-           shard_heartbeat_hash(heartbeat) != newest->tasks_hash;
-}
-
-bool shard_heartbeat_is_consistent(struct shard *shard, const struct machine *machine,
-                                   const struct heartbeat *heartbeat)
-{
-    const GArray *types = shard->replica->machine_types;
-    bool zone_is_known = g_ptr_array_find_with_equal_func(shard->settings->zones, heartbeat->zone,
-                                                          g_str_equal, NULL);
-    bool type_is_known = !types || machine_type_find(types, heartbeat->machine_type_name);
-    bool agrees = !machine || ((!machine->type_name[0] || describes_machine(machine, heartbeat)) &&
-                               !contradicts_newest(machine, heartbeat));
-    if (zone_is_known && type_is_known && agrees)
-        return true;
-    LOG_ERROR("heartbeat_inconsistent",
-              "machine=%s type=%s zone=%s agent_epoch=%" G_GUINT64_FORMAT
-              " sequence=%" G_GUINT64_FORMAT,
-              heartbeat->machine.text, heartbeat->machine_type_name, heartbeat->zone,
-              heartbeat->agent_epoch, heartbeat->sequence);
-    return false;
-}
-
 /** The machine of a heartbeat; adds it if it is not known. Its first heartbeat describes it. */
 static struct machine *machine_for_heartbeat(struct shard *shard, const struct heartbeat *heartbeat)
 {
--- a/src/shard/agent_session_internal.h
+++ b/src/shard/agent_session_internal.h
@@ -8,7 +8,7 @@
 
 #include "shard_internal.h"
 
-/* agent_session.c: heartbeats */
+/* heartbeat_check.c: whether heartbeats can be true */
 
 /** Whether a heartbeat is newer than the newest that is known of the machine. */
 bool shard_heartbeat_is_newer(const struct machine *machine, const struct heartbeat *heartbeat);
