--- a/src/cluster/lease_proxy.c
+++ b/src/cluster/lease_proxy.c
@@ -83,7 +83,7 @@
     struct lease_proxy *proxy = ctx;
     struct peer_renewals *peer = g_hash_table_lookup(proxy->peers, response->label);
     struct proxy_report report;
-    if (response->status == 200 && proxy_report_decode(response->message, &report)) {
+    if (response->status == HTTP_STATUS_OK && proxy_report_decode(response->message, &report)) {
         int64_t age_ms = (int64_t)(report.last_renewal_age_ms * CLOCK_RATE_MARGIN);
         peer->asked_at = response->asked_at;
         peer->none_since = time_add_ms(loop_now(proxy->loop), -age_ms);
