--- a/src/node/node.c
+++ b/src/node/node.c
@@ -1,12 +1,18 @@
+/**
+ * @file
+ * A whole node: its parts, put together.
+ */
 #include "node.h"
 
-struct node *node_new(struct loop *loop, struct http_client *http_client,
-                      const struct settings *settings, const struct policy *policy,
-                      const struct feature_set *features)
+/**
+ * The limits that the node keeps to. Some may change at an unknown moment: until then, and after
+ * it, the lower of both values is within what the key-value store allows.
+ */
+static struct kv_limits get_kv_limits(const struct settings *settings)
 {
-    struct node *node = g_new0(struct node, 1);
-    const struct kv_service_limits *now = &settings->kv_limits, *next = &settings->kv_limits_next;
-    struct kv_limits limits = {
+    const struct kv_service_limits *now = &settings->kv_limits;
+    const struct kv_service_limits *next = &settings->kv_limits_next;
+    return (struct kv_limits){
         .rate_limit_rps = MIN(now->requests_per_s, next->requests_per_s),
         .rate_limit_write_rps = now->writes_per_s,
         .rate_limit_next_write_rps = MIN(now->writes_per_s, next->writes_per_s),
@@ -14,12 +20,16 @@
         .max_value_bytes = (size_t)(MIN(now->max_value_kb, next->max_value_kb) * 1024),
         .max_response_bytes = settings_max_response_bytes(settings),
         .node_count = settings->node_count};
+}
+
+struct node *node_new(struct loop *loop, struct http_client *http_client,
+                      const struct settings *settings, const struct policy *policy,
+                      const struct feature_set *features)
+{
+    struct node *node = g_new0(struct node, 1);
     node->settings = settings;
-    node->loop = loop;
-    node->net = http_client;
-    node->kv = kv_client_new(loop, http_client, settings->kv_address, limits);
+    node->kv = kv_client_new(loop, http_client, settings->kv_address, get_kv_limits(settings));
     node->replica = replica_new(loop, node->kv);
-    node->features = features;
     node->membership = membership_new(loop, node->kv, node->replica, settings,
                                       features->singleton_roles.is_enabled);
     node->role_assigner =
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -1,4 +1,7 @@
-/* A whole node: its actors, put together. */
+/**
+ * @file
+ * A whole node: its parts, put together.
+ */
 #ifndef LL_NODE_H
 #define LL_NODE_H
 
@@ -8,16 +11,15 @@
 #include "leader.h"
 #include "role_assigner.h"
 
+/** Owns all of its parts but what node_new() was given. */
 struct node {
     const struct settings *settings;
-    struct loop *loop;
-    struct http_client *net;
     struct kv_client *kv;
     struct replica *replica;
     struct membership *membership;
-    const struct feature_set *features;
     struct role_assigner *role_assigner;
-    struct role_manager *role_manager; /* of the keeper */
+    /** Owned by role_assigner. */
+    struct role_manager *role_manager;
     struct garbage_collector *garbage_collector;
     struct node_rpc *rpc;
     struct peer_poll *peer_poll;
@@ -29,6 +31,7 @@
     struct api *api;
 };
 
+/** All that it is given has to outlive the node. */
 struct node *node_new(struct loop *loop, struct http_client *http_client,
                       const struct settings *settings, const struct policy *policy,
                       const struct feature_set *features);
--- a/src/node/role_assigner.c
+++ b/src/node/role_assigner.c
@@ -1,5 +1,10 @@
+/**
+ * @file
+ * Decides which singleton roles this node claims, releases or hands over.
+ */
 #include "role_assigner.h"
 
+/** How often the assignment is examined besides changes of the replica. */
 enum { TICK_MS = 200 };
 
 struct role_assigner {
@@ -22,16 +27,17 @@
     return membership_has_valid_lease(((struct role_assigner *)ctx)->membership);
 }
 
-static void await_replica_revision(void *ctx, revision at, role_await_callback done, void *arg)
+static void await_replica_revision(void *ctx, revision revision_needed,
+                                   role_await_callback callback, void *arg)
 {
     struct role_assigner *assigner = ctx;
-    if (at.value)
-        replica_await_revision(assigner->replica, at, done, arg);
+    if (revision_needed.value)
+        replica_await_revision(assigner->replica, revision_needed, callback, arg);
     else
-        replica_read_barrier(assigner->replica, done, arg);
+        replica_read_barrier(assigner->replica, callback, arg);
 }
 
-/* A claim counts only while duties are on; that of the fleet only while its node leads. */
+/** A claim succeeds only while roles are enabled; the autoscaler's, only while its node leads. */
 static void add_claim_compares(void *ctx, enum singleton_role role, struct txn *txn)
 {
     struct role_assigner *assigner = ctx;
@@ -40,15 +46,17 @@
         txn_compare(txn, KEY_LEADER, assigner->replica->leader_mod_revision);
 }
 
-/* The node that has the clean-up: the first on the map that lives and does not lead, or else the
- * leader; NULL: there is neither. */
+/**
+ * The node that should hold the garbage collector's role: the first one on the shard map that is
+ * alive and does not lead; else the leader, or NULL if there is none.
+ */
 static const char *choose_garbage_collector(const struct role_assigner *assigner)
 {
     const struct replica *replica = assigner->replica;
     for (guint i = 0; i < replica->shard_map->len; i++) {
         const char *label = g_array_index(replica->shard_map, struct shard_map_entry, i).label;
-        bool leads = replica->leader_label && strcmp(label, replica->leader_label) == 0;
-        if (!leads && g_hash_table_contains(replica->nodes, label))
+        bool is_leader = replica->leader_label && strcmp(label, replica->leader_label) == 0;
+        if (!is_leader && g_hash_table_contains(replica->nodes, label))
             return label;
     }
     return replica->leader_label;
@@ -113,21 +121,21 @@
                                         const struct settings *settings)
 {
     struct role_assigner *assigner = g_new0(struct role_assigner, 1);
-    assigner->actor = (struct actor){"duty_keeper", on_message};
+    assigner->actor = (struct actor){"role_assigner", on_message};
     assigner->loop = loop;
     assigner->replica = replica;
     assigner->membership = membership;
     assigner->settings = settings;
-    const struct role_manager_config setup = {.loop = loop,
-                                              .kv = kv,
-                                              .records = replica->singleton_roles,
-                                              .label = settings->label,
-                                              .ctx = assigner,
-                                              .get_lease = get_own_lease,
-                                              .lease_is_valid = lease_is_valid,
-                                              .await_revision = await_replica_revision,
-                                              .add_claim_compares = add_claim_compares};
-    assigner->role_manager = role_manager_new(&setup);
+    const struct role_manager_config config = {.loop = loop,
+                                               .kv = kv,
+                                               .records = replica->singleton_roles,
+                                               .label = settings->label,
+                                               .ctx = assigner,
+                                               .get_lease = get_own_lease,
+                                               .lease_is_valid = lease_is_valid,
+                                               .await_revision = await_replica_revision,
+                                               .add_claim_compares = add_claim_compares};
+    assigner->role_manager = role_manager_new(&config);
     timer_init(&assigner->tick_timer, on_tick, assigner);
     replica_add_listener(replica, &assigner->actor);
     return assigner;
--- a/src/node/role_assigner.h
+++ b/src/node/role_assigner.h
@@ -1,10 +1,14 @@
-/* Which duties this node claims, and when it hands them on. It joins the duty package with the
- * node's view and membership.
+/**
+ * @file
+ * Decides which singleton roles this node claims, releases or hands over, and joins the role
+ * manager with the node's replica and membership.
  *
- * The fleet's duty goes with the lead, as what to rent follows from the quota ledger; the clean-up
- * goes to a node that does not lead. Without duties switched on in ll/features none is claimed. */
-#ifndef LL_DUTY_KEEPER_H
-#define LL_DUTY_KEEPER_H
+ * The leader holds the autoscaler's role, as what to scale follows from its quota ledger. A node
+ * that does not lead holds the garbage collector's. While singleton roles are disabled in
+ * `ll/features` no node claims any.
+ */
+#ifndef LL_ROLE_ASSIGNER_H
+#define LL_ROLE_ASSIGNER_H
 
 #include "membership.h"
 #include "role_manager.h"
@@ -16,6 +20,8 @@
                                         const struct settings *settings);
 void role_assigner_free(struct role_assigner *assigner);
 void role_assigner_start(struct role_assigner *assigner);
+
+/** The role manager that the assigner owns. */
 struct role_manager *role_assigner_get_manager(struct role_assigner *assigner);
 
 #endif
