--- /dev/null
+++ b/tests/test_cluster.c
@@ -0,0 +1,270 @@
+/**
+ * @file
+ * The modules of the cluster package by themselves: the bytes of their messages, the owners in the
+ * shard map, and the bounds of what a node remembers of cancellations.
+ *
+ * Messages and owners are those of version 0.4.0 (commit 2e591e3), as nodes of different versions
+ * serve side by side.
+ */
+#include "world.h"
+
+#include <stdlib.h>
+
+static cJSON *parse_message(const char *text)
+{
+    cJSON *message = cJSON_Parse(text);
+    assert_non_null(message);
+    return message;
+}
+
+/** Frees the message. */
+static void assert_text(cJSON *message, const char *expected)
+{
+    char *text = cJSON_PrintUnformatted(message);
+    assert_string_equal(text, expected);
+    free(text);
+    cJSON_Delete(message);
+}
+
+static struct cancel_notice make_notice(const char *job_text, uint64_t committed_at)
+{
+    struct cancel_notice notice = {.committed_at = {committed_at}};
+    assert_true(job_id_parse(&notice.job, job_text));
+    return notice;
+}
+
+/* ---- messages ---- */
+
+static void questions_keep_their_bytes(void **state)
+{
+    (void)state;
+    const struct peer_question question = {.number = 7, .replica_revision = {15}};
+    assert_text(peer_question_encode(&question), "{\"q\":\"7\",\"at\":\"15\"}");
+    cJSON *message = parse_message("{\"q\":\"7\",\"at\":\"15\",\"from\":\"mast-0\"}");
+    struct peer_question decoded = peer_question_decode(message);
+    assert_int_equal(decoded.number, 7);
+    assert_int_equal(decoded.replica_revision.value, 15);
+    cJSON_Delete(message);
+    message = parse_message("{\"from\":\"mast-0\"}"); /* of an earlier version */
+    decoded = peer_question_decode(message);
+    assert_int_equal(decoded.number, 0);
+    assert_int_equal(decoded.replica_revision.value, 0);
+    cJSON_Delete(message);
+}
+
+static void notices_keep_their_bytes(void **state)
+{
+    (void)state;
+    const struct cancel_notice notice = make_notice("wk-1", 16);
+    assert_text(cancel_notice_encode(&notice), "{\"j\":\"wk-1\",\"r\":\"16\"}");
+    struct cancel_notice decoded;
+    cJSON *message = parse_message("{\"j\":\"wk-1\",\"r\":\"16\",\"from\":\"mast-0\"}");
+    assert_true(cancel_notice_decode(message, &decoded));
+    assert_string_equal(decoded.job.text, "wk-1");
+    assert_int_equal(decoded.committed_at.value, 16);
+    cJSON_Delete(message);
+    static const char *const malformed[] = {"{}", "{\"j\":\"wk-1\"}", "{\"j\":1,\"r\":\"16\"}",
+                                            "{\"j\":\"wk-1\",\"r\":16}", "{\"r\":\"16\"}"};
+    for (guint i = 0; i < G_N_ELEMENTS(malformed); i++) {
+        message = parse_message(malformed[i]);
+        if (cancel_notice_decode(message, &decoded))
+            fail_msg("accepted: %s", malformed[i]);
+        cJSON_Delete(message);
+    }
+}
+
+static void health_reports_keep_their_bytes(void **state)
+{
+    (void)state;
+    static const char text[] = "{\"served\":false,\"q\":\"5\",\"told\":\"16\",\"up_ms\":16253,"
+                               "\"cancelled\":[[\"wk-1\",\"16\"],[\"wk-2\",\"0\"]],\"all\":true}";
+    struct health_report report = {.question_number = 5,
+                                   .newest_committed = {16},
+                                   .uptime_ms = 16253,
+                                   .cancels =
+                                       g_array_new(FALSE, FALSE, sizeof(struct cancel_notice)),
+                                   .has_all_cancels = true};
+    const struct cancel_notice notices[] = {make_notice("wk-1", 16), make_notice("wk-2", 0)};
+    g_array_append_vals(report.cancels, notices, G_N_ELEMENTS(notices));
+    assert_text(health_report_encode(&report), text);
+    health_report_clear(&report);
+    cJSON *message = parse_message(text);
+    assert_true(health_report_decode(message, &report));
+    assert_false(report.is_served);
+    assert_int_equal(report.question_number, 5);
+    assert_int_equal(report.newest_committed.value, 16);
+    assert_int_equal(report.uptime_ms, 16253);
+    assert_true(report.has_all_cancels);
+    assert_int_equal(report.cancels->len, 2);
+    for (guint i = 0; i < G_N_ELEMENTS(notices); i++) {
+        const struct cancel_notice *decoded =
+            &g_array_index(report.cancels, struct cancel_notice, i);
+        assert_string_equal(decoded->job.text, notices[i].job.text);
+        assert_int_equal(decoded->committed_at.value, notices[i].committed_at.value);
+    }
+    health_report_clear(&report);
+    cJSON_Delete(message);
+}
+
+static void malformed_health_reports_prove_nothing(void **state)
+{
+    (void)state;
+    static const char *const malformed[] = {"{}", "{\"served\":true}", "{\"up_ms\":5}",
+                                            "{\"served\":1,\"up_ms\":5}",
+                                            "{\"served\":true,\"up_ms\":\"5\"}"};
+    struct health_report report;
+    for (guint i = 0; i < G_N_ELEMENTS(malformed); i++) {
+        cJSON *message = parse_message(malformed[i]);
+        if (health_report_decode(message, &report))
+            fail_msg("accepted: %s", malformed[i]);
+        cJSON_Delete(message);
+    }
+    assert_false(health_report_decode(NULL, &report));
+}
+
+static void incomplete_lists_of_cancellations_say_so(void **state)
+{
+    (void)state;
+    static const struct {
+        const char *fields;
+        guint cancel_count;
+    } cases[] = {
+        {"", 0},
+        {",\"all\":true", 0},
+        {",\"cancelled\":{},\"all\":true", 0},
+        {",\"cancelled\":[[\"wk-1\",\"16\"]]", 1},
+        {",\"cancelled\":[[\"wk-1\",\"16\"]],\"all\":false", 1},
+        {",\"cancelled\":[[\"wk-1\",\"16\"],[\"wk-2\",17],[\"wk-3\",\"18\"]],\"all\":true", 1},
+        {",\"cancelled\":[[\"wk-1\",\"16\"],[2,\"17\"]],\"all\":true", 1},
+    };
+    for (guint i = 0; i < G_N_ELEMENTS(cases); i++) {
+        char *text = g_strdup_printf("{\"served\":false,\"up_ms\":5%s}", cases[i].fields);
+        cJSON *message = parse_message(text);
+        struct health_report report;
+        assert_true(health_report_decode(message, &report));
+        assert_int_equal(report.question_number, 0); /* none has this number */
+        assert_false(report.has_all_cancels);
+        assert_int_equal(report.cancels->len, cases[i].cancel_count);
+        health_report_clear(&report);
+        cJSON_Delete(message);
+        g_free(text);
+    }
+}
+
+static void proxy_reports_keep_their_bytes(void **state)
+{
+    (void)state;
+    struct proxy_report report = {24753};
+    assert_text(proxy_report_encode(&report), "{\"ago_ms\":24753}");
+    cJSON *message = parse_message("{\"ago_ms\":25753}");
+    assert_true(proxy_report_decode(message, &report));
+    assert_true(report.last_renewal_age_ms == 25753);
+    cJSON_Delete(message);
+    message = parse_message("{\"ago_ms\":\"25753\"}");
+    assert_false(proxy_report_decode(message, &report));
+    cJSON_Delete(message);
+    assert_false(proxy_report_decode(NULL, &report));
+}
+
+/* ---- the shard map ---- */
+
+static void machines_keep_their_owners(void **state)
+{
+    struct world *world = *state;
+    const struct replica *replica = world->nodes[0]->replica;
+    static const struct {
+        const char *machine, *owner;
+    } expected[] = {
+        {"host-000001", "mast-1"}, {"host-000002", "mast-1"}, {"host-000003", "mast-2"},
+        {"host-000004", "mast-1"}, {"host-000005", "mast-2"}, {"host-000006", "mast-1"},
+        {"host-000007", "mast-2"}, {"host-000008", "mast-2"},
+    };
+    assert_int_equal(replica->shard_map->len, 3);
+    for (guint i = 0; i < G_N_ELEMENTS(expected); i++)
+        assert_string_equal(shard_map_get_owner(replica, expected[i].machine), expected[i].owner);
+}
+
+/* ---- what a node remembers of cancellations ---- */
+
+/** Confirms cancellations of so many jobs, at the revisions from 1 on. */
+static void confirm_many(struct cancel_broadcast *broadcast, int count)
+{
+    for (int i = 1; i <= count; i++) {
+        char text[32];
+        g_snprintf(text, sizeof text, "wk-%d", i);
+        struct cancel_notice notice = make_notice(text, (uint64_t)i);
+        cancel_broadcast_confirm(broadcast, notice.job, notice.committed_at);
+    }
+}
+
+/** Whether a node whose replica stands at that revision would be told of all that it may lack. */
+static bool shares_all(struct cancel_broadcast *broadcast, uint64_t replica_revision,
+                       guint expected_count)
+{
+    GArray *notices = g_array_new(FALSE, FALSE, sizeof(struct cancel_notice));
+    bool is_complete = cancel_broadcast_collect(broadcast, (revision){replica_revision}, notices);
+    assert_int_equal(notices->len, expected_count);
+    g_array_unref(notices);
+    return is_complete;
+}
+
+static void long_lists_are_shared_in_part(void **state)
+{
+    struct world *world = *state;
+    struct cancel_broadcast *broadcast = world->nodes[0]->cancel_broadcast;
+    confirm_many(broadcast, 1000);
+    assert_true(shares_all(broadcast, 0, 1000));
+    confirm_many(broadcast, 1001);
+    assert_false(shares_all(broadcast, 0, 1001));
+    confirm_many(broadcast, 1500);
+    assert_false(shares_all(broadcast, 0, 1001));
+    assert_true(shares_all(broadcast, 500, 1000));
+    assert_true(shares_all(broadcast, 1499, 1));
+    assert_true(shares_all(broadcast, 1500, 0));
+}
+
+static void forgotten_cancellations_are_not_denied(void **state)
+{
+    struct world *world = *state;
+    struct cancel_broadcast *broadcast = world->nodes[0]->cancel_broadcast;
+    confirm_many(broadcast, 4010); /* the first ten are forgotten */
+    assert_int_equal(cancel_broadcast_get_status(broadcast, make_notice("wk-10", 0).job),
+                     CANCEL_NONE);
+    assert_int_equal(cancel_broadcast_get_status(broadcast, make_notice("wk-11", 0).job),
+                     CANCEL_COMMITTED);
+    assert_int_equal(cancel_broadcast_get_newest(broadcast).value, 4010);
+    assert_false(shares_all(broadcast, 9, 1001));
+    assert_true(shares_all(broadcast, 3500, 510));
+}
+
+static void a_forgotten_cancellation_that_may_hold_makes_every_list_incomplete(void **state)
+{
+    struct world *world = *state;
+    struct cancel_broadcast *broadcast = world->nodes[0]->cancel_broadcast;
+    job_id possible = make_notice("wk-possible", 0).job;
+    cancel_broadcast_begin(broadcast, possible);
+    cancel_broadcast_finish(broadcast, possible, &(struct txn_outcome){.status = TXN_UNKNOWN});
+    assert_int_equal(cancel_broadcast_get_status(broadcast, possible), CANCEL_POSSIBLE);
+    confirm_many(broadcast, 3999);
+    assert_true(shares_all(broadcast, 3999, 1)); /* it is still known */
+    confirm_many(broadcast, 4000);
+    assert_int_equal(cancel_broadcast_get_status(broadcast, possible), CANCEL_NONE);
+    assert_false(shares_all(broadcast, 4000, 0));
+}
+
+int main(void)
+{
+    const struct CMUnitTest tests[] = {
+        cmocka_unit_test(questions_keep_their_bytes),
+        cmocka_unit_test(notices_keep_their_bytes),
+        cmocka_unit_test(health_reports_keep_their_bytes),
+        cmocka_unit_test(malformed_health_reports_prove_nothing),
+        cmocka_unit_test(incomplete_lists_of_cancellations_say_so),
+        cmocka_unit_test(proxy_reports_keep_their_bytes),
+        WORLD_TEST(machines_keep_their_owners),
+        WORLD_TEST(long_lists_are_shared_in_part),
+        WORLD_TEST(forgotten_cancellations_are_not_denied),
+        WORLD_TEST(a_forgotten_cancellation_that_may_hold_makes_every_list_incomplete),
+    };
+    return cmocka_run_group_tests(tests, NULL, NULL);
+}
