--- a/src/cluster/node_lease.c
+++ b/src/cluster/node_lease.c
@@ -100,8 +100,9 @@
 {
     struct node_lease *lease = arg;
     lease->request_in_flight = false;
-    json_object *body =
-        response->status == 200 ? json_parse(response->body, response->body_bytes) : NULL;
+    json_object *body = response->status == HTTP_STATUS_OK
+                            ? json_parse(response->body, response->body_bytes)
+                            : NULL;
     if (kv_decode_lease(body, &lease->id)) {
         extend_validity(lease);
         timer_start(lease->setup.loop, &lease->renew_timer, RENEW_INTERVAL_MS);
@@ -125,12 +126,12 @@
     lease->request_in_flight = false;
     if (!lease->id.value)
         return;
-    if (response->status == 404) {
+    if (response->status == HTTP_STATUS_NOT_FOUND) {
         node_lease_drop(lease, LEASE_ENDED);
         lease->setup.on_change(lease->setup.ctx);
         return;
     }
-    bool is_renewed = response->status == 200;
+    bool is_renewed = response->status == HTTP_STATUS_OK;
     if (is_renewed)
         extend_validity(lease);
     timer_start(lease->setup.loop, &lease->renew_timer,
--- /dev/null
+++ b/src/shard/dispatch_receiver.c
@@ -0,0 +1,99 @@
+/**
+ * @file
+ * The leader's dispatch messages: tasks to be placed and to be stopped, machines that were returned
+ * or are going to be.
+ */
+#include "shard_messages_internal.h"
+
+#include "agent_session_internal.h"
+#include "machine_returns_internal.h"
+#include "task_placement_internal.h"
+
+static void copy_text(char *to, size_t size, const char *text)
+{
+    g_strlcpy(to, text ? text : "", size);
+}
+
+/** Queues a task to be placed. */
+static void apply_dispatch(struct shard *shard, const struct dispatch_item *item)
+{
+    mono_time now = loop_now(shard->loop);
+    struct dispatch dispatch = {
+        .job = item->task.job,
+        .index = item->task.index,
+        .attempt = item->task.attempt,
+        .number = item->number,
+        .dispatched_at = now,
+        .queued_at = now,
+    };
+    copy_text(dispatch.zone, sizeof dispatch.zone, item->zone);
+    copy_text(dispatch.bound_machine, sizeof dispatch.bound_machine, item->bound_machine);
+    shard_enqueue_dispatch(shard, &dispatch);
+}
+
+/** Stops a run that the leader preempts. */
+static void apply_stop(struct shard *shard, const struct stop_item *item)
+{
+    const struct message_task *task = &item->task;
+    struct machine *machine = shard_find_machine(shard, item->machine);
+    struct task_run *run =
+        machine ? shard_run_find(machine, task->job, task->index, task->attempt) : NULL;
+    if (!run)
+        return;
+    shard_run_stop(run, item->grace_s);
+    shard_push_commands(shard, machine);
+}
+
+/** Cordons machines that are going to be returned; the answer names those on which nothing can be
+ * placed any more. */
+static cJSON *apply_cordons(struct shard *shard, const GPtrArray *names)
+{
+    GPtrArray *cordoned = g_ptr_array_new();
+    for (guint i = 0; i < names->len; i++)
+        if (shard_cordon_for_return(shard, names->pdata[i]))
+            g_ptr_array_add(cordoned, names->pdata[i]);
+    cJSON *answer = dispatch_answer_encode(cordoned);
+    g_ptr_array_unref(cordoned);
+    return answer;
+}
+
+static void apply_message(struct shard *shard, const struct dispatch_message *message,
+                          cJSON **answer)
+{
+    if (message->to_cordon)
+        *answer = apply_cordons(shard, message->to_cordon);
+    for (guint i = 0; i < message->returned->len; i++)
+        shard_handle_machine_returned(shard, message->returned->pdata[i]);
+    for (guint i = 0; i < message->stops->len; i++)
+        apply_stop(shard, &g_array_index(message->stops, struct stop_item, i));
+    for (guint i = 0; i < message->dispatches->len; i++)
+        apply_dispatch(shard, &g_array_index(message->dispatches, struct dispatch_item, i));
+    shard_place_tasks(shard);
+}
+
+/** Whether a message is of this epoch's leader, and this node may act on it. */
+static bool is_current(const struct shard *shard, const char *from,
+                       const struct dispatch_message *message)
+{
+    const char *leader = shard->replica->leader_label;
+    return message->epoch.value == shard->epoch.value &&
+           membership_has_valid_lease(shard->membership) && leader && strcmp(leader, from) == 0;
+}
+
+int shard_handle_dispatch_message(void *ctx, const char *from, const cJSON *json, cJSON **answer)
+{
+    struct shard *shard = ctx;
+    struct dispatch_message message;
+    if (!dispatch_message_decode(json, &message))
+        return NODE_RPC_MALFORMED;
+    int status = NODE_RPC_OK;
+    if (!is_current(shard, from, &message)) {
+        status = NODE_RPC_CONFLICT;
+    } else if (message.sequence > shard->last_dispatch_sequence) {
+        /* A copy that was delayed must not dispatch a task once more after it was rejected. */
+        shard->last_dispatch_sequence = message.sequence;
+        apply_message(shard, &message, answer);
+    }
+    dispatch_message_clear(&message);
+    return status;
+}
