--- a/src/cluster/cancel_broadcast.c
+++ b/src/cluster/cancel_broadcast.c
@@ -163,7 +163,7 @@
     return broadcast->newest_committed;
 }
 
-/** Whether a node whose replica stands at that revision may lack the cancellation. */
+/** Whether a node whose replica is at that revision may lack the cancellation. */
 static bool may_be_missing_at(const struct local_cancel *cancel, revision replica_revision)
 {
     if (cancel->committed_at.value)
@@ -190,7 +190,7 @@
 
 /* ---- remote cancellations ---- */
 
-/** When a user can first have been told of what another node shares now. */
+/** The earliest time at which what another node shares now can have been confirmed to a user. */
 static mono_time earliest_confirmation(const struct cancel_broadcast *broadcast)
 {
     mono_time fresh_at = broadcast->replica->fresh_at;
--- a/src/cluster/cancel_broadcast.h
+++ b/src/cluster/cancel_broadcast.h
@@ -2,9 +2,9 @@
  * @file
  * Cancellations of jobs that a node's replica may not show yet.
  *
- * Once a user has been told that a job is cancelled, its tasks have to stop within a bound,
- * whatever the key-value store does. So a node remembers the cancellations that it confirmed to
- * users or may have committed ("local"), shares them with the other nodes, and keeps what these
+ * Once a cancellation has been confirmed to a user, the tasks of the job have to stop within a
+ * bound, whatever the key-value store does. So a node remembers the cancellations that it confirmed
+ * to users or may have committed ("local"), shares them with the other nodes, and keeps what these
  * share with it
  * ("remote"). See "Nodes that answer for one another" in docs/safety.md.
  */
@@ -21,13 +21,13 @@
 /** The message to the listener when a job's cancellation becomes known; its body is a job_id. */
 enum { MSG_CANCELLED = 101 };
 
-/** What is known of a job's cancellation besides the replica. */
+/** What is known of a job's cancellation beyond what the replica shows. */
 enum cancel_status {
     /** Nothing. */
     CANCEL_NONE,
     /** A transaction may have cancelled it, or may yet do so. */
     CANCEL_POSSIBLE,
-    /** The job's record says that it is cancelled. */
+    /** It is on record in the key-value store. */
     CANCEL_COMMITTED,
 };
 
@@ -42,7 +42,7 @@
 enum cancel_status cancel_broadcast_get_status(const struct cancel_broadcast *broadcast,
                                                job_id job);
 
-/** The earliest time at which a user can have been told that the job is cancelled. */
+/** The earliest time at which the job's cancellation can have been confirmed to a user. */
 mono_time cancel_broadcast_confirmed_not_before(const struct cancel_broadcast *broadcast,
                                                 job_id job);
 
@@ -53,19 +53,19 @@
 
 /**
  * Notes the outcome of that transaction. If it is unknown the cancellation stays possible, as the
- * transaction may be committed later still. If it is committed the user may be told: it includes
- * cancel_broadcast_confirm().
+ * transaction may be committed later still. If it is committed it may be confirmed to the user:
+ * this includes cancel_broadcast_confirm().
  */
 void cancel_broadcast_finish(struct cancel_broadcast *broadcast, job_id job,
                              const struct txn_outcome *outcome);
 
-/** Notes that a user is told that the job is cancelled, as its record says since that revision. */
+/** Notes that the cancellation, on record since that revision, is confirmed to a user. */
 void cancel_broadcast_confirm(struct cancel_broadcast *broadcast, job_id job,
                               revision committed_at);
 
 /**
- * Announces a cancellation to the other nodes, before the user is told. Calls `done` once all of
- * them know, so that none starts a task of the job any more, or after a short timeout.
+ * Announces a cancellation to the other nodes, before it is confirmed to the user. Calls `done`
+ * once all of them know, so that none starts a task of the job any more, or after a short timeout.
  */
 void cancel_broadcast_announce(struct cancel_broadcast *broadcast, job_id job,
                                revision committed_at, void (*done)(void *arg), void *arg);
@@ -76,7 +76,7 @@
 revision cancel_broadcast_get_newest(const struct cancel_broadcast *broadcast);
 
 /**
- * Appends (struct cancel_notice) what a node whose replica stands at that revision may not know.
+ * Appends (struct cancel_notice) what a node whose replica is at that revision may not know.
  * Returns whether that is everything: the number in one list is limited, and the oldest
  * cancellations are forgotten.
  */
--- a/src/cluster/failure_detector.c
+++ b/src/cluster/failure_detector.c
@@ -119,7 +119,7 @@
 
 /**
  * Evaluates a round to which all nodes have responded or failed to. If each of them has shared its
- * cancellations, this node knows of all that users were told of until the round began.
+ * cancellations, this node knows of all that were confirmed to users until the round began.
  */
 static void finish_round(struct failure_detector *detector)
 {
--- a/src/cluster/leader_election.c
+++ b/src/cluster/leader_election.c
@@ -8,7 +8,7 @@
 #include "log.h"
 #include "shard_map.h"
 
-/** How much later each node stands for election than the one before it. */
+/** How much later each node becomes a candidate than the one before it, by label. */
 enum { STAGGER_MS = 30 };
 
 /** Field names in the values of the leader's key and of the map. */
@@ -186,7 +186,7 @@
 }
 
 /**
- * How long this node waits, once there is no leader, before it stands for election. Nodes do so one
+ * How long this node waits, once there is no leader, before it becomes a candidate. Nodes do so one
  * after another, so that mostly the first one has no rival.
  */
 static int64_t election_delay_ms(const struct leader_election *election)
--- a/src/cluster/leader_election.h
+++ b/src/cluster/leader_election.h
@@ -40,8 +40,7 @@
 struct leader_election *leader_election_new(const struct leader_election_setup *setup);
 void leader_election_free(struct leader_election *election);
 
-/** Stands for election if there is no leader, or writes the map if this node leads and it is due.
- */
+/** Becomes a candidate if there is no leader; writes the map if this node leads and it is due. */
 void leader_election_step(struct leader_election *election, const struct candidate *self);
 
 /** Makes the leader write a map with a new epoch, also if its nodes are the same. */
--- a/src/cluster/lease_proxy.h
+++ b/src/cluster/lease_proxy.h
@@ -4,7 +4,7 @@
  *
  * A node in a zone that is cut off renews the leases of all machines whose agents reach it, not
  * only of its own. An owner may declare a machine's lease expired only if no other node can have
- * renewed it since. See "Sheltered machines" in docs/safety.md.
+ * renewed it since. See "Proxy-renewed leases" in docs/safety.md.
  */
 #ifndef LL_LEASE_PROXY_H
 #define LL_LEASE_PROXY_H
@@ -26,7 +26,7 @@
 /**
  * Whether every renewal that another node may have made for a machine of this node has expired.
  *
- * If that cannot be told yet, asks the other nodes and returns false; the caller tries again later.
+ * If that is not known yet, asks the other nodes and returns false; the caller tries again later.
  *
  * @param last_own_renewal  this node has not renewed the lease since then
  * @param lease_ms          how long a renewal lasts, with a margin for clocks
--- a/src/cluster/membership.c
+++ b/src/cluster/membership.c
@@ -9,7 +9,7 @@
 #include "node_lease.h"
 #include "version_support.h"
 
-/** How often the state is examined besides changes of the replica. */
+/** How often the state is examined, in addition to when the replica changes. */
 enum { TICK_MS = 200 };
 
 /** Field names in the value of a node's key, and of the key of its announced version. */
--- a/src/cluster/node_lease.h
+++ b/src/cluster/node_lease.h
@@ -14,7 +14,7 @@
 
 /** Why a lease is given up. */
 enum lease_loss {
-    /** The key-value store says that it has ended. */
+    /** It has ended, by the key-value store's response to a renewal. */
     LEASE_ENDED,
     /** The key-value store refused a transaction that names it. */
     LEASE_REFUSED,
--- a/src/cluster/peer_messages.c
+++ b/src/cluster/peer_messages.c
@@ -18,7 +18,7 @@
 static const char FIELD_HAS_ALL_CANCELS[] = "all";
 static const char FIELD_RENEWAL_AGE_MS[] = "ago_ms";
 
-/** The elements of the array that stands for a cancellation in a health report. */
+/** The elements of the array that encodes a cancellation in a health report. */
 enum cancel_element { CANCEL_ELEMENT_JOB, CANCEL_ELEMENT_REVISION };
 
 cJSON *peer_question_encode(const struct peer_question *question)
@@ -86,7 +86,7 @@
     return message;
 }
 
-/** Returns whether the message holds all cancellations, and says so. */
+/** Returns whether the list is well-formed and marked as complete. */
 static bool decode_cancels(const cJSON *message, GArray *cancels)
 {
     const cJSON *list = cJSON_GetObjectItemCaseSensitive(message, FIELD_CANCELS);
--- a/src/cluster/peer_messages.h
+++ b/src/cluster/peer_messages.h
@@ -20,7 +20,7 @@
 /** Announces one struct cancel_notice; has no response body. */
 #define RPC_KIND_CANCELLED "cancelled"
 
-/** What a node says when it asks its peers something. */
+/** A question to another node. */
 struct peer_question {
     /** Never 0. A response repeats it, so that a late copy answers no later question. */
     uint64_t number;
--- a/src/node/role_assigner.c
+++ b/src/node/role_assigner.c
@@ -4,7 +4,7 @@
  */
 #include "role_assigner.h"
 
-/** How often the assignment is examined besides changes of the replica. */
+/** How often the assignment is examined, in addition to when the replica changes. */
 enum { TICK_MS = 200 };
 
 struct role_assigner {
--- a/src/singleton/intent_log.h
+++ b/src/singleton/intent_log.h
@@ -3,8 +3,8 @@
  * A write-ahead log of what the holder of a singleton role does outside the key-value store.
  *
  * An intent is recorded before its action begins, so that a later holder carries out what an
- * earlier one may have begun. Intents stand on pages, one key each. Those that are added while a
- * transaction is under way are written together by the next one, as writes are the scarcest
+ * earlier one may have begun. Intents are stored on pages, one key each. Those that are added while
+ * a transaction is under way are written together by the next one, as writes are the scarcest
  * resource of the key-value store. Once an action is finished its intent is settled, and leaves its
  * page with a later write, which waits a while for others.
  */
--- a/src/singleton/intent_log_internal.h
+++ b/src/singleton/intent_log_internal.h
@@ -2,8 +2,8 @@
  * @file
  * What the modules of the intent log share; no other module includes this.
  *
- * intent_log.c owns the struct and its entries, intent_log_pages.c decides which entry stands on
- * which page, and intent_log_writer.c writes pages.
+ * intent_log.c owns the struct and its entries, intent_log_pages.c assigns
+ * entries to pages, and intent_log_writer.c writes pages.
  */
 #ifndef LL_INTENT_LOG_INTERNAL_H
 #define LL_INTENT_LOG_INTERNAL_H
--- a/src/singleton/intent_log_pages.c
+++ b/src/singleton/intent_log_pages.c
@@ -1,6 +1,6 @@
 /**
  * @file
- * Which entry of the intent log stands on which page.
+ * The placement of the intent log's entries on pages.
  */
 #include "intent_log_internal.h"
 
@@ -41,7 +41,7 @@
 }
 
 /**
- * Forgets which entries stand on which pages. What the replica does not show on a page then counts
+ * Forgets the placement of all entries. What the replica does not show on a page then counts
  * as not recorded: either it was settled and its removal was committed, or adding it was not.
  */
 static void reset_placement(struct intent_log *log)
--- a/src/singleton/role_codec.c
+++ b/src/singleton/role_codec.c
@@ -16,7 +16,7 @@
 static const char FIELD_SCALE_INS[] = "return";
 static const char FIELD_SCALE_OUTS[] = "rent";
 
-/** The elements of the array that stands for an intent to scale out. */
+/** The elements of the array that encodes an intent to scale out. */
 enum scale_out_element {
     SCALE_OUT_REQUEST_ID,
     SCALE_OUT_MACHINE_TYPE,
--- a/src/singleton/role_codec.h
+++ b/src/singleton/role_codec.h
@@ -2,8 +2,8 @@
  * @file
  * Keys and values of singleton roles in the key-value store.
  *
- * `ll/duty/ROLE` says who holds a role; it is on the holder's lease. `ll/pending/ROLE/N` are pages
- * of intents that are not settled yet; they are on no lease.
+ * `ll/duty/ROLE` names the holder of a role; it is on the holder's lease. `ll/pending/ROLE/N` are
+ * pages of intents that are not settled yet; they are on no lease.
  *
  * All keys are read in their order, page by page. The pages of intents come after the shard map, so
  * that a node which has read a map has also read every intent that was recorded under an earlier
--- a/src/singleton/role_manager.c
+++ b/src/singleton/role_manager.c
@@ -9,7 +9,7 @@
 /** Between two claims, and before the outcome of a transaction is awaited again. */
 enum { RETRY_DELAY_MS = 150 };
 
-/** How this process stands to a role. */
+/** The relation of this process to a role. */
 enum role_phase {
     ROLE_NOT_HELD,
     /** The transaction of a claim is under way. */
