--- a/src/node/node.c
+++ b/src/node/node.c
@@ -22,6 +22,24 @@
         .node_count = settings->node_count};
 }
 
+/** What the node knows of the other nodes beyond the replica. */
+static void create_peer_modules(struct node *node, struct loop *loop)
+{
+    node->peer_poll = peer_poll_new(loop, node->rpc, node->replica, node->settings);
+    node->cancel_broadcast = cancel_broadcast_new(loop, node->rpc, node->replica, node->settings);
+    node->lease_proxy =
+        lease_proxy_new(loop, node->rpc, node->peer_poll, node->replica, node->settings);
+    node->failure_detector = failure_detector_new(
+        &(struct failure_detector_setup){.loop = loop,
+                                         .rpc = node->rpc,
+                                         .kv = node->kv,
+                                         .replica = node->replica,
+                                         .settings = node->settings,
+                                         .poll = node->peer_poll,
+                                         .cancel_broadcast = node->cancel_broadcast,
+                                         .lease_proxy = node->lease_proxy});
+}
+
 struct node *node_new(struct loop *loop, struct http_client *http_client,
                       const struct settings *settings, const struct policy *policy,
                       const struct feature_set *features)
@@ -38,18 +56,7 @@
     node->garbage_collector =
         garbage_collector_new(loop, node->kv, node->replica, node->membership, node->role_manager);
     node->rpc = node_rpc_new(loop, http_client, settings);
-    node->peer_poll = peer_poll_new(loop, node->rpc, node->replica, settings);
-    node->cancel_broadcast = cancel_broadcast_new(loop, node->rpc, node->replica, settings);
-    node->lease_proxy = lease_proxy_new(loop, node->rpc, node->peer_poll, node->replica, settings);
-    node->failure_detector = failure_detector_new(
-        &(struct failure_detector_setup){.loop = loop,
-                                         .rpc = node->rpc,
-                                         .kv = node->kv,
-                                         .replica = node->replica,
-                                         .settings = settings,
-                                         .poll = node->peer_poll,
-                                         .cancel_broadcast = node->cancel_broadcast,
-                                         .lease_proxy = node->lease_proxy});
+    create_peer_modules(node, loop);
     node->shard = shard_new(&(struct shard_setup){.loop = loop,
                                                   .net = http_client,
                                                   .kv = node->kv,
