--- a/src/node/node.c
+++ b/src/node/node.c
@@ -1,12 +1,18 @@
+/**
+ * @file
+ * A whole node: its parts, put together.
+ */
 #include "node.h"
 
-struct node *node_new(struct loop *loop, struct http_client *http_client,
-                      const struct settings *settings, const struct policy *policy,
-                      const struct feature_set *features)
+/**
+ * The limits that the node keeps to. Some may change at an unknown moment: until then, and after
+ * it, the lower of both values is within what the key-value store allows.
+ */
+static struct kv_limits get_kv_limits(const struct settings *settings)
 {
-    struct node *node = g_new0(struct node, 1);
-    const struct kv_service_limits *now = &settings->kv_limits, *next = &settings->kv_limits_next;
-    struct kv_limits limits = {
+    const struct kv_service_limits *now = &settings->kv_limits;
+    const struct kv_service_limits *next = &settings->kv_limits_next;
+    return (struct kv_limits){
         .rate_limit_rps = MIN(now->requests_per_s, next->requests_per_s),
         .rate_limit_write_rps = now->writes_per_s,
         .rate_limit_next_write_rps = MIN(now->writes_per_s, next->writes_per_s),
@@ -14,12 +20,34 @@
         .max_value_bytes = (size_t)(MIN(now->max_value_kb, next->max_value_kb) * 1024),
         .max_response_bytes = settings_max_response_bytes(settings),
         .node_count = settings->node_count};
+}
+
+/** What the node knows of the other nodes beyond the replica. */
+static void create_peer_modules(struct node *node, struct loop *loop)
+{
+    node->peer_poll = peer_poll_new(loop, node->rpc, node->replica, node->settings);
+    node->cancel_broadcast = cancel_broadcast_new(loop, node->rpc, node->replica, node->settings);
+    node->lease_proxy =
+        lease_proxy_new(loop, node->rpc, node->peer_poll, node->replica, node->settings);
+    node->failure_detector = failure_detector_new(
+        &(struct failure_detector_setup){.loop = loop,
+                                         .rpc = node->rpc,
+                                         .kv = node->kv,
+                                         .replica = node->replica,
+                                         .settings = node->settings,
+                                         .poll = node->peer_poll,
+                                         .cancel_broadcast = node->cancel_broadcast,
+                                         .lease_proxy = node->lease_proxy});
+}
+
+struct node *node_new(struct loop *loop, struct http_client *http_client,
+                      const struct settings *settings, const struct policy *policy,
+                      const struct feature_set *features)
+{
+    struct node *node = g_new0(struct node, 1);
     node->settings = settings;
-    node->loop = loop;
-    node->net = http_client;
-    node->kv = kv_client_new(loop, http_client, settings->kv_address, limits);
+    node->kv = kv_client_new(loop, http_client, settings->kv_address, get_kv_limits(settings));
     node->replica = replica_new(loop, node->kv);
-    node->features = features;
     node->membership = membership_new(loop, node->kv, node->replica, settings,
                                       features->singleton_roles.is_enabled);
     node->role_assigner =
@@ -28,18 +56,7 @@
     node->garbage_collector =
         garbage_collector_new(loop, node->kv, node->replica, node->membership, node->role_manager);
     node->rpc = node_rpc_new(loop, http_client, settings);
-    node->peer_poll = peer_poll_new(loop, node->rpc, node->replica, settings);
-    node->cancel_broadcast = cancel_broadcast_new(loop, node->rpc, node->replica, settings);
-    node->lease_proxy = lease_proxy_new(loop, node->rpc, node->peer_poll, node->replica, settings);
-    node->failure_detector = failure_detector_new(
-        &(struct failure_detector_setup){.loop = loop,
-                                         .rpc = node->rpc,
-                                         .kv = node->kv,
-                                         .replica = node->replica,
-                                         .settings = settings,
-                                         .poll = node->peer_poll,
-                                         .cancel_broadcast = node->cancel_broadcast,
-                                         .lease_proxy = node->lease_proxy});
+    create_peer_modules(node, loop);
     node->shard = shard_new(&(struct shard_setup){.loop = loop,
                                                   .net = http_client,
                                                   .kv = node->kv,
