--- a/src/kv/kv_client.c
+++ b/src/kv/kv_client.c
@@ -148,12 +148,12 @@
 {
     struct kv_call *call = arg;
     struct kv_client *kv = call->kv;
-    if (response->status == KV_HTTP_TOO_MANY_REQUESTS) {
+    if (response->status == HTTP_STATUS_TOO_MANY_REQUESTS) {
         call_retry_later(call);
         return;
     }
     if (response->status > 0) {
-        kv->is_refusing = response->status == KV_HTTP_UNAVAILABLE;
+        kv->is_refusing = response->status == HTTP_STATUS_UNAVAILABLE;
         if (!kv->is_refusing)
             kv->last_success_at = loop_now(kv->loop);
     }
--- a/src/kv/kv_codec.c
+++ b/src/kv/kv_codec.c
@@ -1,8 +1,6 @@
 /** Codec of the key-value store's protocol: see kv_codec.h. */
 #include "kv_codec.h"
 
-#include "kv_client.h"
-
 /* The words of the protocol. */
 static const char FIELD_REVISION[] = "Ledger";
 static const char FIELD_KEY[] = "K";
@@ -27,7 +25,8 @@
 
 json_object *kv_parse_response(const struct http_response *response)
 {
-    return response->status == KV_HTTP_OK ? json_parse(response->body, response->body_bytes) : NULL;
+    return response->status == HTTP_STATUS_OK ? json_parse(response->body, response->body_bytes)
+                                              : NULL;
 }
 
 bool kv_decode_revision(json_object *body, revision *at_revision)
--- a/src/net/http_parser.c
+++ b/src/net/http_parser.c
@@ -183,31 +183,31 @@
 const char *http_status_text(int status)
 {
     switch (status) {
-    case 200:
+    case HTTP_STATUS_OK:
         return "OK";
-    case 201:
+    case HTTP_STATUS_CREATED:
         return "Created";
-    case 400:
+    case HTTP_STATUS_BAD_REQUEST:
         return "Bad Request";
-    case 404:
+    case HTTP_STATUS_NOT_FOUND:
         return "Not Found";
-    case 405:
+    case HTTP_STATUS_METHOD_NOT_ALLOWED:
         return "Method Not Allowed";
-    case 408:
+    case HTTP_STATUS_REQUEST_TIMEOUT:
         return "Request Timeout";
-    case 409:
+    case HTTP_STATUS_CONFLICT:
         return "Conflict";
-    case 413:
+    case HTTP_STATUS_CONTENT_TOO_LARGE:
         return "Content Too Large";
-    case 421:
+    case HTTP_STATUS_MISDIRECTED:
         return "Misdirected Request";
-    case 422:
+    case HTTP_STATUS_UNPROCESSABLE:
         return "Unprocessable Content";
-    case 429:
+    case HTTP_STATUS_TOO_MANY_REQUESTS:
         return "Too Many Requests";
-    case 431:
+    case HTTP_STATUS_HEADER_TOO_LARGE:
         return "Request Header Fields Too Large";
-    case 503:
+    case HTTP_STATUS_UNAVAILABLE:
         return "Service Unavailable";
     default:
         return "Status";
--- a/src/net/http_server.c
+++ b/src/net/http_server.c
@@ -132,10 +132,10 @@
     case HTTP_PARSE_INCOMPLETE:
         return;
     case HTTP_PARSE_MALFORMED:
-        connection_respond_error(connection, 400);
+        connection_respond_error(connection, HTTP_STATUS_BAD_REQUEST);
         return;
     case HTTP_PARSE_TOO_LARGE:
-        connection_respond_error(connection, 431);
+        connection_respond_error(connection, HTTP_STATUS_HEADER_TOO_LARGE);
         return;
     case HTTP_PARSE_DONE:
         break;
@@ -152,16 +152,16 @@
             g_string_free(decoded_body, TRUE);
             if (result == HTTP_PARSE_TOO_LARGE ||
                 connection->input->len > head.head_bytes + server->limits.max_body_bytes * 2)
-                connection_respond_error(connection, 413);
+                connection_respond_error(connection, HTTP_STATUS_CONTENT_TOO_LARGE);
             else if (result == HTTP_PARSE_MALFORMED)
-                connection_respond_error(connection, 400);
+                connection_respond_error(connection, HTTP_STATUS_BAD_REQUEST);
             return;
         }
         body = decoded_body->str;
         body_bytes = decoded_body->len;
     } else if (head.content_length > 0) {
         if ((uint64_t)head.content_length > server->limits.max_body_bytes) {
-            connection_respond_error(connection, 413);
+            connection_respond_error(connection, HTTP_STATUS_CONTENT_TOO_LARGE);
             return;
         }
         if (connection->input->len - head.head_bytes < (size_t)head.content_length)
@@ -232,7 +232,7 @@
 {
     struct server_connection *connection = arg;
     if (connection->state == CONNECTION_READING && connection->input->len) {
-        connection_respond_error(connection, 408);
+        connection_respond_error(connection, HTTP_STATUS_REQUEST_TIMEOUT);
         return;
     }
     connection_close(connection);
--- a/src/replica/watch.c
+++ b/src/replica/watch.c
@@ -81,7 +81,7 @@
 static void watch_on_response(void *arg, const struct http_response *response)
 {
     struct replica *replica = arg;
-    if (response->status == KV_HTTP_GONE) {
+    if (response->status == HTTP_STATUS_GONE) {
         LOG_INFO("watch_compacted", "revision=%" G_GUINT64_FORMAT, replica->applied_revision.value);
         replica_reload(replica);
         return;
