--- a/src/base/event_loop.c
+++ b/src/base/event_loop.c
@@ -1,3 +1,4 @@
+/** The event loop: see event_loop.h. */
 #include "event_loop.h"
 
 #include <errno.h>
@@ -5,6 +6,17 @@
 #include <time.h>
 #include <unistd.h>
 
+enum {
+    MAX_EVENTS_PER_TURN = 64,
+    /** So that sockets are not starved by timers that are due at once. */
+    MAX_TIMERS_PER_TURN = 64,
+    MAX_POLL_MS = 1000,
+    FAKE_START_S = 1000,
+};
+
+static const int64_t US_PER_S = 1000000;
+static const int64_t FAKE_WALL_START_MS = 1700000000000;
+
 struct queued_message {
     struct actor *to;
     struct message message;
@@ -15,8 +27,10 @@
     bool has_fake_clock, is_stopped;
     mono_time now;
     wall_time fake_wall_time;
+    /** Struct timer, the one that fires first at the front. */
     GSequence *timers;
     uint64_t next_timer_sequence;
+    /** Struct queued_message, for all actors. */
     GQueue mailbox;
     GPtrArray *deferred_frees;
     uint64_t work_count;
@@ -26,7 +40,7 @@
 {
     struct timespec now;
     clock_gettime(CLOCK_MONOTONIC, &now);
-    return (mono_time){(int64_t)now.tv_sec * 1000000 + now.tv_nsec / 1000};
+    return (mono_time){(int64_t)now.tv_sec * US_PER_S + now.tv_nsec / 1000};
 }
 
 struct loop *loop_new(void)
@@ -44,8 +58,8 @@
 {
     struct loop *loop = loop_new();
     loop->has_fake_clock = true;
-    loop->now.us = 1000 * 1000000LL;
-    loop->fake_wall_time.ms = 1700000000000LL;
+    loop->now.us = FAKE_START_S * US_PER_S;
+    loop->fake_wall_time.ms = FAKE_WALL_START_MS;
     return loop;
 }
 
@@ -133,10 +147,10 @@
 static int compare_timers(gconstpointer a, gconstpointer b, gpointer unused)
 {
     (void)unused;
-    const struct timer *timer = a, *y = b;
-    if (timer->fires_at.us != y->fires_at.us)
-        return timer->fires_at.us < y->fires_at.us ? -1 : 1;
-    return timer->sequence < y->sequence ? -1 : timer->sequence > y->sequence;
+    const struct timer *left = a, *right = b;
+    if (left->fires_at.us != right->fires_at.us)
+        return left->fires_at.us < right->fires_at.us ? -1 : 1;
+    return left->sequence < right->sequence ? -1 : left->sequence > right->sequence;
 }
 
 void timer_start(struct loop *loop, struct timer *timer, int64_t ms)
@@ -163,8 +177,10 @@
     g_queue_push_tail(&loop->mailbox, queued);
 }
 
-/* Delivers what lies in the mailboxes now; what that sends waits for the next turn, so that mail
- * cannot starve the sockets. */
+/**
+ * Delivers the messages that are queued now. What they cause to be sent waits for the next turn, so
+ * that messages cannot starve the sockets. False: there were none.
+ */
 static bool deliver_messages(struct loop *loop)
 {
     guint pending = loop->mailbox.length;
@@ -178,6 +194,7 @@
     return pending > 0;
 }
 
+/** Fires the first timer that is due by a moment; false: there is none. */
 static bool fire_next_timer(struct loop *loop, mono_time until)
 {
     GSequenceIter *first = g_sequence_get_begin_iter(loop->timers);
@@ -195,23 +212,24 @@
     return true;
 }
 
+/** How long to wait for sockets: until the next timer, rounded up. */
 static int poll_timeout_ms(struct loop *loop)
 {
     if (loop->mailbox.length)
         return 0;
     GSequenceIter *first = g_sequence_get_begin_iter(loop->timers);
     if (g_sequence_iter_is_end(first))
-        return 1000;
+        return MAX_POLL_MS;
     struct timer *timer = g_sequence_get(first);
     int64_t remaining_us = timer->fires_at.us - loop->now.us;
     if (remaining_us <= 0)
         return 0;
-    return MIN((remaining_us + 999) / 1000, 1000);
+    return MIN((remaining_us + 999) / 1000, MAX_POLL_MS);
 }
 
 void loop_run(struct loop *loop)
 {
-    struct epoll_event events[64];
+    struct epoll_event events[MAX_EVENTS_PER_TURN];
     while (!loop->is_stopped) {
         int ready_count =
             epoll_wait(loop->epoll_fd, events, G_N_ELEMENTS(events), poll_timeout_ms(loop));
@@ -222,7 +240,7 @@
                 io->ready(io, events[i].events);
         }
         mono_time until = loop->now;
-        for (int i = 0; i < 64 && fire_next_timer(loop, until); i++)
+        for (int i = 0; i < MAX_TIMERS_PER_TURN && fire_next_timer(loop, until); i++)
             ;
         deliver_messages(loop);
         g_ptr_array_set_size(loop->deferred_frees, 0);
--- a/src/base/json_fields.c
+++ b/src/base/json_fields.c
@@ -1,7 +1,14 @@
+/** Fields of JSON objects: see json_fields.h. */
 #include "json_fields.h"
 
 #include <math.h>
 
+/** Nesting of a text. */
+enum { MAX_DEPTH = 16 };
+static const double MAX_AMOUNT = 1e9;
+/** What is less than that above a thousandth is a rounding error. */
+static const double AMOUNT_TOLERANCE_MILLI = 1e-6;
+
 int word_index(const char *const *words, int word_count, const char *word)
 {
     for (int index = 0; index < word_count; index++)
@@ -10,7 +17,7 @@
     return -1;
 }
 
-/* json-c takes 'single' quotes for quotes even when it is strict. */
+/** json-c accepts 'single' quotes even when it is strict. */
 static bool has_single_quoted_text(const char *text, size_t length)
 {
     bool in_string = false;
@@ -29,7 +36,7 @@
 {
     if (length > INT32_MAX || has_single_quoted_text(text, length))
         return NULL;
-    struct json_tokener *tokener = json_tokener_new_ex(16);
+    struct json_tokener *tokener = json_tokener_new_ex(MAX_DEPTH);
     json_tokener_set_flags(tokener, JSON_TOKENER_STRICT | JSON_TOKENER_VALIDATE_UTF8);
     json_object *object = json_tokener_parse_ex(tokener, text, (int)length);
     if (json_tokener_get_error(tokener) == json_tokener_continue) /* a number at the very end */
@@ -135,10 +142,9 @@
 bool json_get_amount(json_object *object, const char *field, amount *out)
 {
     double number;
-    if (!json_get_number(object, field, &number) || number < 0 || number > 1e9)
+    if (!json_get_number(object, field, &number) || number < 0 || number > MAX_AMOUNT)
         return false;
-    /* Rounded up, as limits are rounded down. */
-    out->milli = (int64_t)ceil(number * 1000 - 1e-6);
+    out->milli = (int64_t)ceil(number * 1000 - AMOUNT_TOLERANCE_MILLI);
     return true;
 }
 
--- a/src/base/json_fields.h
+++ b/src/base/json_fields.h
@@ -1,43 +1,46 @@
-/* Reading and writing of JSON fields over json-c. Readers are strict: they return false, and leave
- * what they would have set, unless the field is there and of its type. */
-#ifndef LL_CODEC_JSON_H
-#define LL_CODEC_JSON_H
+/**
+ * Reading and writing fields of JSON objects, over json-c.
+ *
+ * Readers are strict: unless the field is there and of its type they return false. They take NULL
+ * and values that are no objects, which have no fields.
+ */
+#ifndef LL_JSON_FIELDS_H
+#define LL_JSON_FIELDS_H
 
 #include "types.h"
 
 #include <json-c/json.h>
 
-/* One JSON text and nothing behind it, nested 16 deep at most. NULL otherwise. */
+/** Parses one JSON text, nested 16 deep at most; NULL: malformed, or something follows it. */
 json_object *json_parse(const char *text, size_t length);
-/* Frees the object and returns its text, a new one. */
+/** Serializes an object into a new text, and frees the object. */
 char *json_to_text_and_free(json_object *object);
 
-/* Whether the field is missing or null. */
+/** Whether the field is missing or null. */
 bool json_is_absent(json_object *object, const char *field);
-/* Reads a text without zero bytes: valid as long as the object. */
+/** Reads a text without zero bytes; valid as long as the object. */
 bool json_get_text(json_object *object, const char *field, const char **out);
-/* Copies a text that fits. */
+/** Copies a text; false also if it does not fit. */
 bool json_copy_text(json_object *object, const char *field, char *out, size_t size);
-/* Reads an integer from 0 on. */
+/** Reads an integer that is not negative. */
 bool json_get_u64(json_object *object, const char *field, uint64_t *out);
-/* Reads a finite number. */
+/** Reads a finite number. */
 bool json_get_number(json_object *object, const char *field, double *out);
-/* Reads true or false. */
 bool json_get_bool(json_object *object, const char *field, bool *out);
-/* The field's array, or NULL. */
+/** The field's array, or NULL; it belongs to the object. */
 json_object *json_get_array(json_object *object, const char *field);
-/* Reads a number from 0 to 10^9 as an amount, rounded up, as limits are rounded down. */
+/** Reads a number from 0 to 10^9. It is rounded up, as limits are rounded down. */
 bool json_get_amount(json_object *object, const char *field, amount *out);
 
-/* Each adds a field of its type. */
+/* Each adds or replaces a field. */
 void json_put_text(json_object *object, const char *field, const char *value);
 void json_put_u64(json_object *object, const char *field, uint64_t value);
 void json_put_number(json_object *object, const char *field, double value);
 void json_put_bool(json_object *object, const char *field, bool value);
 
-/* The place of a word among n, or -1. */
+/** The index of a word in an array, or -1. */
 int word_index(const char *const *words, int word_count, const char *word);
-/* The same in an array whose length is known. */
+/** The same in an array of known length. */
 #define WORD_INDEX(words, word) word_index(words, G_N_ELEMENTS(words), word)
 
 #endif
--- a/src/base/log.c
+++ b/src/base/log.c
@@ -1,28 +1,40 @@
+/** Structured logging over GLib: see log.h. */
 #include "log.h"
 
 #include <stdio.h>
 #include <string.h>
 #include <unistd.h>
 
+enum {
+    MAX_LINE_CHARS = 1024,
+    /** Of an event's fields. */
+    MAX_FIELDS_CHARS = 800,
+};
+
+/** Names of fields of GLib's structured log. */
+#define FIELD_MESSAGE "MESSAGE"
+#define FIELD_EVENT "LL_EVENT"
+
 static GLogLevelFlags log_threshold = G_LOG_LEVEL_MESSAGE;
 static char log_node[64];
 static guint64 log_epoch;
 
+/** GLogWriterFunc: longer lines are cut. */
 static GLogWriterOutput write_line(GLogLevelFlags level, const GLogField *fields, gsize field_count,
                                    gpointer unused)
 {
     (void)unused;
     const char *event = "", *text = "";
     for (gsize i = 0; i < field_count; i++) {
-        if (strcmp(fields[i].key, "MESSAGE") == 0)
+        if (strcmp(fields[i].key, FIELD_MESSAGE) == 0)
             text = fields[i].value;
-        else if (strcmp(fields[i].key, "LL_EVENT") == 0)
+        else if (strcmp(fields[i].key, FIELD_EVENT) == 0)
             event = fields[i].value;
     }
     const char *level_name = level <= G_LOG_LEVEL_WARNING   ? "error"
                              : level <= G_LOG_LEVEL_MESSAGE ? "info"
                                                             : "debug";
-    char line[1024];
+    char line[MAX_LINE_CHARS];
     int length = snprintf(line, sizeof line, "%s node=%s epoch=%" G_GUINT64_FORMAT " event=%s %s\n",
                           level_name, log_node, log_epoch, event, text);
     if (length >= (int)sizeof line) {
@@ -30,7 +42,7 @@
         line[length - 1] = '\n';
     }
     if (write(STDERR_FILENO, line, length) < 0)
-        return G_LOG_WRITER_UNHANDLED; /* nobody reads the log: nothing to be done about it */
+        return G_LOG_WRITER_UNHANDLED; /* standard error is closed: nothing can be done */
     return G_LOG_WRITER_HANDLED;
 }
 
@@ -66,11 +78,11 @@
 {
     if (level > log_threshold)
         return;
-    char text[800];
+    char text[MAX_FIELDS_CHARS];
     va_list arguments;
     va_start(arguments, format);
     g_vsnprintf(text, sizeof text, format, arguments);
     va_end(arguments);
-    const GLogField fields[] = {{"MESSAGE", text, -1}, {"LL_EVENT", event, -1}};
+    const GLogField fields[] = {{FIELD_MESSAGE, text, -1}, {FIELD_EVENT, event, -1}};
     g_log_structured_array(level, fields, G_N_ELEMENTS(fields));
 }
--- a/src/base/types.c
+++ b/src/base/types.c
@@ -1,3 +1,4 @@
+/** Parsing of ids: see types.h. */
 #include "types.h"
 
 static bool id_parse(char *out, size_t size, const char *text)
--- a/src/config/feature_check.h
+++ b/src/config/feature_check.h
@@ -1,4 +1,4 @@
-/* The check of a features file against its JSON Schema (valijson). */
+/** Validation of a features file against its JSON Schema, by valijson. */
 #ifndef LL_FEATURE_CHECK_H
 #define LL_FEATURE_CHECK_H
 
@@ -8,7 +8,7 @@
 extern "C" {
 #endif
 
-/* Checks a JSON text; false, with a message that names the field that is wrong first. */
+/** Validates a JSON text; false, with a message that names the first field that is wrong. */
 bool feature_check(const char *json, char *error, unsigned error_size);
 
 #ifdef __cplusplus
--- a/src/config/settings.c
+++ b/src/config/settings.c
@@ -1,3 +1,4 @@
+/** Reading the settings file: see settings.h. */
 #include "settings.h"
 
 #include "toml_reader.h"
@@ -7,8 +8,13 @@
 #include <math.h>
 #include <stdlib.h>
 
+static const double BYTES_PER_MB = 1024 * 1024;
+/** What a parsed response takes of memory for each byte of its text, at most. */
+static const double MEMORY_PER_RESPONSE_BYTE = 8;
+
 struct settings_reader {
-    char *error; /* the first thing found wrong */
+    /** The first error found; NULL: none. */
+    char *error;
 };
 
 static void report_error(struct settings_reader *reader, const char *field, const char *what)
@@ -89,7 +95,7 @@
 static amount read_amount_limit(struct settings_reader *reader, json_object *object,
                                 const char *path)
 {
-    /* Limits are rounded down and what tasks ask is rounded up. */
+    /* Rounded down, as what tasks request is rounded up. */
     return (amount){(int64_t)floor(read_number(reader, object, path, 0, 1e9) * 1000 + 1e-6)};
 }
 
@@ -164,7 +170,7 @@
     }
 }
 
-/* Kinds that are not known, and fields that do not matter here, are passed over. */
+/** Kinds that are not known, and fields that are not used, are passed over. */
 static void read_objectives(struct settings_reader *reader, struct settings *settings,
                             json_object *root)
 {
@@ -207,7 +213,7 @@
     g_free(((struct team *)p)->name);
 }
 
-/* Whether there is such a table; something else in its place is an error. */
+/** Whether there is a table; anything else in its place is an error. */
 static bool is_table_present(struct settings_reader *reader, json_object *object, const char *path)
 {
     json_object *value = find_member(object, path);
@@ -216,7 +222,7 @@
     return value != NULL;
 }
 
-/* Where there are others to fall back on, each field may be missing. */
+/** Each field may be missing if there are defaults. */
 static struct kv_service_limits read_kv_limits(struct settings_reader *reader, json_object *root,
                                                const char *path,
                                                const struct kv_service_limits *defaults)
@@ -240,9 +246,8 @@
     return (struct kv_service_limits){values[0], values[1], values[2], (int)values[3]};
 }
 
-static struct settings *read_all(json_object *root, char **error)
+static struct settings *settings_new(void)
 {
-    struct settings_reader reader_state = {0}, *reader = &reader_state;
     struct settings *settings = g_new0(struct settings, 1);
     settings->siblings = g_array_new(FALSE, TRUE, sizeof(struct sibling));
     g_array_set_clear_func(settings->siblings, clear_sibling);
@@ -251,6 +256,13 @@
     settings->objectives = g_array_new(FALSE, TRUE, sizeof(struct objective));
     g_array_set_clear_func(settings->objectives, clear_objective);
     settings->zones = g_ptr_array_new_with_free_func(g_free);
+    return settings;
+}
+
+/** This node, its siblings, and the services outside. */
+static void read_addresses(struct settings_reader *reader, struct settings *settings,
+                           json_object *root)
+{
     settings->label = read_text(reader, root, "label");
     settings->zone = read_text(reader, root, "domain");
     settings->api_address = read_address(reader, root, "api_addr");
@@ -258,16 +270,21 @@
     read_siblings(reader, settings, root);
     settings->cloud_address = read_address(reader, root, "outside.cloud");
     settings->kv_address = read_address(reader, root, "outside.state");
-    settings->node_count = read_integer(reader, root, "deployment.size", 1, 1000);
+}
+
+static void read_zones(struct settings_reader *reader, struct settings *settings, json_object *root)
+{
     json_object *zones = read_array(reader, root, "deployment.zones");
     for (size_t i = 0; zones && i < json_object_array_length(zones); i++)
         g_ptr_array_add(settings->zones,
                         g_strdup(json_object_get_string(json_object_array_get_idx(zones, i))));
     if (settings->zones->len == 0)
         report_error(reader, "deployment.zones", "missing");
-    settings->clock_error_ms = read_number(reader, root, "deployment.clock_error_ms", 0, 3600e3);
-    read_teams(reader, settings, root);
-    read_objectives(reader, settings, root);
+}
+
+static void read_agent_times(struct settings_reader *reader, struct settings *settings,
+                             json_object *root)
+{
     settings->heartbeat_interval_s =
         read_number(reader, root, "deployment.workers.report_s", 0.1, 600);
     settings->lease_s = read_number(reader, root, "deployment.workers.lease_s", 1, 3600);
@@ -276,6 +293,11 @@
     settings->gang_peer_timeout_s =
         read_number(reader, root, "deployment.workers.gang_peer_s", 0, 3600);
     settings->cancel_timeout_s = read_number(reader, root, "deployment.workers.cancel_s", 1, 36000);
+}
+
+static void read_service_limits(struct settings_reader *reader, struct settings *settings,
+                                json_object *root)
+{
     settings->kv_limits = read_kv_limits(reader, root, "deployment.state", NULL);
     settings->kv_limits_next = settings->kv_limits;
     if (is_table_present(reader, root, "deployment.state.next"))
@@ -288,14 +310,35 @@
     settings->ram_mb = read_number(reader, root, "deployment.machine_limits.ram_mb", 16, 1e9);
     settings->max_open_files =
         read_integer(reader, root, "deployment.machine_limits.fd_limit", 64, 1e7);
+}
+
+/** What fields must be to one another. */
+static void check_consistency(struct settings_reader *reader, const struct settings *settings)
+{
     if (!reader->error && settings->cancel_timeout_s <= settings->lease_s)
         report_error(reader, "deployment.workers.cancel_s", "must be more than lease_s");
     if (!reader->error && settings->lease_s <= settings->heartbeat_interval_s)
         report_error(reader, "deployment.workers.lease_s", "must be more than report_s");
     if (!reader->error && (int)settings->siblings->len + 1 != settings->node_count)
         report_error(reader, "deployment.size", "does not match the number of siblings");
-    if (reader->error) {
-        *error = reader->error;
+}
+
+/** Reads all fields in their order, as the first error is the one that is reported. */
+static struct settings *read_all(json_object *root, char **error)
+{
+    struct settings_reader reader = {0};
+    struct settings *settings = settings_new();
+    read_addresses(&reader, settings, root);
+    settings->node_count = read_integer(&reader, root, "deployment.size", 1, 1000);
+    read_zones(&reader, settings, root);
+    settings->clock_error_ms = read_number(&reader, root, "deployment.clock_error_ms", 0, 3600e3);
+    read_teams(&reader, settings, root);
+    read_objectives(&reader, settings, root);
+    read_agent_times(&reader, settings, root);
+    read_service_limits(&reader, settings, root);
+    check_consistency(&reader, settings);
+    if (reader.error) {
+        *error = reader.error;
         settings_free(settings);
         return NULL;
     }
@@ -355,7 +398,7 @@
 
 size_t settings_max_response_bytes(const struct settings *settings)
 {
-    return (size_t)(settings->ram_mb * 1024 * 1024 / 8);
+    return (size_t)(settings->ram_mb * BYTES_PER_MB / MEMORY_PER_RESPONSE_BYTE);
 }
 
 int settings_find_team(const struct settings *settings, const char *name)
--- a/src/net/http_client.c
+++ b/src/net/http_client.c
@@ -1,3 +1,4 @@
+/** HTTP client with a pool of connections: see http.h. */
 #include "http.h"
 #include "idle_list.h"
 #include "log.h"
@@ -10,52 +11,68 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-enum { MIN_ENDPOINT_SWEEP_THRESHOLD = 2000 };
+enum {
+    MIN_ENDPOINT_SWEEP_THRESHOLD = 2000,
+    RECEIVE_BYTES = 32768,
+};
 
 struct connection_pool;
 struct http_endpoint;
 
+/** A request and its response. */
 struct http_exchange {
     struct connection_pool *pool;
-    char *request_text; /* the request as it goes out */
+    /** The request as it is sent. */
+    char *request_text;
     size_t request_bytes;
     http_response_callback callback;
     void *callback_arg;
     struct http_endpoint *endpoint;
     struct timer timer;
-    struct client_connection *connection; /* NULL: waits for a connection */
+    /** NULL: it waits for a connection. */
+    struct client_connection *connection;
 };
 
-/* One connection. */
+/** A connection, which carries one exchange at a time. */
 struct client_connection {
     struct loop_io io;
     struct connection_pool *pool;
     struct http_endpoint *endpoint;
     bool is_connecting, is_watching_writable;
+    /** NULL: it is idle. */
     struct http_exchange *exchange;
     size_t sent_bytes;
     GByteArray *input;
-    struct timer timer; /* connecting, or idle */
+    /** Limits connecting and being idle. */
+    struct timer timer;
     struct idle_entry idle_entry;
 };
 
-/* One address. */
+/** An address with its connections. */
 struct http_endpoint {
     char *address;
-    GQueue queued_exchanges; /* struct http_exchange */
+    /** Struct http_exchange that wait for a connection. */
+    GQueue queued_exchanges;
+    /** Array of struct client_connection. */
     GPtrArray *connections;
-    bool is_exempt;  /* see http_client_exempt_address */
-    bool is_starved; /* in the client's list of those that wait for a connection of others to end */
+    /** See http_client_exempt_address. */
+    bool is_exempt;
+    /** It waits in the pool's list for another endpoint's connection to end. */
+    bool is_starved;
 };
 
 struct connection_pool {
     struct http_client interface;
     struct loop *loop;
     struct http_client_limits limits;
+    /** Address -> struct http_endpoint. */
     GHashTable *endpoints;
-    guint endpoint_sweep_threshold; /* so many are looked through for some to forget */
-    GQueue idle_connections;        /* struct client_connection */
-    GQueue starved_endpoints;       /* struct http_endpoint */
+    /** When there are so many endpoints, unused ones are removed. */
+    guint endpoint_sweep_threshold;
+    /** Struct client_connection. */
+    GQueue idle_connections;
+    /** Struct http_endpoint. */
+    GQueue starved_endpoints;
     struct timer starved_timer;
     int connection_count, queued_count;
 };
@@ -102,8 +119,10 @@
     g_free(endpoint);
 }
 
-/* Machines come and go: addresses that nothing is sent to any more are forgotten each time their
- * number has doubled. */
+/**
+ * Removes endpoints that are not used. Machines come and go, so this is done each time the number
+ * of endpoints has doubled.
+ */
 static void sweep_unused_endpoints(struct connection_pool *pool)
 {
     if (g_hash_table_size(pool->endpoints) < pool->endpoint_sweep_threshold)
@@ -122,7 +141,7 @@
         MAX(2 * g_hash_table_size(pool->endpoints), MIN_ENDPOINT_SWEEP_THRESHOLD);
 }
 
-/* Ends the connection and, with it, what it was carrying. */
+/** Closes a connection and finishes the exchange that it carries. */
 static void connection_fail(struct client_connection *connection)
 {
     struct connection_pool *pool = connection->pool;
@@ -222,7 +241,7 @@
     const char *body = data + head.head_bytes;
     if (head.is_chunked) {
         if (memcmp(data + connection->input->len - 4, "\r\n\r\n", 4) != 0)
-            return; /* long ones are not gone through again and again */
+            return; /* only the end is checked, as a long body arrives in many pieces */
         GString *decoded_body = g_string_new(NULL);
         size_t consumed_bytes;
         result = http_parse_chunks(body, connection->input->len - head.head_bytes, limit,
@@ -237,7 +256,7 @@
     }
     size_t body_bytes = head.content_length < 0 ? 0 : (size_t)head.content_length;
     if (body_bytes > limit) {
-        LOG_ERROR("answer_too_large", "addr=%s bytes=%zu", connection->endpoint->address,
+        LOG_ERROR("http_response_too_large", "address=%s bytes=%zu", connection->endpoint->address,
                   body_bytes);
         connection_fail(connection);
         return;
@@ -259,7 +278,7 @@
             return;
         }
         connection->is_connecting = false;
-        connection->is_watching_writable = true; /* that is how it is being watched */
+        connection->is_watching_writable = true; /* as connecting needs it */
         timer_stop(connection->pool->loop, &connection->timer);
         if (!connection->exchange)
             connection_become_idle(connection);
@@ -273,7 +292,7 @@
     }
     if (!(events & (EPOLLIN | EPOLLERR | EPOLLHUP)))
         return;
-    char buffer[32768];
+    char buffer[RECEIVE_BYTES];
     ssize_t size = recv(io->fd, buffer, sizeof buffer, 0);
     loop_refresh(connection->pool->loop);
     if (size < 0 && (errno == EAGAIN || errno == EINTR))
@@ -335,7 +354,7 @@
     return NULL;
 }
 
-/* Closes the connection that nobody has used for longest, to any address. */
+/** Closes the connection, to any address, that has been idle longest. False: none is idle. */
 static bool close_longest_idle_connection(struct connection_pool *pool)
 {
     if (!pool->idle_connections.head)
@@ -347,7 +366,7 @@
 static void endpoint_send_queued(struct connection_pool *pool, struct http_endpoint *endpoint)
 {
     while (endpoint->queued_exchanges.head) {
-        /* One that is free is used before room is made, which could close that very one. */
+        /* Before another connection is closed, which might be the idle one of this endpoint. */
         struct client_connection *connection = find_idle_connection(endpoint);
         if (!connection &&
             (int)endpoint->connections->len >= pool->limits.max_connections_per_address)
@@ -371,7 +390,7 @@
     }
 }
 
-/* There may be room for those that found none. */
+/** Timer callback: a connection may be available for endpoints that found none. */
 static void serve_starved_endpoints(void *arg)
 {
     struct connection_pool *pool = arg;
--- a/src/net/http_parser.c
+++ b/src/net/http_parser.c
@@ -1,3 +1,4 @@
+/** HTTP/1.1 parser: see http.h. */
 #include "http.h"
 
 #include <stdlib.h>
@@ -92,7 +93,7 @@
         end--;
     int64_t number;
     if (is_field_name(line, colon, "content-length")) {
-        /* Two lengths that differ are how requests get smuggled past one another. */
+        /* Two different lengths are a means of request smuggling. */
         if (!parse_decimal(value, end, &number) ||
             (head->content_length >= 0 && head->content_length != number))
             return false;
@@ -118,7 +119,7 @@
 {
     const char *head_end = g_strstr_len(data, MIN(length, (size_t)MAX_HEAD_BYTES), "\r\n\r\n");
     if (!head_end) {
-        /* A peer that does not speak HTTP should not have to send 8 KiB to be told so. */
+        /* A peer that does not speak HTTP is refused before it has sent 8 KiB. */
         if (length > 0 && !g_ascii_isupper(data[0]))
             return HTTP_PARSE_MALFORMED;
         return length >= MAX_HEAD_BYTES ? HTTP_PARSE_TOO_LARGE : HTTP_PARSE_INCOMPLETE;
@@ -166,7 +167,7 @@
         g_string_append_len(out, data + offset, size);
         offset += size + 2;
     }
-    /* Trailing fields, if any, end with a blank line. */
+    /* Trailer fields, if any, end with a blank line. */
     for (;;) {
         const char *line_end = g_strstr_len(data + offset, length - offset, "\r\n");
         if (!line_end)
--- a/src/net/http_server.c
+++ b/src/net/http_server.c
@@ -1,3 +1,4 @@
+/** HTTP server: see http.h. */
 #define _GNU_SOURCE /* accept4 */
 #include "http.h"
 #include "idle_list.h"
@@ -11,8 +12,14 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
+enum {
+    RECEIVE_BYTES = 16384,
+    MAX_ACCEPTS_PER_EVENT = 16,
+};
+
 enum connection_state { CONNECTION_READING, CONNECTION_HANDLING, CONNECTION_WRITING };
 
+/** A connection of a peer. */
 struct server_connection {
     struct loop_io io;
     struct http_server *server;
@@ -33,7 +40,8 @@
     struct http_server_limits limits;
     http_handler handler;
     void *ctx;
-    GHashTable *connections; /* ref -> struct server_connection */
+    /** connection_ref -> struct server_connection. */
+    GHashTable *connections;
     GQueue idle_connections;
     uint64_t next_ref;
 };
@@ -53,7 +61,7 @@
     loop_defer_free(server->loop, connection);
 }
 
-/* What is read next is a new request, or the rest of one. */
+/** Waits for a new request, or for the rest of one. */
 static void connection_await_request(struct server_connection *connection)
 {
     connection->state = CONNECTION_READING;
@@ -122,13 +130,80 @@
     connection_respond(connection, status, NULL, "{}", 2);
 }
 
-/* Hands over the request at the front of the buffer, once it is whole. */
-static void connection_parse_request(struct server_connection *connection)
+/** A request body, and how many bytes of the input it takes. */
+struct request_body {
+    char *text;
+    size_t text_bytes, consumed_bytes;
+};
+
+/** Takes a chunked body from the input. False: it is not whole, or an error was sent. */
+static bool take_chunked_body(struct server_connection *connection, size_t head_bytes,
+                              struct request_body *body)
+{
+    size_t limit = connection->server->limits.max_body_bytes;
+    size_t input_bytes = connection->input->len;
+    GString *decoded = g_string_new(NULL);
+    enum http_parse_result result =
+        http_parse_chunks((const char *)connection->input->data + head_bytes,
+                          input_bytes - head_bytes, limit, decoded, &body->consumed_bytes);
+    if (result == HTTP_PARSE_DONE) {
+        body->text_bytes = decoded->len;
+        body->text = g_string_free(decoded, FALSE);
+        return true;
+    }
+    g_string_free(decoded, TRUE);
+    if (result == HTTP_PARSE_TOO_LARGE || input_bytes > head_bytes + limit * 2)
+        connection_respond_error(connection, HTTP_STATUS_CONTENT_TOO_LARGE);
+    else if (result == HTTP_PARSE_MALFORMED)
+        connection_respond_error(connection, HTTP_STATUS_BAD_REQUEST);
+    return false;
+}
+
+/** Takes a body of known length from the input. False: it is not whole, or an error was sent. */
+static bool take_plain_body(struct server_connection *connection, const struct http_head *head,
+                            struct request_body *body)
+{
+    size_t length = head->content_length > 0 ? (size_t)head->content_length : 0;
+    if (length > connection->server->limits.max_body_bytes) {
+        connection_respond_error(connection, HTTP_STATUS_CONTENT_TOO_LARGE);
+        return false;
+    }
+    if (connection->input->len - head->head_bytes < length)
+        return false;
+    body->text = g_strndup((const char *)connection->input->data + head->head_bytes, length);
+    body->text_bytes = body->consumed_bytes = length;
+    return true;
+}
+
+/** Calls the handler for a request whose bytes were taken from the input. */
+static void connection_handle(struct server_connection *connection, struct http_head *head,
+                              const struct request_body *body)
 {
     struct http_server *server = connection->server;
+    connection->closes_after_response = head->closes_connection;
+    connection->state = CONNECTION_HANDLING;
+    idle_list_update(&server->idle_connections, &connection->idle_entry, false);
+    timer_stop(server->loop, &connection->timer);
+    char *query = strchr(head->target, '?');
+    if (query)
+        *query++ = 0;
+    struct http_request request = {
+        .method = head->method,
+        .path = head->target,
+        .query = query ? query : "",
+        .body = body->text,
+        .body_bytes = body->text_bytes,
+    };
+    server->handler(server->ctx, &server->responder, connection->ref, &request);
+}
+
+/** Handles the request at the front of the input, once it is whole. */
+static void connection_parse_request(struct server_connection *connection)
+{
     struct http_head head;
-    const char *data = (const char *)connection->input->data;
-    switch (http_parse_head(data, connection->input->len, false, &head)) {
+    struct request_body body;
+    switch (http_parse_head((const char *)connection->input->data, connection->input->len, false,
+                            &head)) {
     case HTTP_PARSE_INCOMPLETE:
         return;
     case HTTP_PARSE_MALFORMED:
@@ -140,49 +215,12 @@
     case HTTP_PARSE_DONE:
         break;
     }
-    GString *decoded_body = NULL;
-    const char *body = data + head.head_bytes;
-    size_t body_bytes = 0, consumed_bytes = 0;
-    if (head.is_chunked) {
-        decoded_body = g_string_new(NULL);
-        enum http_parse_result result =
-            http_parse_chunks(body, connection->input->len - head.head_bytes,
-                              server->limits.max_body_bytes, decoded_body, &consumed_bytes);
-        if (result != HTTP_PARSE_DONE) {
-            g_string_free(decoded_body, TRUE);
-            if (result == HTTP_PARSE_TOO_LARGE ||
-                connection->input->len > head.head_bytes + server->limits.max_body_bytes * 2)
-                connection_respond_error(connection, HTTP_STATUS_CONTENT_TOO_LARGE);
-            else if (result == HTTP_PARSE_MALFORMED)
-                connection_respond_error(connection, HTTP_STATUS_BAD_REQUEST);
-            return;
-        }
-        body = decoded_body->str;
-        body_bytes = decoded_body->len;
-    } else if (head.content_length > 0) {
-        if ((uint64_t)head.content_length > server->limits.max_body_bytes) {
-            connection_respond_error(connection, HTTP_STATUS_CONTENT_TOO_LARGE);
-            return;
-        }
-        if (connection->input->len - head.head_bytes < (size_t)head.content_length)
-            return;
-        body_bytes = consumed_bytes = head.content_length;
-    }
-    char *text = g_strndup(body, body_bytes);
-    g_byte_array_remove_range(connection->input, 0, head.head_bytes + consumed_bytes);
-    if (decoded_body)
-        g_string_free(decoded_body, TRUE);
-    connection->closes_after_response = head.closes_connection;
-    connection->state = CONNECTION_HANDLING;
-    idle_list_update(&connection->server->idle_connections, &connection->idle_entry, false);
-    timer_stop(server->loop, &connection->timer);
-    char *query = strchr(head.target, '?');
-    if (query)
-        *query++ = 0;
-    struct http_request request = {head.method, head.target, query ? query : "",
-                                   text,        body_bytes,  NULL};
-    server->handler(server->ctx, &server->responder, connection->ref, &request);
-    g_free(text);
+    if (head.is_chunked ? !take_chunked_body(connection, head.head_bytes, &body)
+                        : !take_plain_body(connection, &head, &body))
+        return;
+    g_byte_array_remove_range(connection->input, 0, head.head_bytes + body.consumed_bytes);
+    connection_handle(connection, &head, &body);
+    g_free(body.text);
 }
 
 static void connection_process_input(struct server_connection *connection)
@@ -203,7 +241,7 @@
         connection_write(connection);
         return;
     }
-    char buffer[16384];
+    char buffer[RECEIVE_BYTES];
     ssize_t received_bytes = recv(io->fd, buffer, sizeof buffer, 0);
     loop_refresh(connection->server->loop);
     if (received_bytes < 0 && (errno == EAGAIN || errno == EINTR))
@@ -212,9 +250,9 @@
         connection_close(connection);
         return;
     }
-    /* There is no pipelining: whoever sends on while an answer is due gets no more room. */
+    /* There is no pipelining: input that comes before the response is limited. */
     if (connection->state != CONNECTION_READING &&
-        connection->input->len + received_bytes > 16384) {
+        connection->input->len + received_bytes > RECEIVE_BYTES) {
         connection_close(connection);
         return;
     }
@@ -252,10 +290,10 @@
     (void)events;
     struct http_server *server =
         (struct http_server *)((char *)io - offsetof(struct http_server, io));
-    for (int i = 0; i < 16; i++) {
+    for (int i = 0; i < MAX_ACCEPTS_PER_EVENT; i++) {
         int fd = accept4(io->fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
         if (fd < 0) {
-            /* No socket left: make room by dropping the connection that has idled longest. */
+            /* Out of sockets: the connection that has been idle longest is closed. */
             if ((errno == EMFILE || errno == ENFILE) && server->idle_connections.head)
                 connection_close(server->idle_connections.head->data);
             return;
