--- a/src/kv/kv_client.h
+++ b/src/kv/kv_client.h
@@ -17,17 +17,6 @@
 
 struct kv_client;
 
-/** HTTP statuses of the store that callers tell apart. */
-enum {
-    KV_HTTP_OK = 200,
-    KV_HTTP_BAD_REQUEST = 400,
-    KV_HTTP_CONFLICT = 409,
-    /** The watch asks for a revision that the store has compacted. */
-    KV_HTTP_GONE = 410,
-    KV_HTTP_TOO_MANY_REQUESTS = 429,
-    KV_HTTP_UNAVAILABLE = 503,
-};
-
 /**
  * What the store accepts. Sizes of values and transactions are the tighter of the present limits
  * and those announced for later; values stored before may be longer.
--- a/src/kv/kv_commit.c
+++ b/src/kv/kv_commit.c
@@ -22,20 +22,20 @@
 {
     struct txn_outcome outcome = {.status = TXN_UNKNOWN};
     switch (response->status) {
-    case KV_HTTP_OK:
+    case HTTP_STATUS_OK:
         if (kv_decode_revision(body, &outcome.at_revision))
             outcome.status = TXN_COMMITTED;
         break;
-    case KV_HTTP_CONFLICT:
+    case HTTP_STATUS_CONFLICT:
         if (kv_decode_revision(body, &outcome.at_revision)) {
             outcome.status = TXN_CONFLICT;
             outcome.failed_keys = kv_decode_failed_keys(body);
         }
         break;
-    case KV_HTTP_BAD_REQUEST:
+    case HTTP_STATUS_BAD_REQUEST:
         outcome.status = kv_is_lease_expired(body) ? TXN_LEASE_EXPIRED : TXN_REJECTED;
         break;
-    case KV_HTTP_UNAVAILABLE:
+    case HTTP_STATUS_UNAVAILABLE:
     case HTTP_NOT_SENT:
         outcome.status = TXN_REJECTED;
         break;
@@ -51,7 +51,7 @@
     json_object *body =
         response->status > 0 ? json_parse(response->body, response->body_bytes) : NULL;
     struct txn_outcome outcome = decode_outcome(response, body);
-    if (outcome.status == TXN_REJECTED && response->status == KV_HTTP_BAD_REQUEST) {
+    if (outcome.status == TXN_REJECTED && response->status == HTTP_STATUS_BAD_REQUEST) {
         LOG_ERROR("kv_txn_rejected", "response=%.*s",
                   (int)MIN(response->body_bytes, MAX_LOGGED_RESPONSE), response->body);
         /* Perhaps it was too large: the next transactions keep to the later, tighter limits. */
--- a/src/wire/job_codec.h
+++ b/src/wire/job_codec.h
@@ -68,6 +68,14 @@
  * leaves the field out. */
 void job_spec_put_dependencies(json_object *object, json_object *job_ids);
 
+/** Whether a submission, which may be malformed, names dependencies at all. */
+bool job_spec_names_dependencies(json_object *object);
+/**
+ * Replaces the dependencies in an encoded specification. Takes ownership of the array of job ids;
+ * an empty one leaves the field out.
+ */
+void job_spec_put_dependencies(json_object *object, json_object *job_ids);
+
 /** Encodes the answer to a user, a new text. completed < 0: without numbers of tasks. */
 char *job_status_encode(job_id id, const char *stage, long completed, long running);
 
