--- a/tests/test_feature_set.c
+++ b/tests/test_feature_set.c
@@ -1,6 +1,7 @@
 /* The features file: what can be used, and the one message for what cannot. */
 #include "feature_set.h"
 
+#include <glib/gstdio.h>
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -49,11 +50,67 @@
     }
 }
 
+static void each_fault_has_its_whole_message(void **state)
+{
+    (void)state;
+    static const struct {
+        const char *text, *message;
+    } cases[] = {
+        {"[duties]\n", "duties: Missing required property 'enabled'."},
+        {"[duties]\nenabled = 1\n",
+         "duties.enabled: Value type not permitted by 'type' constraint."},
+        {"[duties]\nenabled = true\nreport_s = 0\n",
+         "duties.report_s: Expected number greater than or equal to 1.000000"},
+        {"[duties]\nenabled = true\nreport_s = 90000\n",
+         "duties.report_s: Expected number less than or equal to 86400.000000"},
+        {"[duties]\nenabled = true\nholder = \"x\"\n",
+         "duties: Object contains a property that could not be validated using 'properties' or "
+         "'additionalProperties' constraints: 'holder'."},
+        {"x = 1\n",
+         "the file: Object contains a property that could not be validated using 'properties' or "
+         "'additionalProperties' constraints: 'x'."},
+        {"a = ", "line 1, column 5: Error while parsing key-value pair: encountered end-of-file"},
+    };
+    for (guint i = 0; i < G_N_ELEMENTS(cases); i++) {
+        struct feature_set features;
+        char *error = NULL;
+        assert_false(feature_set_parse(cases[i].text, &features, &error));
+        assert_string_equal(error, cases[i].message);
+        g_free(error);
+    }
+}
+
+/* A file that cannot be read is named by the system's message only. */
+static void files_are_named_in_messages(void **state)
+{
+    (void)state;
+    struct feature_set features;
+    char *error = NULL;
+    assert_false(feature_set_load("/nowhere/features", &features, &error));
+    assert_true(g_str_has_prefix(error, "Failed to open file"));
+    g_clear_pointer(&error, g_free);
+
+    char *path = NULL;
+    int fd = g_file_open_tmp("features-XXXXXX", &path, NULL);
+    assert_true(fd >= 0);
+    assert_true(g_close(fd, NULL));
+    assert_true(g_file_set_contents(path, "[duties]\n", -1, NULL));
+    assert_false(feature_set_load(path, &features, &error));
+    char *message = g_strdup_printf("%s: duties: Missing required property 'enabled'.", path);
+    assert_string_equal(error, message);
+    g_free(message);
+    g_free(error);
+    assert_int_equal(g_unlink(path), 0);
+    g_free(path);
+}
+
 int main(void)
 {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(good_files_are_read),
         cmocka_unit_test(bad_files_are_refused_by_field),
+        cmocka_unit_test(each_fault_has_its_whole_message),
+        cmocka_unit_test(files_are_named_in_messages),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/test_policy.c
+++ b/tests/test_policy.c
@@ -1,6 +1,7 @@
 /* The expression language and its checker. */
 #include "policy.h"
 
+#include <glib/gstdio.h>
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -67,6 +68,9 @@
     assert_true(number("-5") == 0);
     assert_true(number("1 / 0") == 1e6);
     assert_true(number("0 / 0") == 0);
+    /* No order is known to a value that is no number: it compares as equal. */
+    assert_true(number("if 0 / 0 == 1 then 7 else 8") == 7);
+    assert_true(number("if 0 / 0 < 1 then 7 else 8") == 8);
 }
 
 static void flags_are_computed(void **state)
@@ -77,6 +81,13 @@
     assert_false(flag("true and false or false"));
     assert_false(flag("peak_cpus >= 1"));
     assert_true(flag("team != \"blue\""));
+    assert_true(flag("class == \"\"")); /* an input without a value */
+    assert_true(flag("true == true"));
+    assert_true(flag("true != false"));
+    assert_true(flag("1 < 2 and 2 > 1 and 2 <= 2 and 2 >= 2"));
+    assert_false(flag("2 < 1 or 1 > 2 or 3 <= 2 or 2 >= 3"));
+    assert_true(flag("if team == \"red\" then not false else false"));
+    assert_true(flag("true or false and false"));
 }
 
 static void what_is_wrong_is_named_with_its_place(void **state)
@@ -103,6 +114,197 @@
     refused(deep, "nested too deep");
 }
 
+/* The whole message, so that neither its words nor its place can change unseen. */
+static void each_fault_has_its_whole_message(void **state)
+{
+    (void)state;
+    static const struct {
+        const char *text, *message;
+    } cases[] = {
+        {"spare_cpus = 1 +", "line 1, column 17: expected a value"},
+        {"\nidle_s = true", "line 2, column 10: expected a number, found true or false"},
+        {"preempt = team", "line 1, column 11: expected true or false, found a text"},
+        {"preempt = team == 3", "line 1, column 19: expected a text, found a number"},
+        {"idle_s = 3 4", "line 1, column 12: expected the end of the line"},
+        {"idle_s = backlog_s", "line 1, column 10: backlog_s is not known in this setting"},
+        {"idle_s = colour", "line 1, column 10: expected a value; colour is no input"},
+        {"idle = 3", "line 1, column 1: idle is no setting"},
+        {"idle_s = 3\nidle_s = 4", "line 2, column 1: idle_s is set twice"},
+        {"idle_s 3", "line 1, column 8: expected ="},
+        {"idle_s == 3", "line 1, column 9: expected ="},
+        {"idle_s = (3", "line 1, column 12: expected )"},
+        {"preempt = team == \"red", "line 1, column 19: expected a closing quotation mark"},
+        {"preempt = team == \"red\n\"", "line 1, column 19: expected a closing quotation mark"},
+        {"idle_s = if spot then 3", "line 1, column 24: expected else"},
+        {"idle_s = if spot 3", "line 1, column 18: expected then"},
+        {"idle_s = if 3 then 3 else 4",
+         "line 1, column 12: expected true or false, found a number"},
+        {"idle_s = if  3 then 3 else 4",
+         "line 1, column 12: expected true or false, found a number"},
+        {"idle_s = if spot then 3 else true",
+         "line 1, column 30: expected a number, found true or false"},
+        {"idle_s = if spot then 3 else   \"a\"",
+         "line 1, column 32: expected a number, found a text"},
+        {"idle_s = if spot then true else 3",
+         "line 1, column 33: expected true or false, found a number"},
+        {"idle_s = 3x", "line 1, column 10: expected a number"},
+        {"idle_s = 1e400", "line 1, column 10: expected a number"},
+        {"idle_s = .", "line 1, column 10: expected a number"},
+        {"idle_s = min 3", "line 1, column 14: expected ("},
+        {"idle_s = min(3", "line 1, column 15: expected a comma"},
+        {"idle_s = min(3)", "line 1, column 15: expected a comma"},
+        {"idle_s = min(3, 4", "line 1, column 18: expected )"},
+        {"idle_s = min(true, 4)", "line 1, column 14: expected a number, found true or false"},
+        {"idle_s = min(3,  true)", "line 1, column 16: expected a number, found true or false"},
+        {"idle_s = max(\"a\", 4)", "line 1, column 14: expected a number, found a text"},
+        {"idle_s = max(3, 4,5)", "line 1, column 18: expected )"},
+        {"idle_s = - true", "line 1, column 10: expected a number, found true or false"},
+        {"idle_s = -", "line 1, column 11: expected a value"},
+        {"preempt = not 3", "line 1, column 11: expected true or false, found a number"},
+        {"preempt = not  3", "line 1, column 11: expected true or false, found a number"},
+        {"preempt = not", "line 1, column 14: expected a value"},
+        {"preempt = 1 and true", "line 1, column 11: expected true or false, found a number"},
+        {"preempt = true and 1", "line 1, column 20: expected true or false, found a number"},
+        {"preempt = true and  1", "line 1, column 21: expected true or false, found a number"},
+        {"preempt = true or 1", "line 1, column 19: expected true or false, found a number"},
+        {"preempt = 1 or true", "line 1, column 11: expected true or false, found a number"},
+        {"preempt = true or", "line 1, column 18: expected a value"},
+        {"preempt = team < \"a\"", "line 1, column 11: expected a number, found a text"},
+        {"preempt = true < false", "line 1, column 11: expected a number, found true or false"},
+        {"preempt = true == 3", "line 1, column 19: expected true or false, found a number"},
+        {"preempt = 1 < true", "line 1, column 15: expected a number, found true or false"},
+        {"preempt = 1 <  true", "line 1, column 16: expected a number, found true or false"},
+        {"preempt = 1 < 2 < 3", "line 1, column 17: expected the end of the line"},
+        {"preempt = 1 == 2 == 3", "line 1, column 18: expected the end of the line"},
+        {"spare_cpus = true + 1", "line 1, column 14: expected a number, found true or false"},
+        {"spare_cpus = 1 + true", "line 1, column 18: expected a number, found true or false"},
+        {"spare_cpus = 1 * \"x\"", "line 1, column 18: expected a number, found a text"},
+        {"spare_cpus = 1 / ", "line 1, column 18: expected a value"},
+        {"spare_cpus = 1 * team", "line 1, column 18: team is not known in this setting"},
+        {"spare_cpus = spot", "line 1, column 14: spot is not known in this setting"},
+        {"spare_cpus = _x", "line 1, column 14: expected a value"},
+        {"3 = 4", "line 1, column 1: expected the name of a setting"},
+        {"= 4", "line 1, column 1: expected the name of a setting"},
+        {"_idle = 3", "line 1, column 1: expected the name of a setting"},
+        {"idle_s", "line 1, column 7: expected ="},
+        {"idle_s =", "line 1, column 9: expected a value"},
+        {"idle_s = # nothing", "line 1, column 19: expected a value"},
+        {"idle_s = 3;", "line 1, column 11: expected the end of the line"},
+        {"idle_s = 3)", "line 1, column 11: expected the end of the line"},
+        {"preempt = truex", "line 1, column 11: expected a value; truex is no input"},
+        {"preempt = iffy", "line 1, column 11: expected a value; iffy is no input"},
+        {"idle_s = minimum(3)", "line 1, column 10: expected a value; minimum is no input"},
+        {"idle_s = if spot then\n3 else 4", "line 1, column 22: expected a value"},
+        {"rent_ordinary = cpus > 3", "line 1, column 17: cpus is not known in this setting"},
+        {"rent_ordinary = backlog_s > 3 and zone == \"a\"",
+         "line 1, column 35: zone is not known in this setting"},
+        {"preempt = class == \"x\" or not team != \"y\" and 1 + 2 >= 3 * 4 / -5",
+         "line 1, column 27: expected true or false, found a text"},
+        {"preempt = ((true)", "line 1, column 18: expected )"},
+        {"preempt = (true", "line 1, column 16: expected )"},
+        {"preempt = ()", "line 1, column 12: expected a value"},
+        {"preempt = !true", "line 1, column 11: expected a value"},
+        {"preempt = true && true", "line 1, column 16: expected the end of the line"},
+        {"preempt = 1 = 1", "line 1, column 11: expected true or false, found a number"},
+        {"idle_s = min(3 4)", "line 1, column 16: expected a comma"},
+        {"idle_s = min(,4)", "line 1, column 14: expected a value"},
+        {"idle_s = min( 3 , )", "line 1, column 19: expected a value"},
+        {"idle_s = + 3", "line 1, column 10: expected a value"},
+        {"preempt = \"a\"", "line 1, column 11: expected true or false, found a text"},
+        {"idle_s = 3 + \"\"", "line 1, column 14: expected a number, found a text"},
+        {"preempt = team == \"a\" b", "line 1, column 23: expected the end of the line"},
+        {"preempt = spot", "line 1, column 11: spot is not known in this setting"},
+        {"preempt = not spot == true", "line 1, column 15: spot is not known in this setting"},
+        {"idle_s = type", "line 1, column 10: expected a number, found a text"},
+    };
+    for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
+        char *error = NULL;
+        assert_null(policy_parse(cases[i].text, &error));
+        if (strcmp(error, cases[i].message) != 0)
+            fail_msg("'%s': '%s' in place of '%s'", cases[i].text, error, cases[i].message);
+        g_free(error);
+    }
+}
+
+static char *repeat(const char *before, const char *part, int times, const char *after)
+{
+    GString *text = g_string_new(before);
+    for (int i = 0; i < times; i++)
+        g_string_append(text, part);
+    g_string_append(text, after);
+    return g_string_free(text, FALSE);
+}
+
+static void nesting_is_bounded(void **state)
+{
+    (void)state;
+    static const struct {
+        const char *before, *part, *after;
+        int times;
+        const char *message; /* NULL: nothing is wrong there */
+    } cases[] = {
+        {"idle_s = ", "(", "", 391, "line 1, column 74: nested too deep"},
+        {"idle_s = ", "-", "1", 63, NULL},
+        {"idle_s = ", "-", "1", 64, "line 1, column 74: nested too deep"},
+        {"idle_s = ", "if true then 1 else ", "1", 70, "line 1, column 1273: nested too deep"},
+        {"preempt = ", "not ", "true", 80, "line 1, column 267: nested too deep"},
+    };
+    for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
+        char *text = repeat(cases[i].before, cases[i].part, cases[i].times, cases[i].after);
+        char *error = NULL;
+        struct policy *policy = policy_parse(text, &error);
+        if (cases[i].message) {
+            assert_null(policy);
+            assert_string_equal(error, cases[i].message);
+        } else {
+            assert_non_null(policy);
+            policy_free(policy);
+        }
+        g_free(error);
+        g_free(text);
+    }
+}
+
+static void files_are_named_in_messages(void **state)
+{
+    (void)state;
+    char *error = NULL;
+    assert_null(policy_load("/nowhere/policy", &error));
+    assert_non_null(g_strrstr(error, "/nowhere/policy: Failed to open file"));
+    g_clear_pointer(&error, g_free);
+
+    char *path = NULL;
+    int fd = g_file_open_tmp("policy-XXXXXX", &path, NULL);
+    assert_true(fd >= 0);
+    assert_true(g_close(fd, NULL));
+    static const struct {
+        const char *before, *part;
+        int times;
+        const char *message; /* after the file's name; NULL: nothing is wrong there */
+    } cases[] = {
+        {"idle_s = 3", "", 0, NULL},
+        {"idle = 3", "", 0, "line 1, column 1: idle is no setting"},
+        {"", "#", 65536, NULL},
+        {"", "#", 65537, "is larger than 64 KiB"},
+    };
+    for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
+        char *text = repeat(cases[i].before, cases[i].part, cases[i].times, "");
+        assert_true(g_file_set_contents(path, text, -1, NULL));
+        struct policy *policy = policy_load(path, &error);
+        char *message = cases[i].message ? g_strdup_printf("%s: %s", path, cases[i].message) : NULL;
+        assert_int_equal(policy == NULL, message != NULL);
+        if (message)
+            assert_string_equal(error, message);
+        if (policy)
+            policy_free(policy);
+        g_clear_pointer(&error, g_free);
+        g_free(message);
+        g_free(text);
+    }
+    assert_int_equal(g_unlink(path), 0);
+    g_free(path);
+}
+
 static void what_is_not_set_has_its_default(void **state)
 {
     (void)state;
@@ -123,6 +325,9 @@
         cmocka_unit_test(what_cannot_be_is_kept_in_range),
         cmocka_unit_test(flags_are_computed),
         cmocka_unit_test(what_is_wrong_is_named_with_its_place),
+        cmocka_unit_test(each_fault_has_its_whole_message),
+        cmocka_unit_test(nesting_is_bounded),
+        cmocka_unit_test(files_are_named_in_messages),
         cmocka_unit_test(what_is_not_set_has_its_default),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
