--- /dev/null
+++ b/src/config/policy_evaluator.c
@@ -0,0 +1,148 @@
+/** Evaluates syntax trees by recursion; the parser bounds their depth. */
+#include "policy_evaluator.h"
+
+#include <math.h>
+#include <string.h>
+
+static struct policy_value number_value(double number)
+{
+    return (struct policy_value){.number = number};
+}
+
+static struct policy_value text_value(const char *text)
+{
+    return (struct policy_value){.text = text};
+}
+
+static struct policy_value flag_value(bool flag)
+{
+    return (struct policy_value){.flag = flag};
+}
+
+static double evaluate_number(const struct policy_expression *expression,
+                              const struct policy_value *inputs)
+{
+    return policy_evaluate(expression, inputs).number;
+}
+
+static bool evaluate_flag(const struct policy_expression *expression,
+                          const struct policy_value *inputs)
+{
+    return policy_evaluate(expression, inputs).flag;
+}
+
+/** As fmin and fmax, but of operands that compare as equal always the left one, which C leaves open
+ * for 0 and -0. Operands that are NaN are ignored. */
+static double smaller_number(double left, double right)
+{
+    return isnan(right) || left <= right ? left : right;
+}
+
+static double larger_number(double left, double right)
+{
+    return isnan(right) || left >= right ? left : right;
+}
+
+static double evaluate_arithmetic(const struct policy_expression *expression,
+                                  const struct policy_value *inputs)
+{
+    double left = evaluate_number(expression->left, inputs);
+    double right = evaluate_number(expression->right, inputs);
+    switch (expression->operation) {
+    case POLICY_OP_ADD:
+        return left + right;
+    case POLICY_OP_SUBTRACT:
+        return left - right;
+    case POLICY_OP_MULTIPLY:
+        return left * right;
+    case POLICY_OP_DIVIDE:
+        return left / right;
+    case POLICY_OP_MIN:
+        return smaller_number(left, right);
+    case POLICY_OP_MAX:
+        return larger_number(left, right);
+    default:
+        g_return_val_if_reached(0);
+    }
+}
+
+/** Compares the operands, which have one type. Returns a negative number, 0 or a positive number
+ * as strcmp does. An input without a text compares as the empty text. */
+static int compare_operands(const struct policy_expression *expression,
+                            const struct policy_value *inputs)
+{
+    struct policy_value left = policy_evaluate(expression->left, inputs);
+    struct policy_value right = policy_evaluate(expression->right, inputs);
+    switch (expression->left->type) {
+    case POLICY_TYPE_TEXT:
+        return strcmp(left.text ? left.text : "", right.text ? right.text : "");
+    case POLICY_TYPE_FLAG:
+        return (int)left.flag - (int)right.flag;
+    case POLICY_TYPE_NUMBER:
+        break;
+    }
+    return (left.number > right.number) - (left.number < right.number);
+}
+
+static bool evaluate_comparison(const struct policy_expression *expression,
+                                const struct policy_value *inputs)
+{
+    int order = compare_operands(expression, inputs);
+    switch (expression->operation) {
+    case POLICY_OP_EQUAL:
+        return order == 0;
+    case POLICY_OP_UNEQUAL:
+        return order != 0;
+    case POLICY_OP_LESS:
+        return order < 0;
+    case POLICY_OP_LESS_EQUAL:
+        return order <= 0;
+    case POLICY_OP_GREATER:
+        return order > 0;
+    case POLICY_OP_GREATER_EQUAL:
+        return order >= 0;
+    default:
+        g_return_val_if_reached(false);
+    }
+}
+
+struct policy_value policy_evaluate(const struct policy_expression *expression,
+                                    const struct policy_value *inputs)
+{
+    const struct policy_expression *left = expression->left, *right = expression->right;
+    switch (expression->operation) {
+    case POLICY_OP_NUMBER:
+        return number_value(expression->number);
+    case POLICY_OP_TEXT:
+        return text_value(expression->text);
+    case POLICY_OP_FLAG:
+        return flag_value(expression->flag);
+    case POLICY_OP_INPUT:
+        return inputs[expression->input];
+    case POLICY_OP_NEGATE:
+        return number_value(-evaluate_number(left, inputs));
+    case POLICY_OP_NOT:
+        return flag_value(!evaluate_flag(left, inputs));
+    case POLICY_OP_ADD:
+    case POLICY_OP_SUBTRACT:
+    case POLICY_OP_MULTIPLY:
+    case POLICY_OP_DIVIDE:
+    case POLICY_OP_MIN:
+    case POLICY_OP_MAX:
+        return number_value(evaluate_arithmetic(expression, inputs));
+    case POLICY_OP_EQUAL:
+    case POLICY_OP_UNEQUAL:
+    case POLICY_OP_LESS:
+    case POLICY_OP_LESS_EQUAL:
+    case POLICY_OP_GREATER:
+    case POLICY_OP_GREATER_EQUAL:
+        return flag_value(evaluate_comparison(expression, inputs));
+    case POLICY_OP_AND:
+        return flag_value(evaluate_flag(left, inputs) && evaluate_flag(right, inputs));
+    case POLICY_OP_OR:
+        return flag_value(evaluate_flag(left, inputs) || evaluate_flag(right, inputs));
+    case POLICY_OP_CONDITIONAL:
+        return policy_evaluate(evaluate_flag(expression->condition, inputs) ? left : right, inputs);
+    }
+    g_return_val_if_reached(number_value(0));
+}
--- a/tests/test_policy.c
+++ b/tests/test_policy.c
@@ -71,6 +71,10 @@
     /* No order is known to a value that is no number: it compares as equal. */
     assert_true(number("if 0 / 0 == 1 then 7 else 8") == 7);
     assert_true(number("if 0 / 0 < 1 then 7 else 8") == 8);
+    assert_true(number("min(0 / 0, 7) + max(7, 0 / 0)") == 14);
+    /* Of 0 and -0 the first is the lesser as well as the greater. */
+    assert_true(number("1 / min(0, -0)") == 1e6 && number("1 / min(-0, 0)") == 0);
+    assert_true(number("1 / max(0, -0)") == 1e6 && number("1 / max(-0, 0)") == 0);
 }
 
 static void flags_are_computed(void **state)
