--- a/daemon/main.c
+++ b/daemon/main.c
@@ -23,6 +23,14 @@
     return EXIT_USAGE;
 }
 
+/** Reports an error of settings, policy or features, which it frees. Returns the exit code. */
+static int config_error(GError *error)
+{
+    int exit_code = usage_error(error->message);
+    g_error_free(error);
+    return exit_code;
+}
+
 static bool parse_options(int argc, char **argv, struct options *o, GError **error)
 {
     const GOptionEntry entries[] = {
@@ -92,13 +100,10 @@
 
 static int check_policy(const char *path)
 {
-    char *error = NULL;
+    GError *error = NULL;
     struct policy *policy = policy_load(path, &error);
-    if (!policy) {
-        int rc = usage_error(error);
-        g_free(error);
-        return rc;
-    }
+    if (!policy)
+        return config_error(error);
     policy_free(policy);
     printf("%s: fine\n", path);
     return 0;
@@ -106,13 +111,10 @@
 
 static int check_features(const char *path)
 {
-    char *error = NULL;
+    GError *error = NULL;
     struct feature_set features;
-    if (!feature_set_load(path, &features, &error)) {
-        int rc = usage_error(error);
-        g_free(error);
-        return rc;
-    }
+    if (!feature_set_load(path, &features, &error))
+        return config_error(error);
     printf("%s: fine\n", path);
     return 0;
 }
@@ -120,7 +122,7 @@
 /* Reads all that a node needs, and runs it unless it was only to be checked. */
 static int load_and_run(const struct options *options)
 {
-    char *error = NULL;
+    GError *error = NULL;
     struct settings *settings = settings_load(options->config, &error);
     struct policy *policy = NULL;
     struct feature_set features = feature_set_default();
@@ -131,14 +133,13 @@
         policy = options->policy ? policy_load(options->policy, &error) : policy_default();
     const char *level = g_getenv("LOG_LEVEL");
     if (!policy)
-        rc = usage_error(error);
+        rc = config_error(error);
     else if (!log_setup(level && *level ? level : "info", settings->label))
         rc = usage_error("LOG_LEVEL: must be error, info or debug");
     else if (options->check_config)
         rc = printf("%s: fine\n", options->config) < 0;
     else
         rc = run_node(settings, policy, &features);
-    g_free(error);
     if (policy)
         policy_free(policy);
     if (settings)
--- a/src/config/feature_check.cpp
+++ b/src/config/feature_check.cpp
@@ -1,3 +1,4 @@
+/** JSON Schema by valijson. */
 #include "feature_check.h"
 
 #include "feature_schema.hpp"
@@ -13,7 +14,7 @@
 namespace
 {
 
-// The field as operators write it: "duties.enabled".
+/** The field of an error as operators write it, such as "duties.enabled". */
 std::string field_of(const valijson::ValidationResults::Error &error)
 {
     std::string field;
@@ -44,10 +45,10 @@
             return true;
         valijson::ValidationResults::Error first;
         results.popError(first);
-        std::snprintf(error, error_size, "%s: %s", field_of(first).c_str(),
-                      first.description.c_str());
+        (void)std::snprintf(error, error_size, "%s: %s", field_of(first).c_str(),
+                            first.description.c_str());
     } catch (const std::exception &e) {
-        std::snprintf(error, error_size, "%s", e.what());
+        (void)std::snprintf(error, error_size, "%s", e.what());
     }
     return false;
 }
--- a/src/config/feature_check.h
+++ b/src/config/feature_check.h
@@ -1,4 +1,6 @@
-/* The check of a features file against its JSON Schema (valijson). */
+/** Check of a features file against its JSON Schema.
+ *
+ * It is in C++ for the library valijson. The schema is part of the program. */
 #ifndef LL_FEATURE_CHECK_H
 #define LL_FEATURE_CHECK_H
 
@@ -8,7 +10,8 @@
 extern "C" {
 #endif
 
-/* Checks a JSON text; false, with a message that names the field that is wrong first. */
+/** Whether a JSON text conforms to the schema. Otherwise writes a message that names the first
+ * wrong field to `error`, cut off to `error_size` bytes with its NUL. */
 bool feature_check(const char *json, char *error, unsigned error_size);
 
 #ifdef __cplusplus
--- a/src/config/feature_set.c
+++ b/src/config/feature_set.c
@@ -1,3 +1,4 @@
+/** Reads the features file. */
 #include "feature_set.h"
 
 #include "feature_check.h"
@@ -6,48 +7,56 @@
 
 #include <stdlib.h>
 
-enum { ERROR_SIZE = 400 };
+/** Longer messages of the TOML parser and of the schema's validator are cut off. */
+enum { MAX_MESSAGE_BYTES = 400 };
 
-static const double DEFAULT_REPORT_S = 60;
+static const double DEFAULT_DELAY_REPORT_INTERVAL_S = 60;
+
+G_DEFINE_QUARK(linenlanding - feature - set - error - quark, feature_set_error)
 
 struct feature_set feature_set_default(void)
 {
-    return (struct feature_set){.singleton_roles = {false, DEFAULT_REPORT_S}};
+    return (struct feature_set){
+        .singleton_roles = {.is_enabled = false,
+                            .delay_report_interval_s = DEFAULT_DELAY_REPORT_INTERVAL_S}};
+}
+
+/** Takes the fields from a text that conforms to the schema; those that it lacks are unchanged. */
+static void decode_features(const char *json, struct feature_set *features)
+{
+    json_object *root = json_tokener_parse(json), *roles = NULL;
+    json_object_object_get_ex(root, "duties", &roles);
+    json_get_bool(roles, "enabled", &features->singleton_roles.is_enabled);
+    json_get_number(roles, "report_s", &features->singleton_roles.delay_report_interval_s);
+    json_object_put(root);
 }
 
-bool feature_set_parse(const char *toml, struct feature_set *out, char **error)
+bool feature_set_parse(const char *toml, struct feature_set *features, GError **error)
 {
-    char reason[ERROR_SIZE] = "";
-    char *json = toml_read_json(toml, reason, sizeof reason);
-    bool ok = json && feature_check(json, reason, sizeof reason);
-    *out = feature_set_default();
-    if (ok) {
-        json_object *object = json_tokener_parse(json), *singleton_roles = NULL;
-        json_object_object_get_ex(object, "duties", &singleton_roles);
-        json_get_bool(singleton_roles, "enabled", &out->singleton_roles.is_enabled);
-        json_get_number(singleton_roles, "report_s", &out->singleton_roles.delay_report_interval_s);
-        json_object_put(object);
-    } else {
-        *error = g_strdup(reason);
+    char message[MAX_MESSAGE_BYTES] = "";
+    *features = feature_set_default();
+    char *json = toml_read_json(toml, message, sizeof message);
+    if (!json) {
+        g_set_error_literal(error, FEATURE_SET_ERROR, FEATURE_SET_ERROR_SYNTAX, message);
+        return false;
     }
+    bool is_valid = feature_check(json, message, sizeof message);
+    if (is_valid)
+        decode_features(json, features);
+    else
+        g_set_error_literal(error, FEATURE_SET_ERROR, FEATURE_SET_ERROR_SCHEMA, message);
     free(json);
-    return ok;
+    return is_valid;
 }
 
-bool feature_set_load(const char *path, struct feature_set *out, char **error)
+bool feature_set_load(const char *path, struct feature_set *features, GError **error)
 {
-    char *text = NULL, *reason = NULL;
-    GError *read_error = NULL;
-    bool ok = false;
-    if (!g_file_get_contents(path, &text, NULL, &read_error)) {
-        *error = g_strdup(read_error->message);
-        g_error_free(read_error);
+    char *text = NULL;
+    if (!g_file_get_contents(path, &text, NULL, error))
         return false;
-    }
-    ok = feature_set_parse(text, out, &reason);
-    if (!ok)
-        *error = g_strdup_printf("%s: %s", path, reason);
-    g_free(reason);
+    bool is_valid = feature_set_parse(text, features, error);
+    if (!is_valid)
+        g_prefix_error(error, "%s: ", path);
     g_free(text);
-    return ok;
+    return is_valid;
 }
--- a/src/config/policy.c
+++ b/src/config/policy.c
@@ -41,16 +41,7 @@
     return policy;
 }
 
-/** Passes an error on as its message. */
-static void propagate_message(char **message, GError *error)
-{
-    if (!error)
-        return;
-    *message = g_strdup(error->message);
-    g_error_free(error);
-}
-
-static struct policy *parse_with_defaults(const char *text, GError **error)
+struct policy *policy_parse(const char *text, GError **error)
 {
     struct policy *policy = parse_settings(text, error);
     if (!policy)
@@ -63,15 +54,7 @@
     return policy;
 }
 
-struct policy *policy_parse(const char *text, char **message)
-{
-    GError *error = NULL;
-    struct policy *policy = parse_with_defaults(text, &error);
-    propagate_message(message, error);
-    return policy;
-}
-
-static struct policy *load_file(const char *path, GError **error)
+struct policy *policy_load(const char *path, GError **error)
 {
     char *text = NULL;
     gsize length_bytes = 0;
@@ -81,7 +64,7 @@
             g_set_error(error, POLICY_ERROR, POLICY_ERROR_SIZE, "is larger than %d KiB",
                         MAX_POLICY_KIB);
         else
-            policy = parse_with_defaults(text, error);
+            policy = policy_parse(text, error);
     }
     g_free(text);
     if (!policy)
@@ -89,14 +72,6 @@
     return policy;
 }
 
-struct policy *policy_load(const char *path, char **message)
-{
-    GError *error = NULL;
-    struct policy *policy = load_file(path, &error);
-    propagate_message(message, error);
-    return policy;
-}
-
 void policy_free(struct policy *policy)
 {
     for (int i = 0; i < POLICY_SETTINGS; i++)
--- a/src/config/policy.h
+++ b/src/config/policy.h
@@ -75,12 +75,12 @@
 
 /** Parses the text of a policy file. Settings that it does not hold have their defaults.
  *
- * Returns NULL with a message, to be freed with g_free, if the text is wrong; the message names
- * line and column and says what was expected. Free the policy with policy_free. */
-struct policy *policy_parse(const char *text, char **message);
+ * Returns NULL with a POLICY_ERROR if the text is wrong; the message names line and column and
+ * says what was expected. Free the policy with policy_free. */
+struct policy *policy_parse(const char *text, GError **error);
 
 /** The same for a file; the message begins with its path. */
-struct policy *policy_load(const char *path, char **message);
+struct policy *policy_load(const char *path, GError **error);
 
 /** The policy that applies without a file. */
 struct policy *policy_default(void);
--- a/src/config/settings.c
+++ b/src/config/settings.c
@@ -1,361 +1,380 @@
+/** Reads the settings file into struct settings, table by table. */
 #include "settings.h"
 
+#include "settings_reader.h"
 #include "toml_reader.h"
 
-#include <arpa/inet.h>
-#include <json-c/json.h>
 #include <math.h>
 #include <stdlib.h>
 
-struct settings_reader {
-    char *error; /* the first thing found wrong */
+enum {
+    /** Longer messages of the TOML parser are cut off. */
+    MAX_TOML_ERROR_BYTES = 256,
+    BYTES_PER_MB = 1024 * 1024,
+    /** An HTTP response may take this fraction of the memory. */
+    MEMORY_PER_RESPONSE = 8,
+    MILLI_PER_UNIT = 1000,
 };
 
-static void report_error(struct settings_reader *reader, const char *field, const char *what)
-{
-    if (!reader->error)
-        reader->error = g_strdup_printf("%s: %s", field, what);
-}
+/** Quotas such as 0.3 are not exact in binary, and must not be rounded down to 299 milli. */
+static const double ROUNDING_TOLERANCE_MILLI = 1e-6;
+
+static const struct number_rule NODE_COUNT = {1, 1000, true};
+static const struct number_rule CLOCK_ERROR_MS = {0, 3600e3, false};
+static const struct number_rule QUOTA = {0, 1e9, false};
+static const struct number_rule OBJECTIVE_S = {0, 1e9, false};
+static const struct number_rule HEARTBEAT_INTERVAL_S = {0.1, 600, false};
+static const struct number_rule LEASE_S = {1, 3600, false};
+static const struct number_rule GANG_TIMEOUT_S = {0, 3600, false};
+static const struct number_rule CANCEL_TIMEOUT_S = {1, 36000, false};
+static const struct number_rule KV_REQUESTS_PER_S = {1, 1e6, false};
+static const struct number_rule KV_VALUE_KB = {1, 64, false};
+static const struct number_rule KV_TXN_OPERATIONS = {4, 100000, true};
+static const struct number_rule CLOUD_REQUESTS_PER_S = {0.01, 1e6, false};
+static const struct number_rule CLOUD_LIST_LAG_S = {0, 3600, false};
+static const struct number_rule CPU_CORES = {0.001, 1024, false};
+static const struct number_rule RAM_MB = {16, 1e9, false};
+static const struct number_rule OPEN_FILES = {64, 1e7, true};
 
-static json_object *find_member(json_object *object, const char *path)
+G_DEFINE_QUARK(linenlanding - settings - error - quark, settings_error)
+
+/* ---- lifetime ---- */
+
+static void clear_sibling(gpointer data)
 {
-    char **parts = g_strsplit(path, ".", -1);
-    for (int i = 0; parts[i] && object; i++) {
-        json_object *next = NULL;
-        if (!json_object_is_type(object, json_type_object) ||
-            !json_object_object_get_ex(object, parts[i], &next))
-            next = NULL;
-        object = next;
-    }
-    g_strfreev(parts);
-    return object;
+    struct sibling *sibling = data;
+    g_free(sibling->label);
+    g_free(sibling->zone);
+    g_free(sibling->endpoint);
 }
 
-static char *read_text(struct settings_reader *reader, json_object *object, const char *path)
+static void clear_team(gpointer data)
 {
-    json_object *value = find_member(object, path);
-    if (!value)
-        report_error(reader, path, "missing");
-    else if (!json_object_is_type(value, json_type_string) ||
-             json_object_get_string_len(value) == 0)
-        report_error(reader, path, "must be a text that is not empty");
-    else
-        return g_strdup(json_object_get_string(value));
-    return g_strdup("");
+    struct team *team = data;
+    g_free(team->name);
 }
 
-static char *read_address(struct settings_reader *reader, json_object *object, const char *path)
+static void clear_objective(gpointer data)
 {
-    char *text = read_text(reader, object, path);
-    uint32_t ip;
-    uint16_t port;
-    if (*text && !address_parse(text, &ip, &port))
-        report_error(reader, path, "must be an address such as 10.0.0.1:8080");
-    return text;
+    struct objective *objective = data;
+    g_free(objective->class);
 }
 
-static double read_number(struct settings_reader *reader, json_object *object, const char *path,
-                          double min, double max)
+static GArray *new_array(guint element_size, GDestroyNotify clear_element)
 {
-    json_object *value = find_member(object, path);
-    if (!value) {
-        report_error(reader, path, "missing");
-        return min;
-    }
-    double number = json_object_get_double(value);
-    if (!json_object_is_type(value, json_type_double) &&
-        !json_object_is_type(value, json_type_int)) {
-        report_error(reader, path, "must be a number");
-        return min;
-    }
-    if (!isfinite(number) || number < min || number > max) {
-        char *what = g_strdup_printf("must be between %g and %g", min, max);
-        report_error(reader, path, what);
-        g_free(what);
-        return min;
-    }
-    return number;
+    GArray *array = g_array_new(FALSE, TRUE, element_size);
+    g_array_set_clear_func(array, clear_element);
+    return array;
 }
 
-static int read_integer(struct settings_reader *reader, json_object *object, const char *path,
-                        double min, double max)
+static struct settings *settings_new(void)
 {
-    double number = read_number(reader, object, path, min, max);
-    if (number != floor(number))
-        report_error(reader, path, "must be a whole number");
-    return (int)number;
+    struct settings *settings = g_new0(struct settings, 1);
+    settings->siblings = new_array(sizeof(struct sibling), clear_sibling);
+    settings->teams = new_array(sizeof(struct team), clear_team);
+    settings->objectives = new_array(sizeof(struct objective), clear_objective);
+    settings->zones = g_ptr_array_new_with_free_func(g_free);
+    return settings;
 }
 
-static amount read_amount_limit(struct settings_reader *reader, json_object *object,
-                                const char *path)
+void settings_free(struct settings *settings)
 {
-    /* Limits are rounded down and what tasks ask is rounded up. */
-    return (amount){(int64_t)floor(read_number(reader, object, path, 0, 1e9) * 1000 + 1e-6)};
+    g_array_unref(settings->siblings);
+    g_array_unref(settings->teams);
+    g_array_unref(settings->objectives);
+    g_ptr_array_unref(settings->zones);
+    g_free(settings->label);
+    g_free(settings->zone);
+    g_free(settings->api_address);
+    g_free(settings->rpc_address);
+    g_free(settings->cloud_address);
+    g_free(settings->kv_address);
+    g_free(settings);
 }
 
-static json_object *read_array(struct settings_reader *reader, json_object *object,
-                               const char *path)
+/* ---- the node, its siblings and the services outside ---- */
+
+static void read_node(struct settings_reader *reader, struct settings *settings, json_object *root)
 {
-    json_object *value = find_member(object, path);
-    if (value && !json_object_is_type(value, json_type_array)) {
-        report_error(reader, path, "must be a list");
-        return NULL;
-    }
-    return value;
+    settings->label = settings_reader_get_text(reader, root, "label");
+    settings->zone = settings_reader_get_text(reader, root, "domain");
+    settings->api_address = settings_reader_get_address(reader, root, "api_addr");
+    settings->rpc_address = settings_reader_get_address(reader, root, "back");
 }
 
-bool address_parse(const char *text, uint32_t *ip_be, uint16_t *port)
+static bool has_sibling(const struct settings *settings, const char *label)
 {
-    const char *colon = strrchr(text, ':');
-    if (!colon || colon - text > 15 || !colon[1])
-        return false;
-    char host[16];
-    memcpy(host, text, colon - text);
-    host[colon - text] = 0;
-    char *end;
-    unsigned long port_number = strtoul(colon + 1, &end, 10);
-    struct in_addr addr;
-    if (*end || port_number == 0 || port_number > 65535 || !g_ascii_isdigit(colon[1]) ||
-        inet_pton(AF_INET, host, &addr) != 1)
-        return false;
-    *ip_be = addr.s_addr;
-    *port = (uint16_t)port_number;
-    return true;
+    for (guint i = 0; i < settings->siblings->len; i++)
+        if (strcmp(g_array_index(settings->siblings, struct sibling, i).label, label) == 0)
+            return true;
+    return false;
 }
 
 static void read_siblings(struct settings_reader *reader, struct settings *settings,
                           json_object *root)
 {
-    json_object *list = read_array(reader, root, "siblings");
+    json_object *list = settings_reader_get_list(reader, root, "siblings");
     for (size_t i = 0; list && i < json_object_array_length(list); i++) {
         json_object *object = json_object_array_get_idx(list, i);
-        struct sibling sibling = {read_text(reader, object, "label"),
-                                  read_text(reader, object, "domain"),
-                                  read_address(reader, object, "endpoint")};
+        struct sibling sibling = {0};
+        sibling.label = settings_reader_get_text(reader, object, "label");
+        sibling.zone = settings_reader_get_text(reader, object, "domain");
+        sibling.endpoint = settings_reader_get_address(reader, object, "endpoint");
         if (strcmp(sibling.label, settings->label) == 0)
-            report_error(reader, "siblings.label", "names this node itself");
-        for (guint k = 0; k < settings->siblings->len; k++)
-            if (strcmp(g_array_index(settings->siblings, struct sibling, k).label, sibling.label) ==
-                0)
-                report_error(reader, "siblings.label", "appears twice");
+            settings_reader_fail(reader, SETTINGS_ERROR_CONFLICT, "siblings.label",
+                                 "names this node itself");
+        if (has_sibling(settings, sibling.label))
+            settings_reader_fail(reader, SETTINGS_ERROR_CONFLICT, "siblings.label",
+                                 "appears twice");
         g_array_append_val(settings->siblings, sibling);
     }
 }
 
+static void read_services(struct settings_reader *reader, struct settings *settings,
+                          json_object *root)
+{
+    settings->cloud_address = settings_reader_get_address(reader, root, "outside.cloud");
+    settings->kv_address = settings_reader_get_address(reader, root, "outside.state");
+}
+
+/* ---- the deployment ---- */
+
+static void read_cluster(struct settings_reader *reader, struct settings *settings,
+                         json_object *root)
+{
+    settings->node_count =
+        (int)settings_reader_get_number(reader, root, "deployment.size", &NODE_COUNT);
+    json_object *zones = settings_reader_get_list(reader, root, "deployment.zones");
+    for (size_t i = 0; zones && i < json_object_array_length(zones); i++) {
+        json_object *zone = json_object_array_get_idx(zones, i);
+        g_ptr_array_add(settings->zones, g_strdup(json_object_get_string(zone)));
+    }
+    if (settings->zones->len == 0)
+        settings_reader_fail(reader, SETTINGS_ERROR_MISSING, "deployment.zones", "missing");
+    settings->clock_error_ms =
+        settings_reader_get_number(reader, root, "deployment.clock_error_ms", &CLOCK_ERROR_MS);
+}
+
+/** Reads a quota. It is rounded down, while what tasks request is rounded up. */
+static amount read_quota(struct settings_reader *reader, json_object *object, const char *path)
+{
+    double quota = settings_reader_get_number(reader, object, path, &QUOTA);
+    return (amount){(int64_t)floor(quota * MILLI_PER_UNIT + ROUNDING_TOLERANCE_MILLI)};
+}
+
+static void check_team(struct settings_reader *reader, const struct settings *settings,
+                       const struct team *team)
+{
+    if (settings_find_team(settings, team->name) >= 0)
+        settings_reader_fail(reader, SETTINGS_ERROR_CONFLICT, "deployment.teams.name",
+                             "appears twice");
+    if (team->cpus.milli > team->cpus_max.milli)
+        settings_reader_fail(reader, SETTINGS_ERROR_CONFLICT, "deployment.teams.cpus",
+                             "is more than cpus_max");
+    if (team->gpus.milli > team->gpus_max.milli)
+        settings_reader_fail(reader, SETTINGS_ERROR_CONFLICT, "deployment.teams.gpus",
+                             "is more than gpus_max");
+}
+
 static void read_teams(struct settings_reader *reader, struct settings *settings, json_object *root)
 {
-    json_object *list = read_array(reader, root, "deployment.teams");
+    json_object *list = settings_reader_get_list(reader, root, "deployment.teams");
     if (!list || json_object_array_length(list) == 0)
-        report_error(reader, "deployment.teams", "missing");
+        settings_reader_fail(reader, SETTINGS_ERROR_MISSING, "deployment.teams", "missing");
     for (size_t i = 0; list && i < json_object_array_length(list); i++) {
         json_object *object = json_object_array_get_idx(list, i);
-        struct team team = {read_text(reader, object, "name"),
-                            read_amount_limit(reader, object, "cpus"),
-                            read_amount_limit(reader, object, "cpus_max"),
-                            read_amount_limit(reader, object, "gpus"),
-                            read_amount_limit(reader, object, "gpus_max")};
-        if (settings_find_team(settings, team.name) >= 0)
-            report_error(reader, "deployment.teams.name", "appears twice");
-        if (team.cpus.milli > team.cpus_max.milli)
-            report_error(reader, "deployment.teams.cpus", "is more than cpus_max");
-        if (team.gpus.milli > team.gpus_max.milli)
-            report_error(reader, "deployment.teams.gpus", "is more than gpus_max");
+        struct team team = {0};
+        team.name = settings_reader_get_text(reader, object, "name");
+        team.cpus = read_quota(reader, object, "cpus");
+        team.cpus_max = read_quota(reader, object, "cpus_max");
+        team.gpus = read_quota(reader, object, "gpus");
+        team.gpus_max = read_quota(reader, object, "gpus_max");
+        check_team(reader, settings, &team);
         g_array_append_val(settings->teams, team);
     }
 }
 
-/* Kinds that are not known, and fields that do not matter here, are passed over. */
+static enum objective_kind read_objective_kind(struct settings_reader *reader, json_object *object)
+{
+    char *name = settings_reader_get_text(reader, object, "kind");
+    enum objective_kind kind = OBJECTIVE_OTHER;
+    if (strcmp(name, "wait") == 0)
+        kind = OBJECTIVE_WAIT;
+    else if (strcmp(name, "finished") == 0)
+        kind = OBJECTIVE_FINISHED;
+    else if (strcmp(name, "deadline") == 0)
+        kind = OBJECTIVE_DEADLINE;
+    g_free(name);
+    return kind;
+}
+
+/** Objectives of unknown kinds, and those that are not of a job class, are ignored. */
 static void read_objectives(struct settings_reader *reader, struct settings *settings,
                             json_object *root)
 {
-    json_object *list = read_array(reader, root, "deployment.objectives");
+    json_object *list = settings_reader_get_list(reader, root, "deployment.objectives");
     for (size_t i = 0; list && i < json_object_array_length(list); i++) {
         json_object *object = json_object_array_get_idx(list, i);
-        struct objective objective = {OBJECTIVE_OTHER, NULL, 0};
-        char *kind = read_text(reader, object, "kind");
-        if (strcmp(kind, "wait") == 0)
-            objective.kind = OBJECTIVE_WAIT;
-        else if (strcmp(kind, "finished") == 0)
-            objective.kind = OBJECTIVE_FINISHED;
-        else if (strcmp(kind, "deadline") == 0)
-            objective.kind = OBJECTIVE_DEADLINE;
-        g_free(kind);
-        if (objective.kind == OBJECTIVE_OTHER || !find_member(object, "class"))
+        struct objective objective = {.kind = read_objective_kind(reader, object)};
+        if (objective.kind == OBJECTIVE_OTHER || !settings_reader_find(object, "class"))
             continue;
-        objective.class = read_text(reader, object, "class");
+        objective.class = settings_reader_get_text(reader, object, "class");
         if (objective.kind != OBJECTIVE_DEADLINE)
-            objective.within_s = read_number(reader, object, "within_s", 0, 1e9);
+            objective.within_s =
+                settings_reader_get_number(reader, object, "within_s", &OBJECTIVE_S);
         g_array_append_val(settings->objectives, objective);
     }
 }
 
-static void clear_objective(gpointer p)
+static void read_agents(struct settings_reader *reader, struct settings *settings,
+                        json_object *root)
 {
-    g_free(((struct objective *)p)->class);
+    settings->heartbeat_interval_s = settings_reader_get_number(
+        reader, root, "deployment.workers.report_s", &HEARTBEAT_INTERVAL_S);
+    settings->lease_s =
+        settings_reader_get_number(reader, root, "deployment.workers.lease_s", &LEASE_S);
+    settings->gang_wait_timeout_s =
+        settings_reader_get_number(reader, root, "deployment.workers.gang_wait_s", &GANG_TIMEOUT_S);
+    settings->gang_peer_timeout_s =
+        settings_reader_get_number(reader, root, "deployment.workers.gang_peer_s", &GANG_TIMEOUT_S);
+    settings->cancel_timeout_s =
+        settings_reader_get_number(reader, root, "deployment.workers.cancel_s", &CANCEL_TIMEOUT_S);
 }
 
-static void clear_sibling(gpointer p)
+/** A table of limits of the key-value service. */
+struct kv_limits_table {
+    json_object *root;
+    const char *path;
+    /** Whether a field that is missing has the value that it is read over. */
+    bool has_defaults;
+};
+
+static void read_kv_limit(struct settings_reader *reader, const struct kv_limits_table *table,
+                          const char *name, const struct number_rule *rule, double *limit)
 {
-    struct sibling *sibling = p;
-    g_free(sibling->label);
-    g_free(sibling->zone);
-    g_free(sibling->endpoint);
+    char *path = g_strconcat(table->path, ".", name, NULL);
+    if (!table->has_defaults || settings_reader_find(table->root, path))
+        *limit = settings_reader_get_number(reader, table->root, path, rule);
+    g_free(path);
 }
 
-static void clear_team(gpointer p)
+static void read_kv_limits(struct settings_reader *reader, const struct kv_limits_table *table,
+                           struct kv_service_limits *limits)
 {
-    g_free(((struct team *)p)->name);
+    double max_txn_operations = limits->max_txn_operations;
+    read_kv_limit(reader, table, "rps", &KV_REQUESTS_PER_S, &limits->requests_per_s);
+    read_kv_limit(reader, table, "write_rps", &KV_REQUESTS_PER_S, &limits->writes_per_s);
+    read_kv_limit(reader, table, "value_kb", &KV_VALUE_KB, &limits->max_value_kb);
+    read_kv_limit(reader, table, "txn_ops", &KV_TXN_OPERATIONS, &max_txn_operations);
+    limits->max_txn_operations = (int)max_txn_operations;
 }
 
-/* Whether there is such a table; something else in its place is an error. */
-static bool is_table_present(struct settings_reader *reader, json_object *object, const char *path)
+static void read_kv_service(struct settings_reader *reader, struct settings *settings,
+                            json_object *root)
 {
-    json_object *value = find_member(object, path);
-    if (value && !json_object_is_type(value, json_type_object))
-        report_error(reader, path, "must be a table");
-    return value != NULL;
+    const struct kv_limits_table now = {root, "deployment.state", false};
+    const struct kv_limits_table next = {root, "deployment.state.next", true};
+    read_kv_limits(reader, &now, &settings->kv_limits);
+    settings->kv_limits_next = settings->kv_limits;
+    if (settings_reader_has_table(reader, root, next.path))
+        read_kv_limits(reader, &next, &settings->kv_limits_next);
 }
 
-/* Where there are others to fall back on, each field may be missing. */
-static struct kv_service_limits read_kv_limits(struct settings_reader *reader, json_object *root,
-                                               const char *path,
-                                               const struct kv_service_limits *defaults)
+static void read_cloud(struct settings_reader *reader, struct settings *settings, json_object *root)
 {
-    static const char *const names[] = {"rps", "write_rps", "value_kb", "txn_ops"};
-    static const double min[] = {1, 1, 1, 4}, max[] = {1e6, 1e6, 64, 100000};
-    double values[] = {0, 0, 0, 0};
-    if (defaults) {
-        values[0] = defaults->requests_per_s;
-        values[1] = defaults->writes_per_s;
-        values[2] = defaults->max_value_kb;
-        values[3] = defaults->max_txn_operations;
-    }
-    for (guint i = 0; i < G_N_ELEMENTS(names); i++) {
-        char *field = g_strconcat(path, ".", names[i], NULL);
-        if (!defaults || find_member(root, field))
-            values[i] = i == 3 ? read_integer(reader, root, field, min[i], max[i])
-                               : read_number(reader, root, field, min[i], max[i]);
-        g_free(field);
-    }
-    return (struct kv_service_limits){values[0], values[1], values[2], (int)values[3]};
+    settings->cloud_requests_per_s =
+        settings_reader_get_number(reader, root, "deployment.cloud.rps", &CLOUD_REQUESTS_PER_S);
+    settings->cloud_list_lag_s =
+        settings_reader_get_number(reader, root, "deployment.cloud.list_lag_s", &CLOUD_LIST_LAG_S);
 }
 
-static struct settings *read_all(json_object *root, char **error)
+static void read_node_limits(struct settings_reader *reader, struct settings *settings,
+                             json_object *root)
 {
-    struct settings_reader reader_state = {0}, *reader = &reader_state;
-    struct settings *settings = g_new0(struct settings, 1);
-    settings->siblings = g_array_new(FALSE, TRUE, sizeof(struct sibling));
-    g_array_set_clear_func(settings->siblings, clear_sibling);
-    settings->teams = g_array_new(FALSE, TRUE, sizeof(struct team));
-    g_array_set_clear_func(settings->teams, clear_team);
-    settings->objectives = g_array_new(FALSE, TRUE, sizeof(struct objective));
-    g_array_set_clear_func(settings->objectives, clear_objective);
-    settings->zones = g_ptr_array_new_with_free_func(g_free);
-    settings->label = read_text(reader, root, "label");
-    settings->zone = read_text(reader, root, "domain");
-    settings->api_address = read_address(reader, root, "api_addr");
-    settings->rpc_address = read_address(reader, root, "back");
-    read_siblings(reader, settings, root);
-    settings->cloud_address = read_address(reader, root, "outside.cloud");
-    settings->kv_address = read_address(reader, root, "outside.state");
-    settings->node_count = read_integer(reader, root, "deployment.size", 1, 1000);
-    json_object *zones = read_array(reader, root, "deployment.zones");
-    for (size_t i = 0; zones && i < json_object_array_length(zones); i++)
-        g_ptr_array_add(settings->zones,
-                        g_strdup(json_object_get_string(json_object_array_get_idx(zones, i))));
-    if (settings->zones->len == 0)
-        report_error(reader, "deployment.zones", "missing");
-    settings->clock_error_ms = read_number(reader, root, "deployment.clock_error_ms", 0, 3600e3);
-    read_teams(reader, settings, root);
-    read_objectives(reader, settings, root);
-    settings->heartbeat_interval_s =
-        read_number(reader, root, "deployment.workers.report_s", 0.1, 600);
-    settings->lease_s = read_number(reader, root, "deployment.workers.lease_s", 1, 3600);
-    settings->gang_wait_timeout_s =
-        read_number(reader, root, "deployment.workers.gang_wait_s", 0, 3600);
-    settings->gang_peer_timeout_s =
-        read_number(reader, root, "deployment.workers.gang_peer_s", 0, 3600);
-    settings->cancel_timeout_s = read_number(reader, root, "deployment.workers.cancel_s", 1, 36000);
-    settings->kv_limits = read_kv_limits(reader, root, "deployment.state", NULL);
-    settings->kv_limits_next = settings->kv_limits;
-    if (is_table_present(reader, root, "deployment.state.next"))
-        settings->kv_limits_next =
-            read_kv_limits(reader, root, "deployment.state.next", &settings->kv_limits);
-    settings->cloud_requests_per_s = read_number(reader, root, "deployment.cloud.rps", 0.01, 1e6);
-    settings->cloud_list_lag_s = read_number(reader, root, "deployment.cloud.list_lag_s", 0, 3600);
-    settings->cpu_cores =
-        read_number(reader, root, "deployment.machine_limits.core_share", 0.001, 1024);
-    settings->ram_mb = read_number(reader, root, "deployment.machine_limits.ram_mb", 16, 1e9);
-    settings->max_open_files =
-        read_integer(reader, root, "deployment.machine_limits.fd_limit", 64, 1e7);
-    if (!reader->error && settings->cancel_timeout_s <= settings->lease_s)
-        report_error(reader, "deployment.workers.cancel_s", "must be more than lease_s");
-    if (!reader->error && settings->lease_s <= settings->heartbeat_interval_s)
-        report_error(reader, "deployment.workers.lease_s", "must be more than report_s");
-    if (!reader->error && (int)settings->siblings->len + 1 != settings->node_count)
-        report_error(reader, "deployment.size", "does not match the number of siblings");
-    if (reader->error) {
-        *error = reader->error;
-        settings_free(settings);
-        return NULL;
-    }
-    return settings;
+    settings->cpu_cores = settings_reader_get_number(
+        reader, root, "deployment.machine_limits.core_share", &CPU_CORES);
+    settings->ram_mb =
+        settings_reader_get_number(reader, root, "deployment.machine_limits.ram_mb", &RAM_MB);
+    settings->max_open_files = (int)settings_reader_get_number(
+        reader, root, "deployment.machine_limits.fd_limit", &OPEN_FILES);
+}
+
+/** Checks fields against one another, once each is right by itself. */
+static void check_consistency(struct settings_reader *reader, const struct settings *settings)
+{
+    if (reader->error)
+        return;
+    if (settings->cancel_timeout_s <= settings->lease_s)
+        settings_reader_fail(reader, SETTINGS_ERROR_CONFLICT, "deployment.workers.cancel_s",
+                             "must be more than lease_s");
+    if (settings->lease_s <= settings->heartbeat_interval_s)
+        settings_reader_fail(reader, SETTINGS_ERROR_CONFLICT, "deployment.workers.lease_s",
+                             "must be more than report_s");
+    if ((int)settings->siblings->len + 1 != settings->node_count)
+        settings_reader_fail(reader, SETTINGS_ERROR_CONFLICT, "deployment.size",
+                             "does not match the number of siblings");
+}
+
+/* ---- the whole file ---- */
+
+/** The order in which the parts are read decides which error is reported. */
+static struct settings *read_settings(json_object *root, GError **error)
+{
+    struct settings_reader reader = {0};
+    struct settings *settings = settings_new();
+    read_node(&reader, settings, root);
+    read_siblings(&reader, settings, root);
+    read_services(&reader, settings, root);
+    read_cluster(&reader, settings, root);
+    read_teams(&reader, settings, root);
+    read_objectives(&reader, settings, root);
+    read_agents(&reader, settings, root);
+    read_kv_service(&reader, settings, root);
+    read_cloud(&reader, settings, root);
+    read_node_limits(&reader, settings, root);
+    check_consistency(&reader, settings);
+    if (!reader.error)
+        return settings;
+    g_propagate_error(error, reader.error);
+    settings_free(settings);
+    return NULL;
 }
 
-struct settings *settings_parse(const char *toml, char **error)
+struct settings *settings_parse(const char *toml, GError **error)
 {
-    char reason[256] = "";
-    char *json = toml_read_json(toml, reason, sizeof reason);
+    char message[MAX_TOML_ERROR_BYTES] = "";
+    char *json = toml_read_json(toml, message, sizeof message);
     if (!json) {
-        *error = g_strdup(reason);
+        g_set_error_literal(error, SETTINGS_ERROR, SETTINGS_ERROR_SYNTAX, message);
         return NULL;
     }
     json_object *root = json_tokener_parse(json);
     free(json);
     if (!root) {
-        *error = g_strdup("holds numbers that cannot be read");
+        g_set_error_literal(error, SETTINGS_ERROR, SETTINGS_ERROR_SYNTAX,
+                            "holds numbers that cannot be read");
         return NULL;
     }
-    struct settings *settings = read_all(root, error);
+    struct settings *settings = read_settings(root, error);
     json_object_put(root);
     return settings;
 }
 
-struct settings *settings_load(const char *path, char **error)
+struct settings *settings_load(const char *path, GError **error)
 {
-    char *text = NULL, *reason = NULL;
-    GError *read_error = NULL;
-    if (!g_file_get_contents(path, &text, NULL, &read_error)) {
-        *error = g_strdup_printf("%s: %s", path, read_error->message);
-        g_error_free(read_error);
-        return NULL;
-    }
-    struct settings *settings = settings_parse(text, &reason);
+    char *text = NULL;
+    struct settings *settings = NULL;
+    if (g_file_get_contents(path, &text, NULL, error))
+        settings = settings_parse(text, error);
     g_free(text);
     if (!settings)
-        *error = g_strdup_printf("%s: %s", path, reason);
-    g_free(reason);
+        g_prefix_error(error, "%s: ", path);
     return settings;
 }
 
-void settings_free(struct settings *settings)
-{
-    g_array_unref(settings->siblings);
-    g_array_unref(settings->teams);
-    g_array_unref(settings->objectives);
-    g_ptr_array_unref(settings->zones);
-    g_free(settings->label);
-    g_free(settings->zone);
-    g_free(settings->api_address);
-    g_free(settings->rpc_address);
-    g_free(settings->cloud_address);
-    g_free(settings->kv_address);
-    g_free(settings);
-}
-
 size_t settings_max_response_bytes(const struct settings *settings)
 {
-    return (size_t)(settings->ram_mb * 1024 * 1024 / 8);
+    return (size_t)(settings->ram_mb * BYTES_PER_MB / MEMORY_PER_RESPONSE);
 }
 
 int settings_find_team(const struct settings *settings, const char *name)
--- a/src/config/toml_reader.cpp
+++ b/src/config/toml_reader.cpp
@@ -1,3 +1,4 @@
+/** TOML by toml++. */
 #include "toml_reader.h"
 
 #include <cstdio>
@@ -14,10 +15,11 @@
         out << toml::json_formatter(table);
         return strdup(out.str().c_str());
     } catch (const toml::parse_error &e) {
-        std::snprintf(error, error_size, "line %u, column %u: %s", unsigned(e.source().begin.line),
-                      unsigned(e.source().begin.column), std::string(e.description()).c_str());
+        (void)std::snprintf(error, error_size, "line %u, column %u: %s",
+                            unsigned(e.source().begin.line), unsigned(e.source().begin.column),
+                            std::string(e.description()).c_str());
     } catch (const std::exception &e) {
-        std::snprintf(error, error_size, "%s", e.what());
+        (void)std::snprintf(error, error_size, "%s", e.what());
     }
     return nullptr;
 }
--- a/src/net/http_client.c
+++ b/src/net/http_client.c
@@ -1,7 +1,7 @@
+#include "address.h"
 #include "http.h"
 #include "idle_list.h"
 #include "log.h"
-#include "settings.h"
 
 #include <errno.h>
 #include <netinet/in.h>
--- a/src/net/http_server.c
+++ b/src/net/http_server.c
@@ -1,8 +1,8 @@
 #define _GNU_SOURCE /* accept4 */
+#include "address.h"
 #include "http.h"
 #include "idle_list.h"
 #include "log.h"
-#include "settings.h"
 
 #include <errno.h>
 #include <netinet/in.h>
--- a/tests/test_duties.c
+++ b/tests/test_duties.c
@@ -146,7 +146,7 @@
 {
     struct play *play = g_new0(struct play, 1);
     struct world_plan plan = plan_of_duties();
-    char *error = NULL;
+    GError *error = NULL;
     play->history = duty_history_new();
     play->random = g_rand_new_with_seed(seed);
     play->world = world_new_sized(&plan);
@@ -799,7 +799,7 @@
 static struct play *play_without_returns(void)
 {
     struct play *play = play_new(1);
-    char *error = NULL;
+    GError *error = NULL;
     struct policy *old = play->world->policy;
     play->world->policy = policy_parse("idle_s = 86400\nspare_cpus = 0\n", &error);
     assert_null(error);
--- a/tests/test_feature_set.c
+++ b/tests/test_feature_set.c
@@ -14,7 +14,7 @@
 {
     (void)state;
     struct feature_set features;
-    char *error = NULL;
+    GError *error = NULL;
     assert_true(feature_set_parse("", &features, &error));
     assert_false(features.singleton_roles.is_enabled);
     assert_true(feature_set_parse("[duties]\nenabled = true\nreport_s = 5\n", &features, &error));
@@ -40,13 +40,13 @@
     };
     for (guint i = 0; i < G_N_ELEMENTS(bad); i++) {
         struct feature_set features;
-        char *error = NULL;
+        GError *error = NULL;
         if (feature_set_parse(bad[i][0], &features, &error))
             fail_msg("accepted: %s", bad[i][0]);
-        if (!strstr(error, bad[i][1]) || strchr(error, '\n'))
-            fail_msg("%s: %s", bad[i][0], error);
+        if (!strstr(error->message, bad[i][1]) || strchr(error->message, '\n'))
+            fail_msg("%s: %s", bad[i][0], error->message);
         assert_false(features.singleton_roles.is_enabled);
-        g_free(error);
+        g_error_free(error);
     }
 }
 
@@ -55,28 +55,36 @@
     (void)state;
     static const struct {
         const char *text, *message;
+        enum feature_set_error code;
     } cases[] = {
-        {"[duties]\n", "duties: Missing required property 'enabled'."},
+        {"[duties]\n", "duties: Missing required property 'enabled'.", FEATURE_SET_ERROR_SCHEMA},
         {"[duties]\nenabled = 1\n",
-         "duties.enabled: Value type not permitted by 'type' constraint."},
+         "duties.enabled: Value type not permitted by 'type' constraint.",
+         FEATURE_SET_ERROR_SCHEMA},
         {"[duties]\nenabled = true\nreport_s = 0\n",
-         "duties.report_s: Expected number greater than or equal to 1.000000"},
+         "duties.report_s: Expected number greater than or equal to 1.000000",
+         FEATURE_SET_ERROR_SCHEMA},
         {"[duties]\nenabled = true\nreport_s = 90000\n",
-         "duties.report_s: Expected number less than or equal to 86400.000000"},
+         "duties.report_s: Expected number less than or equal to 86400.000000",
+         FEATURE_SET_ERROR_SCHEMA},
         {"[duties]\nenabled = true\nholder = \"x\"\n",
          "duties: Object contains a property that could not be validated using 'properties' or "
-         "'additionalProperties' constraints: 'holder'."},
+         "'additionalProperties' constraints: 'holder'.",
+         FEATURE_SET_ERROR_SCHEMA},
         {"x = 1\n",
          "the file: Object contains a property that could not be validated using 'properties' or "
-         "'additionalProperties' constraints: 'x'."},
-        {"a = ", "line 1, column 5: Error while parsing key-value pair: encountered end-of-file"},
+         "'additionalProperties' constraints: 'x'.",
+         FEATURE_SET_ERROR_SCHEMA},
+        {"a = ", "line 1, column 5: Error while parsing key-value pair: encountered end-of-file",
+         FEATURE_SET_ERROR_SYNTAX},
     };
     for (guint i = 0; i < G_N_ELEMENTS(cases); i++) {
         struct feature_set features;
-        char *error = NULL;
+        GError *error = NULL;
         assert_false(feature_set_parse(cases[i].text, &features, &error));
-        assert_string_equal(error, cases[i].message);
-        g_free(error);
+        assert_string_equal(error->message, cases[i].message);
+        assert_true(g_error_matches(error, FEATURE_SET_ERROR, (int)cases[i].code));
+        g_error_free(error);
     }
 }
 
@@ -85,10 +93,11 @@
 {
     (void)state;
     struct feature_set features;
-    char *error = NULL;
+    GError *error = NULL;
     assert_false(feature_set_load("/nowhere/features", &features, &error));
-    assert_true(g_str_has_prefix(error, "Failed to open file"));
-    g_clear_pointer(&error, g_free);
+    assert_true(g_error_matches(error, G_FILE_ERROR, G_FILE_ERROR_NOENT));
+    assert_true(g_str_has_prefix(error->message, "Failed to open file"));
+    g_clear_error(&error);
 
     char *path = NULL;
     int fd = g_file_open_tmp("features-XXXXXX", &path, NULL);
@@ -97,9 +106,9 @@
     assert_true(g_file_set_contents(path, "[duties]\n", -1, NULL));
     assert_false(feature_set_load(path, &features, &error));
     char *message = g_strdup_printf("%s: duties: Missing required property 'enabled'.", path);
-    assert_string_equal(error, message);
+    assert_string_equal(error->message, message);
     g_free(message);
-    g_free(error);
+    g_error_free(error);
     assert_int_equal(g_unlink(path), 0);
     g_free(path);
 }
--- a/tests/test_http.c
+++ b/tests/test_http.c
@@ -245,11 +245,11 @@
          "api_addr: must be an address"},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
-        char *error = NULL;
+        GError *error = NULL;
         assert_null(settings_parse(cases[i].text, &error));
-        if (!strstr(error, cases[i].why))
-            fail_msg("'%s' does not say '%s'", error, cases[i].why);
-        g_free(error);
+        if (!strstr(error->message, cases[i].why))
+            fail_msg("'%s' does not say '%s'", error->message, cases[i].why);
+        g_error_free(error);
     }
 }
 
@@ -278,19 +278,20 @@
         "list_lag_s = 1\n[deployment.machine_limits]\ncore_share = 0.1\nram_mb = 64\n"
         "fd_limit = 800\n";
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
-        char *text = g_strconcat(rest, now, cases[i].next, NULL), *error = NULL;
+        char *text = g_strconcat(rest, now, cases[i].next, NULL);
+        GError *error = NULL;
         struct settings *settings = settings_parse(text, &error);
-        if (cases[i].why && (settings || !strstr(error, cases[i].why)))
-            fail_msg("'%s' does not say '%s'", error ? error : "", cases[i].why);
+        if (cases[i].why && (settings || !strstr(error->message, cases[i].why)))
+            fail_msg("'%s' does not say '%s'", error ? error->message : "", cases[i].why);
         if (!cases[i].why) {
             if (error)
-                fail_msg("%s", error);
+                fail_msg("%s", error->message);
             assert_true(settings->kv_limits_next.writes_per_s == 25 &&
                         settings->kv_limits_next.max_txn_operations == 16);
             assert_true(settings->kv_limits_next.max_value_kb == (*cases[i].next ? 2 : 8));
             settings_free(settings);
         }
-        g_free(error);
+        g_clear_error(&error);
         g_free(text);
     }
 }
--- a/tests/test_policy.c
+++ b/tests/test_policy.c
@@ -15,10 +15,11 @@
     struct policy_value value[POLICY_INPUTS] = {0};
     value[INPUT_USED_CPUS].number = 10;
     value[INPUT_PEAK_CPUS].number = 40;
-    char *text = g_strdup_printf("spare_cpus = %s", expression), *error = NULL;
+    char *text = g_strdup_printf("spare_cpus = %s", expression);
+    GError *error = NULL;
     struct policy *policy = policy_parse(text, &error);
     if (!policy)
-        fail_msg("%s", error);
+        fail_msg("%s", error->message);
     double x = policy_number(policy, POLICY_SPARE_CPUS, value);
     policy_free(policy);
     g_free(text);
@@ -30,10 +31,11 @@
     struct policy_value value[POLICY_INPUTS] = {0};
     value[INPUT_TEAM].text = "red";
     value[INPUT_PRIORITY].text = "high";
-    char *text = g_strdup_printf("# who may\npreempt = %s # end\n", expression), *error = NULL;
+    char *text = g_strdup_printf("# who may\npreempt = %s # end\n", expression);
+    GError *error = NULL;
     struct policy *policy = policy_parse(text, &error);
     if (!policy)
-        fail_msg("%s", error);
+        fail_msg("%s", error->message);
     bool x = policy_flag(policy, POLICY_PREEMPT, value);
     policy_free(policy);
     g_free(text);
@@ -42,12 +44,12 @@
 
 static void refused(const char *text, const char *why)
 {
-    char *error = NULL;
+    GError *error = NULL;
     struct policy *policy = policy_parse(text, &error);
     assert_null(policy);
-    if (!strstr(error, why))
-        fail_msg("'%s' does not say '%s'", error, why);
-    g_free(error);
+    if (!strstr(error->message, why))
+        fail_msg("'%s' does not say '%s'", error->message, why);
+    g_error_free(error);
 }
 
 static void numbers_are_computed(void **state)
@@ -118,116 +120,143 @@
     refused(deep, "nested too deep");
 }
 
+static const struct {
+    const char *text, *message;
+} fault_cases[] = {
+    {"spare_cpus = 1 +", "line 1, column 17: expected a value"},
+    {"\nidle_s = true", "line 2, column 10: expected a number, found true or false"},
+    {"preempt = team", "line 1, column 11: expected true or false, found a text"},
+    {"preempt = team == 3", "line 1, column 19: expected a text, found a number"},
+    {"idle_s = 3 4", "line 1, column 12: expected the end of the line"},
+    {"idle_s = backlog_s", "line 1, column 10: backlog_s is not known in this setting"},
+    {"idle_s = colour", "line 1, column 10: expected a value; colour is no input"},
+    {"idle = 3", "line 1, column 1: idle is no setting"},
+    {"idle_s = 3\nidle_s = 4", "line 2, column 1: idle_s is set twice"},
+    {"idle_s 3", "line 1, column 8: expected ="},
+    {"idle_s == 3", "line 1, column 9: expected ="},
+    {"idle_s = (3", "line 1, column 12: expected )"},
+    {"preempt = team == \"red", "line 1, column 19: expected a closing quotation mark"},
+    {"preempt = team == \"red\n\"", "line 1, column 19: expected a closing quotation mark"},
+    {"idle_s = if spot then 3", "line 1, column 24: expected else"},
+    {"idle_s = if spot 3", "line 1, column 18: expected then"},
+    {"idle_s = if 3 then 3 else 4", "line 1, column 12: expected true or false, found a number"},
+    {"idle_s = if  3 then 3 else 4", "line 1, column 12: expected true or false, found a number"},
+    {"idle_s = if spot then 3 else true",
+     "line 1, column 30: expected a number, found true or false"},
+    {"idle_s = if spot then 3 else   \"a\"", "line 1, column 32: expected a number, found a text"},
+    {"idle_s = if spot then true else 3",
+     "line 1, column 33: expected true or false, found a number"},
+    {"idle_s = 3x", "line 1, column 10: expected a number"},
+    {"idle_s = 1e400", "line 1, column 10: expected a number"},
+    {"idle_s = .", "line 1, column 10: expected a number"},
+    {"idle_s = min 3", "line 1, column 14: expected ("},
+    {"idle_s = min(3", "line 1, column 15: expected a comma"},
+    {"idle_s = min(3)", "line 1, column 15: expected a comma"},
+    {"idle_s = min(3, 4", "line 1, column 18: expected )"},
+    {"idle_s = min(true, 4)", "line 1, column 14: expected a number, found true or false"},
+    {"idle_s = min(3,  true)", "line 1, column 16: expected a number, found true or false"},
+    {"idle_s = max(\"a\", 4)", "line 1, column 14: expected a number, found a text"},
+    {"idle_s = max(3, 4,5)", "line 1, column 18: expected )"},
+    {"idle_s = - true", "line 1, column 10: expected a number, found true or false"},
+    {"idle_s = -", "line 1, column 11: expected a value"},
+    {"preempt = not 3", "line 1, column 11: expected true or false, found a number"},
+    {"preempt = not  3", "line 1, column 11: expected true or false, found a number"},
+    {"preempt = not", "line 1, column 14: expected a value"},
+    {"preempt = 1 and true", "line 1, column 11: expected true or false, found a number"},
+    {"preempt = true and 1", "line 1, column 20: expected true or false, found a number"},
+    {"preempt = true and  1", "line 1, column 21: expected true or false, found a number"},
+    {"preempt = true or 1", "line 1, column 19: expected true or false, found a number"},
+    {"preempt = 1 or true", "line 1, column 11: expected true or false, found a number"},
+    {"preempt = true or", "line 1, column 18: expected a value"},
+    {"preempt = team < \"a\"", "line 1, column 11: expected a number, found a text"},
+    {"preempt = true < false", "line 1, column 11: expected a number, found true or false"},
+    {"preempt = true == 3", "line 1, column 19: expected true or false, found a number"},
+    {"preempt = 1 < true", "line 1, column 15: expected a number, found true or false"},
+    {"preempt = 1 <  true", "line 1, column 16: expected a number, found true or false"},
+    {"preempt = 1 < 2 < 3", "line 1, column 17: expected the end of the line"},
+    {"preempt = 1 == 2 == 3", "line 1, column 18: expected the end of the line"},
+    {"spare_cpus = true + 1", "line 1, column 14: expected a number, found true or false"},
+    {"spare_cpus = 1 + true", "line 1, column 18: expected a number, found true or false"},
+    {"spare_cpus = 1 * \"x\"", "line 1, column 18: expected a number, found a text"},
+    {"spare_cpus = 1 / ", "line 1, column 18: expected a value"},
+    {"spare_cpus = 1 * team", "line 1, column 18: team is not known in this setting"},
+    {"spare_cpus = spot", "line 1, column 14: spot is not known in this setting"},
+    {"spare_cpus = _x", "line 1, column 14: expected a value"},
+    {"3 = 4", "line 1, column 1: expected the name of a setting"},
+    {"= 4", "line 1, column 1: expected the name of a setting"},
+    {"_idle = 3", "line 1, column 1: expected the name of a setting"},
+    {"idle_s", "line 1, column 7: expected ="},
+    {"idle_s =", "line 1, column 9: expected a value"},
+    {"idle_s = # nothing", "line 1, column 19: expected a value"},
+    {"idle_s = 3;", "line 1, column 11: expected the end of the line"},
+    {"idle_s = 3)", "line 1, column 11: expected the end of the line"},
+    {"preempt = truex", "line 1, column 11: expected a value; truex is no input"},
+    {"preempt = iffy", "line 1, column 11: expected a value; iffy is no input"},
+    {"idle_s = minimum(3)", "line 1, column 10: expected a value; minimum is no input"},
+    {"idle_s = if spot then\n3 else 4", "line 1, column 22: expected a value"},
+    {"rent_ordinary = cpus > 3", "line 1, column 17: cpus is not known in this setting"},
+    {"rent_ordinary = backlog_s > 3 and zone == \"a\"",
+     "line 1, column 35: zone is not known in this setting"},
+    {"preempt = class == \"x\" or not team != \"y\" and 1 + 2 >= 3 * 4 / -5",
+     "line 1, column 27: expected true or false, found a text"},
+    {"preempt = ((true)", "line 1, column 18: expected )"},
+    {"preempt = (true", "line 1, column 16: expected )"},
+    {"preempt = ()", "line 1, column 12: expected a value"},
+    {"preempt = !true", "line 1, column 11: expected a value"},
+    {"preempt = true && true", "line 1, column 16: expected the end of the line"},
+    {"preempt = 1 = 1", "line 1, column 11: expected true or false, found a number"},
+    {"idle_s = min(3 4)", "line 1, column 16: expected a comma"},
+    {"idle_s = min(,4)", "line 1, column 14: expected a value"},
+    {"idle_s = min( 3 , )", "line 1, column 19: expected a value"},
+    {"idle_s = + 3", "line 1, column 10: expected a value"},
+    {"preempt = \"a\"", "line 1, column 11: expected true or false, found a text"},
+    {"idle_s = 3 + \"\"", "line 1, column 14: expected a number, found a text"},
+    {"preempt = team == \"a\" b", "line 1, column 23: expected the end of the line"},
+    {"preempt = spot", "line 1, column 11: spot is not known in this setting"},
+    {"preempt = not spot == true", "line 1, column 15: spot is not known in this setting"},
+    {"idle_s = type", "line 1, column 10: expected a number, found a text"},
+};
+
 /* The whole message, so that neither its words nor its place can change unseen. */
 static void each_fault_has_its_whole_message(void **state)
 {
     (void)state;
-    static const struct {
-        const char *text, *message;
+    for (size_t i = 0; i < G_N_ELEMENTS(fault_cases); i++) {
+        GError *error = NULL;
+        assert_null(policy_parse(fault_cases[i].text, &error));
+        if (strcmp(error->message, fault_cases[i].message) != 0)
+            fail_msg("'%s': '%s' in place of '%s'", fault_cases[i].text, error->message,
+                     fault_cases[i].message);
+        g_error_free(error);
+    }
+}
+
+static void each_kind_of_fault_has_its_code(void **state)
+{
+    (void)state;
+    char *deep = g_strnfill(100, '(');
+    char *deep_text = g_strconcat("idle_s = ", deep, NULL);
+    const struct {
+        const char *text;
+        enum policy_error code;
     } cases[] = {
-        {"spare_cpus = 1 +", "line 1, column 17: expected a value"},
-        {"\nidle_s = true", "line 2, column 10: expected a number, found true or false"},
-        {"preempt = team", "line 1, column 11: expected true or false, found a text"},
-        {"preempt = team == 3", "line 1, column 19: expected a text, found a number"},
-        {"idle_s = 3 4", "line 1, column 12: expected the end of the line"},
-        {"idle_s = backlog_s", "line 1, column 10: backlog_s is not known in this setting"},
-        {"idle_s = colour", "line 1, column 10: expected a value; colour is no input"},
-        {"idle = 3", "line 1, column 1: idle is no setting"},
-        {"idle_s = 3\nidle_s = 4", "line 2, column 1: idle_s is set twice"},
-        {"idle_s 3", "line 1, column 8: expected ="},
-        {"idle_s == 3", "line 1, column 9: expected ="},
-        {"idle_s = (3", "line 1, column 12: expected )"},
-        {"preempt = team == \"red", "line 1, column 19: expected a closing quotation mark"},
-        {"preempt = team == \"red\n\"", "line 1, column 19: expected a closing quotation mark"},
-        {"idle_s = if spot then 3", "line 1, column 24: expected else"},
-        {"idle_s = if spot 3", "line 1, column 18: expected then"},
-        {"idle_s = if 3 then 3 else 4",
-         "line 1, column 12: expected true or false, found a number"},
-        {"idle_s = if  3 then 3 else 4",
-         "line 1, column 12: expected true or false, found a number"},
-        {"idle_s = if spot then 3 else true",
-         "line 1, column 30: expected a number, found true or false"},
-        {"idle_s = if spot then 3 else   \"a\"",
-         "line 1, column 32: expected a number, found a text"},
-        {"idle_s = if spot then true else 3",
-         "line 1, column 33: expected true or false, found a number"},
-        {"idle_s = 3x", "line 1, column 10: expected a number"},
-        {"idle_s = 1e400", "line 1, column 10: expected a number"},
-        {"idle_s = .", "line 1, column 10: expected a number"},
-        {"idle_s = min 3", "line 1, column 14: expected ("},
-        {"idle_s = min(3", "line 1, column 15: expected a comma"},
-        {"idle_s = min(3)", "line 1, column 15: expected a comma"},
-        {"idle_s = min(3, 4", "line 1, column 18: expected )"},
-        {"idle_s = min(true, 4)", "line 1, column 14: expected a number, found true or false"},
-        {"idle_s = min(3,  true)", "line 1, column 16: expected a number, found true or false"},
-        {"idle_s = max(\"a\", 4)", "line 1, column 14: expected a number, found a text"},
-        {"idle_s = max(3, 4,5)", "line 1, column 18: expected )"},
-        {"idle_s = - true", "line 1, column 10: expected a number, found true or false"},
-        {"idle_s = -", "line 1, column 11: expected a value"},
-        {"preempt = not 3", "line 1, column 11: expected true or false, found a number"},
-        {"preempt = not  3", "line 1, column 11: expected true or false, found a number"},
-        {"preempt = not", "line 1, column 14: expected a value"},
-        {"preempt = 1 and true", "line 1, column 11: expected true or false, found a number"},
-        {"preempt = true and 1", "line 1, column 20: expected true or false, found a number"},
-        {"preempt = true and  1", "line 1, column 21: expected true or false, found a number"},
-        {"preempt = true or 1", "line 1, column 19: expected true or false, found a number"},
-        {"preempt = 1 or true", "line 1, column 11: expected true or false, found a number"},
-        {"preempt = true or", "line 1, column 18: expected a value"},
-        {"preempt = team < \"a\"", "line 1, column 11: expected a number, found a text"},
-        {"preempt = true < false", "line 1, column 11: expected a number, found true or false"},
-        {"preempt = true == 3", "line 1, column 19: expected true or false, found a number"},
-        {"preempt = 1 < true", "line 1, column 15: expected a number, found true or false"},
-        {"preempt = 1 <  true", "line 1, column 16: expected a number, found true or false"},
-        {"preempt = 1 < 2 < 3", "line 1, column 17: expected the end of the line"},
-        {"preempt = 1 == 2 == 3", "line 1, column 18: expected the end of the line"},
-        {"spare_cpus = true + 1", "line 1, column 14: expected a number, found true or false"},
-        {"spare_cpus = 1 + true", "line 1, column 18: expected a number, found true or false"},
-        {"spare_cpus = 1 * \"x\"", "line 1, column 18: expected a number, found a text"},
-        {"spare_cpus = 1 / ", "line 1, column 18: expected a value"},
-        {"spare_cpus = 1 * team", "line 1, column 18: team is not known in this setting"},
-        {"spare_cpus = spot", "line 1, column 14: spot is not known in this setting"},
-        {"spare_cpus = _x", "line 1, column 14: expected a value"},
-        {"3 = 4", "line 1, column 1: expected the name of a setting"},
-        {"= 4", "line 1, column 1: expected the name of a setting"},
-        {"_idle = 3", "line 1, column 1: expected the name of a setting"},
-        {"idle_s", "line 1, column 7: expected ="},
-        {"idle_s =", "line 1, column 9: expected a value"},
-        {"idle_s = # nothing", "line 1, column 19: expected a value"},
-        {"idle_s = 3;", "line 1, column 11: expected the end of the line"},
-        {"idle_s = 3)", "line 1, column 11: expected the end of the line"},
-        {"preempt = truex", "line 1, column 11: expected a value; truex is no input"},
-        {"preempt = iffy", "line 1, column 11: expected a value; iffy is no input"},
-        {"idle_s = minimum(3)", "line 1, column 10: expected a value; minimum is no input"},
-        {"idle_s = if spot then\n3 else 4", "line 1, column 22: expected a value"},
-        {"rent_ordinary = cpus > 3", "line 1, column 17: cpus is not known in this setting"},
-        {"rent_ordinary = backlog_s > 3 and zone == \"a\"",
-         "line 1, column 35: zone is not known in this setting"},
-        {"preempt = class == \"x\" or not team != \"y\" and 1 + 2 >= 3 * 4 / -5",
-         "line 1, column 27: expected true or false, found a text"},
-        {"preempt = ((true)", "line 1, column 18: expected )"},
-        {"preempt = (true", "line 1, column 16: expected )"},
-        {"preempt = ()", "line 1, column 12: expected a value"},
-        {"preempt = !true", "line 1, column 11: expected a value"},
-        {"preempt = true && true", "line 1, column 16: expected the end of the line"},
-        {"preempt = 1 = 1", "line 1, column 11: expected true or false, found a number"},
-        {"idle_s = min(3 4)", "line 1, column 16: expected a comma"},
-        {"idle_s = min(,4)", "line 1, column 14: expected a value"},
-        {"idle_s = min( 3 , )", "line 1, column 19: expected a value"},
-        {"idle_s = + 3", "line 1, column 10: expected a value"},
-        {"preempt = \"a\"", "line 1, column 11: expected true or false, found a text"},
-        {"idle_s = 3 + \"\"", "line 1, column 14: expected a number, found a text"},
-        {"preempt = team == \"a\" b", "line 1, column 23: expected the end of the line"},
-        {"preempt = spot", "line 1, column 11: spot is not known in this setting"},
-        {"preempt = not spot == true", "line 1, column 15: spot is not known in this setting"},
-        {"idle_s = type", "line 1, column 10: expected a number, found a text"},
+        {"idle_s 3", POLICY_ERROR_SYNTAX},
+        {"idle_s = true", POLICY_ERROR_TYPE},
+        {"idle = 3", POLICY_ERROR_UNKNOWN_NAME},
+        {"idle_s = colour", POLICY_ERROR_UNKNOWN_NAME},
+        {"idle_s = 3\nidle_s = 4", POLICY_ERROR_DUPLICATE_SETTING},
+        {deep_text, POLICY_ERROR_NESTING},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
-        char *error = NULL;
+        GError *error = NULL;
         assert_null(policy_parse(cases[i].text, &error));
-        if (strcmp(error, cases[i].message) != 0)
-            fail_msg("'%s': '%s' in place of '%s'", cases[i].text, error, cases[i].message);
-        g_free(error);
+        if (!g_error_matches(error, POLICY_ERROR, (int)cases[i].code))
+            fail_msg("'%s': code %d", cases[i].text, error->code);
+        g_error_free(error);
     }
+    assert_null(policy_parse("idle = 3", NULL)); /* the error need not be wanted */
+    g_free(deep_text);
+    g_free(deep);
 }
 
 static char *repeat(const char *before, const char *part, int times, const char *after)
@@ -255,16 +284,16 @@
     };
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
         char *text = repeat(cases[i].before, cases[i].part, cases[i].times, cases[i].after);
-        char *error = NULL;
+        GError *error = NULL;
         struct policy *policy = policy_parse(text, &error);
         if (cases[i].message) {
             assert_null(policy);
-            assert_string_equal(error, cases[i].message);
+            assert_string_equal(error->message, cases[i].message);
         } else {
             assert_non_null(policy);
             policy_free(policy);
         }
-        g_free(error);
+        g_clear_error(&error);
         g_free(text);
     }
 }
@@ -272,10 +301,11 @@
 static void files_are_named_in_messages(void **state)
 {
     (void)state;
-    char *error = NULL;
+    GError *error = NULL;
     assert_null(policy_load("/nowhere/policy", &error));
-    assert_non_null(g_strrstr(error, "/nowhere/policy: Failed to open file"));
-    g_clear_pointer(&error, g_free);
+    assert_true(g_error_matches(error, G_FILE_ERROR, G_FILE_ERROR_NOENT));
+    assert_true(g_str_has_prefix(error->message, "/nowhere/policy: Failed to open file"));
+    g_clear_error(&error);
 
     char *path = NULL;
     int fd = g_file_open_tmp("policy-XXXXXX", &path, NULL);
@@ -298,10 +328,10 @@
         char *message = cases[i].message ? g_strdup_printf("%s: %s", path, cases[i].message) : NULL;
         assert_int_equal(policy == NULL, message != NULL);
         if (message)
-            assert_string_equal(error, message);
+            assert_string_equal(error->message, message);
         if (policy)
             policy_free(policy);
-        g_clear_pointer(&error, g_free);
+        g_clear_error(&error);
         g_free(message);
         g_free(text);
     }
@@ -312,7 +342,7 @@
 static void what_is_not_set_has_its_default(void **state)
 {
     (void)state;
-    char *error = NULL;
+    GError *error = NULL;
     struct policy *policy = policy_parse("idle_s = if spot then 20 else 90\n", &error);
     struct policy_value value[POLICY_INPUTS] = {0};
     value[INPUT_SPOT].flag = true;
@@ -330,6 +360,7 @@
         cmocka_unit_test(flags_are_computed),
         cmocka_unit_test(what_is_wrong_is_named_with_its_place),
         cmocka_unit_test(each_fault_has_its_whole_message),
+        cmocka_unit_test(each_kind_of_fault_has_its_code),
         cmocka_unit_test(nesting_is_bounded),
         cmocka_unit_test(files_are_named_in_messages),
         cmocka_unit_test(what_is_not_set_has_its_default),
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -1,4 +1,5 @@
 /* The settings file: what is read from it, and the one message for what cannot be used. */
+#include "address.h"
 #include "settings.h"
 
 #include <setjmp.h>
@@ -62,10 +63,11 @@
 
 static struct settings *parse_good(const char *from, const char *to)
 {
-    char *text = change_text(from, to), *error = NULL;
+    char *text = change_text(from, to);
+    GError *error = NULL;
     struct settings *settings = settings_parse(text, &error);
     if (!settings)
-        fail_msg("%s", error);
+        fail_msg("%s", error->message);
     assert_null(error);
     g_free(text);
     return settings;
@@ -148,10 +150,11 @@
         "[outside]\n";
     char *text = change_text("[outside]\n", siblings);
     char **parts = g_strsplit(text, "size = 1\n", -1);
-    char *two_nodes = g_strjoinv("size = 2\n", parts), *error = NULL;
+    char *two_nodes = g_strjoinv("size = 2\n", parts);
+    GError *error = NULL;
     struct settings *settings = settings_parse(two_nodes, &error);
     if (!settings)
-        fail_msg("%s", error);
+        fail_msg("%s", error->message);
     assert_int_equal(settings->siblings->len, 1);
     const struct sibling *sibling = &g_array_index(settings->siblings, struct sibling, 0);
     assert_string_equal(sibling->label, "b");
@@ -163,178 +166,198 @@
     g_free(text);
 }
 
+static const struct {
+    const char *from, *to, *message;
+} fault_cases[] = {
+    {"back = \"10.0.0.1:81\"\n",
+     "back = \"10.0.0.1:81\"\n[[siblings]]\nlabel = \"b\"\ndomain = \"z\"\nendpoint = "
+     "\"10.0.0.2:81\"\n",
+     "deployment.size: does not match the number of siblings"},
+    {"[outside]\ncloud = \"10.2.0.2:1\"\nstate = \"10.2.0.1:1\"\n[deployment]\nsize = 1\n",
+     "[[siblings]]\nlabel = \"b\"\ndomain = \"z\"\nendpoint = "
+     "\"10.0.0.2:81\"\n[[siblings]]\nlabel = \"b\"\ndomain = \"z\"\nendpoint = "
+     "\"10.0.0.2:81\"\n[outside]\ncloud = \"10.2.0.2:1\"\nstate = "
+     "\"10.2.0.1:1\"\n[deployment]\nsize = 3\n",
+     "siblings.label: appears twice"},
+    {"back = \"10.0.0.1:81\"\n",
+     "back = \"10.0.0.1:81\"\n[[siblings]]\nlabel = \"a\"\ndomain = \"z\"\nendpoint = "
+     "\"10.0.0.2:81\"\n",
+     "siblings.label: names this node itself"},
+    {"back = \"10.0.0.1:81\"\n",
+     "back = \"10.0.0.1:81\"\n[[siblings]]\nlabel = \"b\"\ndomain = \"z\"\n", "endpoint: missing"},
+    {"back = \"10.0.0.1:81\"\n",
+     "back = \"10.0.0.1:81\"\n[[siblings]]\nlabel = \"b\"\ndomain = \"z\"\nendpoint = "
+     "\"10.0.0.2\"\n",
+     "endpoint: must be an address such as 10.0.0.1:8080"},
+    {"back = \"10.0.0.1:81\"\n", "back = \"10.0.0.1:81\"\nsiblings = 3\n",
+     "siblings: must be a list"},
+    {"domain = \"z\"\n", "", "domain: missing"},
+    {"domain = \"z\"\n", "domain = -1\n", "domain: must be a text that is not empty"},
+    {"api_addr = \"10.0.0.1:80\"\n", "", "api_addr: missing"},
+    {"api_addr = \"10.0.0.1:80\"\n", "api_addr = -1\n",
+     "api_addr: must be a text that is not empty"},
+    {"api_addr = \"10.0.0.1:80\"\n", "api_addr = \"x\"\n",
+     "api_addr: must be an address such as 10.0.0.1:8080"},
+    {"back = \"10.0.0.1:81\"\n", "", "back: missing"},
+    {"back = \"10.0.0.1:81\"\n", "back = -1\n", "back: must be a text that is not empty"},
+    {"back = \"10.0.0.1:81\"\n", "back = \"x\"\n",
+     "back: must be an address such as 10.0.0.1:8080"},
+    {"[outside]\n", "", "outside.cloud: missing"},
+    {"cloud = \"10.2.0.2:1\"\n", "cloud = -1\n", "outside.cloud: must be a text that is not empty"},
+    {"cloud = \"10.2.0.2:1\"\n", "cloud = \"x\"\n",
+     "outside.cloud: must be an address such as 10.0.0.1:8080"},
+    {"state = \"10.2.0.1:1\"\n", "", "outside.state: missing"},
+    {"state = \"10.2.0.1:1\"\n", "state = -1\n", "outside.state: must be a text that is not empty"},
+    {"state = \"10.2.0.1:1\"\n", "state = \"x\"\n",
+     "outside.state: must be an address such as 10.0.0.1:8080"},
+    {"[deployment]\n", "", "deployment.size: missing"},
+    {"size = 1\n", "size = -1\n", "deployment.size: must be between 1 and 1000"},
+    {"size = 1\n", "size = true\n", "deployment.size: must be a number"},
+    {"size = 1\n", "size = 1.5\n", "deployment.size: must be a whole number"},
+    {"zones = [\"z\"]\n", "", "deployment.zones: missing"},
+    {"zones = [\"z\"]\n", "zones = -1\n", "deployment.zones: must be a list"},
+    {"clock_error_ms = 25\n", "", "deployment.clock_error_ms: missing"},
+    {"clock_error_ms = 25\n", "clock_error_ms = -1\n",
+     "deployment.clock_error_ms: must be between 0 and 3.6e+06"},
+    {"clock_error_ms = 25\n", "clock_error_ms = true\n",
+     "deployment.clock_error_ms: must be a number"},
+    {"[[deployment.teams]]\n", "", "deployment.teams: missing"},
+    {"name = \"t\"\n", "", "name: missing"},
+    {"name = \"t\"\n", "name = -1\n", "name: must be a text that is not empty"},
+    {"cpus = 1\n", "", "cpus: missing"},
+    {"cpus = 1\n", "cpus = -1\n", "cpus: must be between 0 and 1e+09"},
+    {"cpus = 1\n", "cpus = true\n", "cpus: must be a number"},
+    {"cpus_max = 2\n", "", "cpus_max: missing"},
+    {"cpus_max = 2\n", "cpus_max = -1\n", "cpus_max: must be between 0 and 1e+09"},
+    {"cpus_max = 2\n", "cpus_max = true\n", "cpus_max: must be a number"},
+    {"cpus_max = 2\n", "cpus_max = 0\n", "deployment.teams.cpus: is more than cpus_max"},
+    {"gpus = 0\n", "", "gpus: missing"},
+    {"gpus = 0\n", "gpus = -1\n", "gpus: must be between 0 and 1e+09"},
+    {"gpus = 0\n", "gpus = true\n", "gpus: must be a number"},
+    {"gpus = 0\n", "gpus = 1.5\n", "deployment.teams.gpus: is more than gpus_max"},
+    {"gpus_max = 0\n", "", "gpus_max: missing"},
+    {"gpus_max = 0\n", "gpus_max = -1\n", "gpus_max: must be between 0 and 1e+09"},
+    {"gpus_max = 0\n", "gpus_max = true\n", "gpus_max: must be a number"},
+    {"kind = \"wait\"\n", "", "kind: missing"},
+    {"kind = \"wait\"\n", "kind = -1\n", "kind: must be a text that is not empty"},
+    {"class = \"batch\"\n", "class = -1\n", "class: must be a text that is not empty"},
+    {"within_s = 30\n", "", "within_s: missing"},
+    {"within_s = 30\n", "within_s = -1\n", "within_s: must be between 0 and 1e+09"},
+    {"within_s = 30\n", "within_s = true\n", "within_s: must be a number"},
+    {"[deployment.workers]\n", "", "deployment.workers.report_s: missing"},
+    {"report_s = 1\n", "report_s = -1\n",
+     "deployment.workers.report_s: must be between 0.1 and 600"},
+    {"report_s = 1\n", "report_s = true\n", "deployment.workers.report_s: must be a number"},
+    {"lease_s = 10\n", "", "deployment.workers.lease_s: missing"},
+    {"lease_s = 10\n", "lease_s = -1\n", "deployment.workers.lease_s: must be between 1 and 3600"},
+    {"lease_s = 10\n", "lease_s = true\n", "deployment.workers.lease_s: must be a number"},
+    {"gang_wait_s = 1\n", "", "deployment.workers.gang_wait_s: missing"},
+    {"gang_wait_s = 1\n", "gang_wait_s = -1\n",
+     "deployment.workers.gang_wait_s: must be between 0 and 3600"},
+    {"gang_wait_s = 1\n", "gang_wait_s = true\n",
+     "deployment.workers.gang_wait_s: must be a number"},
+    {"gang_peer_s = 1\n", "", "deployment.workers.gang_peer_s: missing"},
+    {"gang_peer_s = 1\n", "gang_peer_s = -1\n",
+     "deployment.workers.gang_peer_s: must be between 0 and 3600"},
+    {"gang_peer_s = 1\n", "gang_peer_s = true\n",
+     "deployment.workers.gang_peer_s: must be a number"},
+    {"cancel_s = 30\n", "", "deployment.workers.cancel_s: missing"},
+    {"cancel_s = 30\n", "cancel_s = -1\n",
+     "deployment.workers.cancel_s: must be between 1 and 36000"},
+    {"cancel_s = 30\n", "cancel_s = true\n", "deployment.workers.cancel_s: must be a number"},
+    {"cancel_s = 30\n", "cancel_s = 1.5\n",
+     "deployment.workers.cancel_s: must be more than lease_s"},
+    {"[deployment.state]\n", "", "deployment.state.rps: missing"},
+    {"rps = 100\n", "rps = -1\n", "deployment.state.rps: must be between 1 and 1e+06"},
+    {"rps = 100\n", "rps = true\n", "deployment.state.rps: must be a number"},
+    {"write_rps = 25\n", "", "deployment.state.write_rps: missing"},
+    {"write_rps = 25\n", "write_rps = -1\n",
+     "deployment.state.write_rps: must be between 1 and 1e+06"},
+    {"write_rps = 25\n", "write_rps = true\n", "deployment.state.write_rps: must be a number"},
+    {"value_kb = 8\n", "", "deployment.state.value_kb: missing"},
+    {"value_kb = 8\n", "value_kb = -1\n", "deployment.state.value_kb: must be between 1 and 64"},
+    {"value_kb = 8\n", "value_kb = true\n", "deployment.state.value_kb: must be a number"},
+    {"txn_ops = 16\n", "", "deployment.state.txn_ops: missing"},
+    {"txn_ops = 16\n", "txn_ops = -1\n", "deployment.state.txn_ops: must be between 4 and 100000"},
+    {"txn_ops = 16\n", "txn_ops = true\n", "deployment.state.txn_ops: must be a number"},
+    {"rps = 1\n", "", "deployment.cloud.rps: missing"},
+    {"rps = 1\n", "rps = -1\n", "deployment.cloud.rps: must be between 0.01 and 1e+06"},
+    {"rps = 1\n", "rps = true\n", "deployment.cloud.rps: must be a number"},
+    {"list_lag_s = 1\n", "", "deployment.cloud.list_lag_s: missing"},
+    {"list_lag_s = 1\n", "list_lag_s = -1\n",
+     "deployment.cloud.list_lag_s: must be between 0 and 3600"},
+    {"list_lag_s = 1\n", "list_lag_s = true\n", "deployment.cloud.list_lag_s: must be a number"},
+    {"[deployment.machine_limits]\n", "", "deployment.machine_limits.core_share: missing"},
+    {"core_share = 0.1\n", "core_share = -1\n",
+     "deployment.machine_limits.core_share: must be between 0.001 and 1024"},
+    {"core_share = 0.1\n", "core_share = true\n",
+     "deployment.machine_limits.core_share: must be a number"},
+    {"ram_mb = 64\n", "", "deployment.machine_limits.ram_mb: missing"},
+    {"ram_mb = 64\n", "ram_mb = -1\n",
+     "deployment.machine_limits.ram_mb: must be between 16 and 1e+09"},
+    {"ram_mb = 64\n", "ram_mb = true\n", "deployment.machine_limits.ram_mb: must be a number"},
+    {"fd_limit = 800\n", "", "deployment.machine_limits.fd_limit: missing"},
+    {"fd_limit = 800\n", "fd_limit = -1\n",
+     "deployment.machine_limits.fd_limit: must be between 64 and 1e+07"},
+    {"fd_limit = 800\n", "fd_limit = true\n",
+     "deployment.machine_limits.fd_limit: must be a number"},
+    {"fd_limit = 800\n", "fd_limit = 800\n[deployment.state.next]\nvalue_kb = 0.5\n",
+     "deployment.state.next.value_kb: must be between 1 and 64"},
+    {"fd_limit = 800\n", "fd_limit = 800\n[deployment.state.next]\ntxn_ops = 5.5\n",
+     "deployment.state.next.txn_ops: must be a whole number"},
+    {"fd_limit = 800\n", "fd_limit = 800\n[deployment.state.next]\nwrite_rps = \"few\"\n",
+     "deployment.state.next.write_rps: must be a number"},
+    {"fd_limit = 800\n", "fd_limit = 800\n[deployment.state.next]\nrps = 0\ntxn_ops = 1e9\n",
+     "deployment.state.next.rps: must be between 1 and 1e+06"},
+    {"txn_ops = 16\n", "txn_ops = 16\nnext = 3\n", "deployment.state.next: must be a table"},
+    {"lease_s = 10\n", "lease_s = 1\n", "deployment.workers.lease_s: must be more than report_s"},
+    {"fd_limit = 800\n",
+     "fd_limit = 800\n[[deployment.teams]]\nname = \"t\"\ncpus = 1\ncpus_max = 2\ngpus = "
+     "0\ngpus_max = 0\n",
+     "deployment.teams.name: appears twice"},
+    {"label = \"a\"\ndomain = \"z\"\n", "domain = 3\n", "label: missing"},
+    {"label = \"a\"\n", "label = 3\n", "label: must be a text that is not empty"},
+    {"label = \"a\"\n", "label =\n",
+     "line 1, column 8: Error while parsing key-value pair: expected value, saw '\\n'"},
+};
+
 /* The whole message of the first fault, in the order of the file's parts. */
 static void each_fault_has_its_whole_message(void **state)
+{
+    (void)state;
+    for (size_t i = 0; i < G_N_ELEMENTS(fault_cases); i++) {
+        char *text = change_text(fault_cases[i].from, fault_cases[i].to);
+        GError *error = NULL;
+        assert_null(settings_parse(text, &error));
+        if (strcmp(error->message, fault_cases[i].message) != 0)
+            fail_msg("'%s': '%s' in place of '%s'", fault_cases[i].to, error->message,
+                     fault_cases[i].message);
+        g_error_free(error);
+        g_free(text);
+    }
+}
+
+static void each_kind_of_fault_has_its_code(void **state)
 {
     (void)state;
     static const struct {
-        const char *from, *to, *message;
+        const char *from, *to;
+        enum settings_error code;
     } cases[] = {
-        {"back = \"10.0.0.1:81\"\n",
-         "back = \"10.0.0.1:81\"\n[[siblings]]\nlabel = \"b\"\ndomain = \"z\"\nendpoint = "
-         "\"10.0.0.2:81\"\n",
-         "deployment.size: does not match the number of siblings"},
-        {"[outside]\ncloud = \"10.2.0.2:1\"\nstate = \"10.2.0.1:1\"\n[deployment]\nsize = 1\n",
-         "[[siblings]]\nlabel = \"b\"\ndomain = \"z\"\nendpoint = "
-         "\"10.0.0.2:81\"\n[[siblings]]\nlabel = \"b\"\ndomain = \"z\"\nendpoint = "
-         "\"10.0.0.2:81\"\n[outside]\ncloud = \"10.2.0.2:1\"\nstate = "
-         "\"10.2.0.1:1\"\n[deployment]\nsize = 3\n",
-         "siblings.label: appears twice"},
-        {"back = \"10.0.0.1:81\"\n",
-         "back = \"10.0.0.1:81\"\n[[siblings]]\nlabel = \"a\"\ndomain = \"z\"\nendpoint = "
-         "\"10.0.0.2:81\"\n",
-         "siblings.label: names this node itself"},
-        {"back = \"10.0.0.1:81\"\n",
-         "back = \"10.0.0.1:81\"\n[[siblings]]\nlabel = \"b\"\ndomain = \"z\"\n",
-         "endpoint: missing"},
-        {"back = \"10.0.0.1:81\"\n",
-         "back = \"10.0.0.1:81\"\n[[siblings]]\nlabel = \"b\"\ndomain = \"z\"\nendpoint = "
-         "\"10.0.0.2\"\n",
-         "endpoint: must be an address such as 10.0.0.1:8080"},
-        {"back = \"10.0.0.1:81\"\n", "back = \"10.0.0.1:81\"\nsiblings = 3\n",
-         "siblings: must be a list"},
-        {"domain = \"z\"\n", "", "domain: missing"},
-        {"domain = \"z\"\n", "domain = -1\n", "domain: must be a text that is not empty"},
-        {"api_addr = \"10.0.0.1:80\"\n", "", "api_addr: missing"},
-        {"api_addr = \"10.0.0.1:80\"\n", "api_addr = -1\n",
-         "api_addr: must be a text that is not empty"},
-        {"api_addr = \"10.0.0.1:80\"\n", "api_addr = \"x\"\n",
-         "api_addr: must be an address such as 10.0.0.1:8080"},
-        {"back = \"10.0.0.1:81\"\n", "", "back: missing"},
-        {"back = \"10.0.0.1:81\"\n", "back = -1\n", "back: must be a text that is not empty"},
-        {"back = \"10.0.0.1:81\"\n", "back = \"x\"\n",
-         "back: must be an address such as 10.0.0.1:8080"},
-        {"[outside]\n", "", "outside.cloud: missing"},
-        {"cloud = \"10.2.0.2:1\"\n", "cloud = -1\n",
-         "outside.cloud: must be a text that is not empty"},
-        {"cloud = \"10.2.0.2:1\"\n", "cloud = \"x\"\n",
-         "outside.cloud: must be an address such as 10.0.0.1:8080"},
-        {"state = \"10.2.0.1:1\"\n", "", "outside.state: missing"},
-        {"state = \"10.2.0.1:1\"\n", "state = -1\n",
-         "outside.state: must be a text that is not empty"},
-        {"state = \"10.2.0.1:1\"\n", "state = \"x\"\n",
-         "outside.state: must be an address such as 10.0.0.1:8080"},
-        {"[deployment]\n", "", "deployment.size: missing"},
-        {"size = 1\n", "size = -1\n", "deployment.size: must be between 1 and 1000"},
-        {"size = 1\n", "size = true\n", "deployment.size: must be a number"},
-        {"size = 1\n", "size = 1.5\n", "deployment.size: must be a whole number"},
-        {"zones = [\"z\"]\n", "", "deployment.zones: missing"},
-        {"zones = [\"z\"]\n", "zones = -1\n", "deployment.zones: must be a list"},
-        {"clock_error_ms = 25\n", "", "deployment.clock_error_ms: missing"},
-        {"clock_error_ms = 25\n", "clock_error_ms = -1\n",
-         "deployment.clock_error_ms: must be between 0 and 3.6e+06"},
-        {"clock_error_ms = 25\n", "clock_error_ms = true\n",
-         "deployment.clock_error_ms: must be a number"},
-        {"[[deployment.teams]]\n", "", "deployment.teams: missing"},
-        {"name = \"t\"\n", "", "name: missing"},
-        {"name = \"t\"\n", "name = -1\n", "name: must be a text that is not empty"},
-        {"cpus = 1\n", "", "cpus: missing"},
-        {"cpus = 1\n", "cpus = -1\n", "cpus: must be between 0 and 1e+09"},
-        {"cpus = 1\n", "cpus = true\n", "cpus: must be a number"},
-        {"cpus_max = 2\n", "", "cpus_max: missing"},
-        {"cpus_max = 2\n", "cpus_max = -1\n", "cpus_max: must be between 0 and 1e+09"},
-        {"cpus_max = 2\n", "cpus_max = true\n", "cpus_max: must be a number"},
-        {"cpus_max = 2\n", "cpus_max = 0\n", "deployment.teams.cpus: is more than cpus_max"},
-        {"gpus = 0\n", "", "gpus: missing"},
-        {"gpus = 0\n", "gpus = -1\n", "gpus: must be between 0 and 1e+09"},
-        {"gpus = 0\n", "gpus = true\n", "gpus: must be a number"},
-        {"gpus = 0\n", "gpus = 1.5\n", "deployment.teams.gpus: is more than gpus_max"},
-        {"gpus_max = 0\n", "", "gpus_max: missing"},
-        {"gpus_max = 0\n", "gpus_max = -1\n", "gpus_max: must be between 0 and 1e+09"},
-        {"gpus_max = 0\n", "gpus_max = true\n", "gpus_max: must be a number"},
-        {"kind = \"wait\"\n", "", "kind: missing"},
-        {"kind = \"wait\"\n", "kind = -1\n", "kind: must be a text that is not empty"},
-        {"class = \"batch\"\n", "class = -1\n", "class: must be a text that is not empty"},
-        {"within_s = 30\n", "", "within_s: missing"},
-        {"within_s = 30\n", "within_s = -1\n", "within_s: must be between 0 and 1e+09"},
-        {"within_s = 30\n", "within_s = true\n", "within_s: must be a number"},
-        {"[deployment.workers]\n", "", "deployment.workers.report_s: missing"},
-        {"report_s = 1\n", "report_s = -1\n",
-         "deployment.workers.report_s: must be between 0.1 and 600"},
-        {"report_s = 1\n", "report_s = true\n", "deployment.workers.report_s: must be a number"},
-        {"lease_s = 10\n", "", "deployment.workers.lease_s: missing"},
-        {"lease_s = 10\n", "lease_s = -1\n",
-         "deployment.workers.lease_s: must be between 1 and 3600"},
-        {"lease_s = 10\n", "lease_s = true\n", "deployment.workers.lease_s: must be a number"},
-        {"gang_wait_s = 1\n", "", "deployment.workers.gang_wait_s: missing"},
-        {"gang_wait_s = 1\n", "gang_wait_s = -1\n",
-         "deployment.workers.gang_wait_s: must be between 0 and 3600"},
-        {"gang_wait_s = 1\n", "gang_wait_s = true\n",
-         "deployment.workers.gang_wait_s: must be a number"},
-        {"gang_peer_s = 1\n", "", "deployment.workers.gang_peer_s: missing"},
-        {"gang_peer_s = 1\n", "gang_peer_s = -1\n",
-         "deployment.workers.gang_peer_s: must be between 0 and 3600"},
-        {"gang_peer_s = 1\n", "gang_peer_s = true\n",
-         "deployment.workers.gang_peer_s: must be a number"},
-        {"cancel_s = 30\n", "", "deployment.workers.cancel_s: missing"},
-        {"cancel_s = 30\n", "cancel_s = -1\n",
-         "deployment.workers.cancel_s: must be between 1 and 36000"},
-        {"cancel_s = 30\n", "cancel_s = true\n", "deployment.workers.cancel_s: must be a number"},
-        {"cancel_s = 30\n", "cancel_s = 1.5\n",
-         "deployment.workers.cancel_s: must be more than lease_s"},
-        {"[deployment.state]\n", "", "deployment.state.rps: missing"},
-        {"rps = 100\n", "rps = -1\n", "deployment.state.rps: must be between 1 and 1e+06"},
-        {"rps = 100\n", "rps = true\n", "deployment.state.rps: must be a number"},
-        {"write_rps = 25\n", "", "deployment.state.write_rps: missing"},
-        {"write_rps = 25\n", "write_rps = -1\n",
-         "deployment.state.write_rps: must be between 1 and 1e+06"},
-        {"write_rps = 25\n", "write_rps = true\n", "deployment.state.write_rps: must be a number"},
-        {"value_kb = 8\n", "", "deployment.state.value_kb: missing"},
-        {"value_kb = 8\n", "value_kb = -1\n",
-         "deployment.state.value_kb: must be between 1 and 64"},
-        {"value_kb = 8\n", "value_kb = true\n", "deployment.state.value_kb: must be a number"},
-        {"txn_ops = 16\n", "", "deployment.state.txn_ops: missing"},
-        {"txn_ops = 16\n", "txn_ops = -1\n",
-         "deployment.state.txn_ops: must be between 4 and 100000"},
-        {"txn_ops = 16\n", "txn_ops = true\n", "deployment.state.txn_ops: must be a number"},
-        {"rps = 1\n", "", "deployment.cloud.rps: missing"},
-        {"rps = 1\n", "rps = -1\n", "deployment.cloud.rps: must be between 0.01 and 1e+06"},
-        {"rps = 1\n", "rps = true\n", "deployment.cloud.rps: must be a number"},
-        {"list_lag_s = 1\n", "", "deployment.cloud.list_lag_s: missing"},
-        {"list_lag_s = 1\n", "list_lag_s = -1\n",
-         "deployment.cloud.list_lag_s: must be between 0 and 3600"},
-        {"list_lag_s = 1\n", "list_lag_s = true\n",
-         "deployment.cloud.list_lag_s: must be a number"},
-        {"[deployment.machine_limits]\n", "", "deployment.machine_limits.core_share: missing"},
-        {"core_share = 0.1\n", "core_share = -1\n",
-         "deployment.machine_limits.core_share: must be between 0.001 and 1024"},
-        {"core_share = 0.1\n", "core_share = true\n",
-         "deployment.machine_limits.core_share: must be a number"},
-        {"ram_mb = 64\n", "", "deployment.machine_limits.ram_mb: missing"},
-        {"ram_mb = 64\n", "ram_mb = -1\n",
-         "deployment.machine_limits.ram_mb: must be between 16 and 1e+09"},
-        {"ram_mb = 64\n", "ram_mb = true\n", "deployment.machine_limits.ram_mb: must be a number"},
-        {"fd_limit = 800\n", "", "deployment.machine_limits.fd_limit: missing"},
-        {"fd_limit = 800\n", "fd_limit = -1\n",
-         "deployment.machine_limits.fd_limit: must be between 64 and 1e+07"},
-        {"fd_limit = 800\n", "fd_limit = true\n",
-         "deployment.machine_limits.fd_limit: must be a number"},
-        {"fd_limit = 800\n", "fd_limit = 800\n[deployment.state.next]\nvalue_kb = 0.5\n",
-         "deployment.state.next.value_kb: must be between 1 and 64"},
-        {"fd_limit = 800\n", "fd_limit = 800\n[deployment.state.next]\ntxn_ops = 5.5\n",
-         "deployment.state.next.txn_ops: must be a whole number"},
-        {"fd_limit = 800\n", "fd_limit = 800\n[deployment.state.next]\nwrite_rps = \"few\"\n",
-         "deployment.state.next.write_rps: must be a number"},
-        {"fd_limit = 800\n", "fd_limit = 800\n[deployment.state.next]\nrps = 0\ntxn_ops = 1e9\n",
-         "deployment.state.next.rps: must be between 1 and 1e+06"},
-        {"txn_ops = 16\n", "txn_ops = 16\nnext = 3\n", "deployment.state.next: must be a table"},
-        {"lease_s = 10\n", "lease_s = 1\n",
-         "deployment.workers.lease_s: must be more than report_s"},
-        {"fd_limit = 800\n",
-         "fd_limit = 800\n[[deployment.teams]]\nname = \"t\"\ncpus = 1\ncpus_max = 2\ngpus = "
-         "0\ngpus_max = 0\n",
-         "deployment.teams.name: appears twice"},
-        {"label = \"a\"\ndomain = \"z\"\n", "domain = 3\n", "label: missing"},
-        {"label = \"a\"\n", "label = 3\n", "label: must be a text that is not empty"},
-        {"label = \"a\"\n", "label =\n",
-         "line 1, column 8: Error while parsing key-value pair: expected value, saw '\\n'"},
+        {"label = \"a\"\n", "label =\n", SETTINGS_ERROR_SYNTAX},
+        {"label = \"a\"\n", "", SETTINGS_ERROR_MISSING},
+        {"size = 1\n", "size = true\n", SETTINGS_ERROR_TYPE},
+        {"size = 1\n", "size = 1.5\n", SETTINGS_ERROR_TYPE},
+        {"size = 1\n", "size = 0\n", SETTINGS_ERROR_RANGE},
+        {"size = 1\n", "size = 2\n", SETTINGS_ERROR_CONFLICT},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
-        char *text = change_text(cases[i].from, cases[i].to), *error = NULL;
+        char *text = change_text(cases[i].from, cases[i].to);
+        GError *error = NULL;
         assert_null(settings_parse(text, &error));
-        if (strcmp(error, cases[i].message) != 0)
-            fail_msg("'%s': '%s' in place of '%s'", cases[i].to, error, cases[i].message);
-        g_free(error);
+        if (!g_error_matches(error, SETTINGS_ERROR, (int)cases[i].code))
+            fail_msg("'%s': code %d", cases[i].to, error->code);
+        g_error_free(error);
         g_free(text);
     }
 }
@@ -342,10 +365,11 @@
 static void files_are_named_in_messages(void **state)
 {
     (void)state;
-    char *error = NULL;
+    GError *error = NULL;
     assert_null(settings_load("/nowhere/settings", &error));
-    assert_true(g_str_has_prefix(error, "/nowhere/settings: Failed to open file"));
-    g_free(error);
+    assert_true(g_error_matches(error, G_FILE_ERROR, G_FILE_ERROR_NOENT));
+    assert_true(g_str_has_prefix(error->message, "/nowhere/settings: Failed to open file"));
+    g_error_free(error);
 }
 
 static void addresses_are_split(void **state)
@@ -374,6 +398,7 @@
         cmocka_unit_test(unknown_objectives_are_passed_over),
         cmocka_unit_test(siblings_are_read),
         cmocka_unit_test(each_fault_has_its_whole_message),
+        cmocka_unit_test(each_kind_of_fault_has_its_code),
         cmocka_unit_test(files_are_named_in_messages),
         cmocka_unit_test(addresses_are_split),
     };
--- a/tests/world.c
+++ b/tests/world.c
@@ -143,11 +143,12 @@
         world->workers[i].said = g_ptr_array_new_with_free_func(g_free);
     }
     for (int i = 0; i < plan->nodes; i++) {
-        char *text = settings_text(plan, i), *error = NULL;
+        char *text = settings_text(plan, i);
+        GError *error = NULL;
         world->inboxes[i] = g_ptr_array_new();
         world->settings[i] = settings_parse(text, &error);
         if (error)
-            fail_msg("%s", error);
+            fail_msg("%s", error->message);
         g_free(text);
         world->nets[i] = (struct wnet){{net_request_fn}, world, i};
     }
