--- a/src/cloud/scale_out.c
+++ b/src/cloud/scale_out.c
@@ -135,10 +135,11 @@
     request->is_in_flight = false;
     json_object *object =
         response->status > 0 ? json_parse(response->body, response->body_bytes) : NULL;
-    GArray *ids = response->status == 200 ? scale_out_response_decode(object) : NULL;
+    GArray *ids = response->status == HTTP_STATUS_OK ? scale_out_response_decode(object) : NULL;
     const char *error = "";
     json_get_text(object, "error", &error);
-    bool no_capacity = response->status == 503 && strcmp(error, "no capacity") == 0;
+    bool no_capacity =
+        response->status == HTTP_STATUS_UNAVAILABLE && strcmp(error, "no capacity") == 0;
     if (ids) {
         add_rented_machines(cloud, request, ids);
         g_array_unref(ids);
@@ -147,7 +148,8 @@
         LOG_INFO("rent_refused", "request=%s", request->request_id);
         mark_offer_refused(cloud, request);
     }
-    if (response->status == 200 || response->status == 400 || no_capacity)
+    if (response->status == HTTP_STATUS_OK || response->status == HTTP_STATUS_BAD_REQUEST ||
+        no_capacity)
         finish_scale_out(cloud, request);
     else
         request->not_before = time_add_ms(loop_now(cloud->loop), CLOUD_RETRY_MS);
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -4,14 +4,18 @@
 
 #include "event_loop.h"
 
-/** The statuses that this service answers with. */
+/** The statuses that this service sends, and those that it tells apart. */
 enum http_status {
     HTTP_STATUS_OK = 200,
     HTTP_STATUS_CREATED = 201,
     HTTP_STATUS_BAD_REQUEST = 400,
     HTTP_STATUS_NOT_FOUND = 404,
     HTTP_STATUS_METHOD_NOT_ALLOWED = 405,
+    HTTP_STATUS_CONFLICT = 409,
+    HTTP_STATUS_GONE = 410,
+    HTTP_STATUS_MISDIRECTED = 421,
     HTTP_STATUS_UNPROCESSABLE = 422,
+    HTTP_STATUS_TOO_MANY_REQUESTS = 429,
     HTTP_STATUS_UNAVAILABLE = 503,
 };
 
