--- a/src/config/toml_reader.h
+++ b/src/config/toml_reader.h
@@ -1,4 +1,6 @@
-/** TOML to JSON text, by toml++, as Debian has no C library for TOML. */
+/** Conversion of TOML to JSON.
+ *
+ * It is in C++ for the library toml++; the rest of the program reads JSON with json-c. */
 #ifndef LL_TOML_READER_H
 #define LL_TOML_READER_H
 
@@ -6,7 +8,8 @@
 extern "C" {
 #endif
 
-/** A JSON text to be freed with free(), or NULL with a message in error. */
+/** Returns JSON text, to be freed with free(). If the text is not TOML, returns NULL and writes a
+ * message that names line and column to `error`, cut off to `error_size` bytes with its NUL. */
 char *toml_read_json(const char *text, char *error, unsigned error_size);
 
 #ifdef __cplusplus
--- a/src/net/client_connection.c
+++ b/src/net/client_connection.c
@@ -1,7 +1,7 @@
 /** A connection of the HTTP client: it carries one exchange at a time, and is kept alive. */
+#include "address.h"
 #include "http_client_internal.h"
 #include "log.h"
-#include "settings.h"
 
 #include <errno.h>
 #include <netinet/in.h>
--- a/src/net/http_server.c
+++ b/src/net/http_server.c
@@ -1,9 +1,9 @@
 /** The HTTP server: connections are kept alive, with one request at a time each. */
 #define _GNU_SOURCE /* accept4 */
+#include "address.h"
 #include "http.h"
 #include "idle_list.h"
 #include "log.h"
-#include "settings.h"
 
 #include <errno.h>
 #include <netinet/in.h>
