--- a/src/base/json_fields.c
+++ b/src/base/json_fields.c
@@ -135,7 +135,7 @@
     const char *text;
     if (!json_get_text(object, field, &text) || strlen(text) >= size)
         return false;
-    strcpy(out, text);
+    g_strlcpy(out, text, size);
     return true;
 }
 
--- a/src/singleton/role_manager.c
+++ b/src/singleton/role_manager.c
@@ -83,8 +83,11 @@
 {
     const struct role_manager *manager = state->manager;
     struct role_change change = {state->role, is_gained, state->token};
-    LOG_INFO(is_gained ? "role_gained" : "role_lost", "role=%s token=%" G_GUINT64_FORMAT,
-             singleton_role_name(state->role), state->token.value);
+    const char *role_name = singleton_role_name(state->role);
+    if (is_gained)
+        LOG_INFO("role_gained", "role=%s token=%" G_GUINT64_FORMAT, role_name, state->token.value);
+    else
+        LOG_INFO("role_lost", "role=%s token=%" G_GUINT64_FORMAT, role_name, state->token.value);
     for (guint i = 0; i < manager->listeners->len; i++)
         actor_send(manager->config.loop, manager->listeners->pdata[i], MSG_ROLE_CHANGE,
                    g_memdup2(&change, sizeof change), g_free);
