--- a/src/cloud/machine_list.c
+++ b/src/cloud/machine_list.c
@@ -39,8 +39,9 @@
     if (!mine)
         return;
     cloud->list_call_in_flight = false;
-    json_object *object =
-        response->status == 200 ? json_parse(response->body, response->body_bytes) : NULL;
+    json_object *object = response->status == HTTP_STATUS_OK
+                              ? json_parse(response->body, response->body_bytes)
+                              : NULL;
     GArray *list = cloud_machines_decode(object, &more);
     json_object_put(object);
     if (!list) {
--- a/src/cloud/machine_types.c
+++ b/src/cloud/machine_types.c
@@ -102,8 +102,9 @@
     if (!mine)
         return;
     cloud->types_call_in_flight = false;
-    json_object *object =
-        response->status == 200 ? json_parse(response->body, response->body_bytes) : NULL;
+    json_object *object = response->status == HTTP_STATUS_OK
+                              ? json_parse(response->body, response->body_bytes)
+                              : NULL;
     GArray *types = machine_types_decode(object);
     json_object_put(object);
     cloud->types_read_at = loop_now(cloud->loop);
