--- a/src/cluster/node_lease.c
+++ b/src/cluster/node_lease.c
@@ -87,22 +87,17 @@
     lease->valid_until = time_add_ms(lease->request_sent_at, TTL_MS - CLOCK_MARGIN_MS);
 }
 
-static void send_request(struct node_lease *lease, const char *path, const char *body,
-                         int timeout_ms, http_response_callback callback)
+static void note_request_sent(struct node_lease *lease)
 {
     lease->request_in_flight = true;
     lease->request_sent_at = loop_now(lease->setup.loop);
-    kv_client_request(lease->setup.kv, KV_LANE_LEASE, "POST", path, body, timeout_ms, timeout_ms, 0,
-                      callback, lease);
 }
 
 static void on_granted(void *arg, const struct http_response *response)
 {
     struct node_lease *lease = arg;
     lease->request_in_flight = false;
-    json_object *body = response->status == HTTP_STATUS_OK
-                            ? json_parse(response->body, response->body_bytes)
-                            : NULL;
+    json_object *body = kv_parse_response(response);
     if (kv_decode_lease(body, &lease->id)) {
         extend_validity(lease);
         timer_start(lease->setup.loop, &lease->renew_timer, RENEW_INTERVAL_MS);
@@ -115,9 +110,8 @@
 {
     if (lease->request_in_flight || lease->id.value)
         return;
-    char body[32];
-    g_snprintf(body, sizeof body, "{\"TtlMs\":%d}", TTL_MS);
-    send_request(lease, "/grants", body, REQUEST_TIMEOUT_MS, on_granted);
+    note_request_sent(lease);
+    kv_client_grant_lease(lease->setup.kv, TTL_MS, REQUEST_TIMEOUT_MS, on_granted, lease);
 }
 
 static void on_renewed(void *arg, const struct http_response *response)
@@ -143,7 +137,6 @@
     struct node_lease *lease = arg;
     if (lease->request_in_flight || !lease->id.value)
         return;
-    char *path = g_strdup_printf("/grants/%" G_GUINT64_FORMAT "/renew", lease->id.value);
-    send_request(lease, path, "{}", RENEW_TIMEOUT_MS, on_renewed);
-    g_free(path);
+    note_request_sent(lease);
+    kv_client_renew_lease(lease->setup.kv, lease->id, RENEW_TIMEOUT_MS, on_renewed, lease);
 }
--- a/src/kv/kv_client.c
+++ b/src/kv/kv_client.c
@@ -1,6 +1,6 @@
 /**
  * Key-value client: lanes, rate limits and the store's availability. Transactions are in
- * kv_commit.c, the read barrier in kv_read_barrier.c.
+ * kv_commit.c, leases in kv_lease.c, the read barrier in kv_read_barrier.c.
  */
 #include "kv_client_internal.h"
 
@@ -254,17 +254,6 @@
     send_queued_calls(kv);
 }
 
-void kv_client_request(struct kv_client *kv, enum kv_lane lane, const char *method,
-                       const char *path, const char *body, int response_timeout_ms,
-                       int queue_timeout_ms, int write_count, http_response_callback callback,
-                       void *callback_arg)
-{
-    struct kv_request request = {
-        lane, method, path, body, response_timeout_ms, queue_timeout_ms, write_count,
-    };
-    kv_client_send(kv, &request, callback, callback_arg);
-}
-
 void kv_client_get(struct kv_client *kv, enum kv_lane lane, const char *key,
                    int response_timeout_ms, int queue_timeout_ms, http_response_callback callback,
                    void *callback_arg)
--- a/src/kv/kv_client.h
+++ b/src/kv/kv_client.h
@@ -95,10 +95,14 @@
 void kv_client_read_barrier(struct kv_client *kv, read_barrier_callback callback,
                             void *callback_arg);
 
-/** Like kv_client_send, with the fields of struct kv_request as arguments. */
-void kv_client_request(struct kv_client *kv, enum kv_lane lane, const char *method,
-                       const char *path, const char *body, int response_timeout_ms,
-                       int queue_timeout_ms, int write_count, http_response_callback callback,
-                       void *callback_arg);
+/**
+ * Requests a lease; the response is decoded by kv_decode_lease. timeout_ms limits both the wait in
+ * the lane of leases and that for the response.
+ */
+void kv_client_grant_lease(struct kv_client *kv, int ttl_ms, int timeout_ms,
+                           http_response_callback callback, void *callback_arg);
+/** Renews a lease; the response has HTTP_STATUS_NOT_FOUND when it has expired. */
+void kv_client_renew_lease(struct kv_client *kv, lease_id lease, int timeout_ms,
+                           http_response_callback callback, void *callback_arg);
 
 #endif
--- a/src/kv/kv_codec.c
+++ b/src/kv/kv_codec.c
@@ -7,6 +7,7 @@
 static const char FIELD_VALUE[] = "V";
 static const char FIELD_MOD_REVISION[] = "Stamp";
 static const char FIELD_LEASE[] = "Mooring";
+static const char FIELD_TTL_MS[] = "TtlMs";
 static const char FIELD_ITEMS[] = "Items";
 static const char FIELD_MORE[] = "More";
 static const char FIELD_EVENTS[] = "News";
@@ -80,6 +81,11 @@
     return true;
 }
 
+char *kv_encode_lease_request(int ttl_ms)
+{
+    return g_strdup_printf("{\"%s\":%d}", FIELD_TTL_MS, ttl_ms);
+}
+
 bool kv_decode_lease(json_object *body, lease_id *lease)
 {
     return json_get_u64(body, FIELD_LEASE, &lease->value);
--- a/src/kv/kv_codec.h
+++ b/src/kv/kv_codec.h
@@ -44,6 +44,8 @@
 /** Decodes the store's revision when it answered. */
 bool kv_decode_revision(json_object *body, revision *at_revision);
 
+/** Encodes a request for a lease, a new text. */
+char *kv_encode_lease_request(int ttl_ms);
 /** Decodes the lease that was granted. */
 bool kv_decode_lease(json_object *body, lease_id *lease);
 
