--- a/src/replica/reload.c
+++ b/src/replica/reload.c
@@ -107,14 +107,7 @@
     char *path = last_key ? g_strdup_printf("/keys?Starts=" KEY_ROOT "&From=%s&Page=%d", last_key,
                                             RELOAD_PAGE_KEYS)
                           : g_strdup_printf("/keys?Starts=" KEY_ROOT "&Page=%d", RELOAD_PAGE_KEYS);
-    struct kv_request request = {
-        .lane = KV_LANE_WATCH,
-        .method = "GET",
-        .path = path,
-        .response_timeout_ms = RESPONSE_TIMEOUT_MS,
-        .queue_timeout_ms = QUEUE_TIMEOUT_MS,
-    };
-    kv_client_send(replica->kv, &request, page_on_response, replica);
+    replica_send_request(replica, path, RESPONSE_TIMEOUT_MS, page_on_response);
     g_free(path);
 }
 
--- a/src/replica/replica_internal.h
+++ b/src/replica/replica_internal.h
@@ -153,6 +153,9 @@
 
 /** Timer callback: sends the next watch once its rate limit allows, or starts a reload. */
 void replica_watch(void *arg);
+/** Sends a GET in the lane of the watch; the callback gets the replica. */
+void replica_send_request(struct replica *replica, const char *path, int response_timeout_ms,
+                          http_response_callback callback);
 /** Repeats a failed request after a pause. */
 void replica_watch_retry(struct replica *replica);
 /** Notes that the records reflect all that was stored when the last request was sent. */
--- a/src/replica/watch.c
+++ b/src/replica/watch.c
@@ -31,6 +31,19 @@
 
 static void send_watch(struct replica *replica);
 
+void replica_send_request(struct replica *replica, const char *path, int response_timeout_ms,
+                          http_response_callback callback)
+{
+    struct kv_request request = {
+        .lane = KV_LANE_WATCH,
+        .method = "GET",
+        .path = path,
+        .response_timeout_ms = response_timeout_ms,
+        .queue_timeout_ms = QUEUE_TIMEOUT_MS,
+    };
+    kv_client_send(replica->kv, &request, callback, replica);
+}
+
 void replica_watch_retry(struct replica *replica)
 {
     timer_start(replica->loop, &replica->internal->watch.timer, RETRY_DELAY_MS);
@@ -122,19 +135,6 @@
     return true;
 }
 
-static void send_request(struct replica *replica, const char *path, int response_timeout_ms,
-                         http_response_callback callback)
-{
-    struct kv_request request = {
-        .lane = KV_LANE_WATCH,
-        .method = "GET",
-        .path = path,
-        .response_timeout_ms = response_timeout_ms,
-        .queue_timeout_ms = QUEUE_TIMEOUT_MS,
-    };
-    kv_client_send(replica->kv, &request, callback, replica);
-}
-
 void replica_watch(void *arg)
 {
     struct replica *replica = arg;
@@ -145,8 +145,8 @@
     if (!take_watch_token(replica))
         return;
     if (time_ms_since(loop_now(replica->loop), replica->fresh_at) > GAP_CHECK_AFTER_MS)
-        send_request(replica, "/keys?Starts=" KEY_MAP "&Page=1", RESPONSE_TIMEOUT_MS,
-                     gap_check_on_response);
+        replica_send_request(replica, "/keys?Starts=" KEY_MAP "&Page=1", RESPONSE_TIMEOUT_MS,
+                             gap_check_on_response);
     else
         send_watch(replica);
 }
@@ -156,6 +156,6 @@
     replica->internal->watch.requested_at = loop_now(replica->loop);
     char *path = g_strdup_printf("/watch?Starts=" KEY_ROOT "&From=%" G_GUINT64_FORMAT "&BlockMs=%d",
                                  replica->applied_revision.value, WATCH_BLOCK_MS);
-    send_request(replica, path, WATCH_BLOCK_MS + WATCH_GRACE_MS, watch_on_response);
+    replica_send_request(replica, path, WATCH_BLOCK_MS + WATCH_GRACE_MS, watch_on_response);
     g_free(path);
 }
