--- a/src/net/http_parser.c
+++ b/src/net/http_parser.c
@@ -1,9 +1,15 @@
-/** HTTP/1.1 parser: see http.h. */
+/** The parser of HTTP/1.1 heads and chunked bodies. It takes what this service's peers send, and
+ * refuses what two parsers could read differently. */
 #include "http.h"
 
 #include <stdlib.h>
 
-enum { MAX_HEAD_BYTES = 8192 };
+enum {
+    MAX_HEAD_BYTES = 8192,
+    MAX_CHUNK_LINE_BYTES = 64, /* of a chunk's size and extensions */
+    MAX_CHUNK_SIZE_DIGITS = 12,
+    MAX_RETRY_AFTER_S = 86400,
+};
 
 static bool parse_decimal(const char *text, const char *end, int64_t *out)
 {
@@ -78,48 +84,63 @@
     return false;
 }
 
-static bool parse_header_field(const char *line, const char *end, struct http_head *head)
+/* Whether a field name is a non-empty token. */
+static bool is_token(const char *text, const char *end)
 {
-    const char *colon = memchr(line, ':', end - line);
-    if (!colon || colon == line)
+    if (text == end)
         return false;
-    for (const char *character = line; character < colon; character++)
-        if ((unsigned char)*character <= ' ' || (unsigned char)*character >= 127)
+    for (; text < end; text++)
+        if ((unsigned char)*text <= ' ' || (unsigned char)*text >= 127)
             return false;
-    const char *value = colon + 1;
-    while (value < end && (*value == ' ' || *value == '\t'))
-        value++;
-    while (end > value && (end[-1] == ' ' || end[-1] == '\t'))
-        end--;
+    return true;
+}
+
+/* Takes the value of a field; false: malformed. Unknown fields are skipped. */
+static bool apply_header_field(struct http_head *head, const char *name, const char *name_end,
+                               const char *value, const char *end)
+{
     int64_t number;
-    if (is_field_name(line, colon, "content-length")) {
-        /* Two different lengths are a means of request smuggling. */
+    if (is_field_name(name, name_end, "content-length")) {
+        /* Two lengths that differ are how requests get smuggled past one another. */
         if (!parse_decimal(value, end, &number) ||
             (head->content_length >= 0 && head->content_length != number))
             return false;
         head->content_length = number;
-    } else if (is_field_name(line, colon, "transfer-encoding")) {
+    } else if (is_field_name(name, name_end, "transfer-encoding")) {
         if (!is_field_name(value, end, "chunked"))
             return false;
         head->is_chunked = true;
-    } else if (is_field_name(line, colon, "connection")) {
+    } else if (is_field_name(name, name_end, "connection")) {
         if (contains_word(value, end, "close"))
             head->closes_connection = true;
         else if (contains_word(value, end, "keep-alive"))
             head->closes_connection = false;
-    } else if (is_field_name(line, colon, "retry-after")) {
-        if (parse_decimal(value, end, &number) && number < 86400)
+    } else if (is_field_name(name, name_end, "retry-after")) {
+        if (parse_decimal(value, end, &number) && number < MAX_RETRY_AFTER_S)
             head->retry_after_s = (int)number;
     }
     return true;
 }
 
+static bool parse_header_field(const char *line, const char *end, struct http_head *head)
+{
+    const char *colon = memchr(line, ':', end - line);
+    if (!colon || !is_token(line, colon))
+        return false;
+    const char *value = colon + 1;
+    while (value < end && (*value == ' ' || *value == '\t'))
+        value++;
+    while (end > value && (end[-1] == ' ' || end[-1] == '\t'))
+        end--;
+    return apply_header_field(head, line, colon, value, end);
+}
+
 enum http_parse_result http_parse_head(const char *data, size_t length, bool is_response,
                                        struct http_head *head)
 {
     const char *head_end = g_strstr_len(data, MIN(length, (size_t)MAX_HEAD_BYTES), "\r\n\r\n");
     if (!head_end) {
-        /* A peer that does not speak HTTP is refused before it has sent 8 KiB. */
+        /* A peer that does not speak HTTP should not have to send 8 KiB to be told so. */
         if (length > 0 && !g_ascii_isupper(data[0]))
             return HTTP_PARSE_MALFORMED;
         return length >= MAX_HEAD_BYTES ? HTTP_PARSE_TOO_LARGE : HTTP_PARSE_INCOMPLETE;
@@ -151,8 +172,9 @@
     for (;;) {
         const char *line_end = g_strstr_len(data + offset, length - offset, "\r\n");
         if (!line_end)
-            return length - offset > 64 ? HTTP_PARSE_MALFORMED : HTTP_PARSE_INCOMPLETE;
-        if (!g_ascii_isxdigit(data[offset]) || line_end - (data + offset) > 12)
+            return length - offset > MAX_CHUNK_LINE_BYTES ? HTTP_PARSE_MALFORMED
+                                                          : HTTP_PARSE_INCOMPLETE;
+        if (!g_ascii_isxdigit(data[offset]) || line_end - (data + offset) > MAX_CHUNK_SIZE_DIGITS)
             return HTTP_PARSE_MALFORMED;
         uint64_t size = g_ascii_strtoull(data + offset, NULL, 16);
         offset = line_end + 2 - data;
@@ -167,7 +189,7 @@
         g_string_append_len(out, data + offset, size);
         offset += size + 2;
     }
-    /* Trailer fields, if any, end with a blank line. */
+    /* Trailing fields, if any, end with a blank line. */
     for (;;) {
         const char *line_end = g_strstr_len(data + offset, length - offset, "\r\n");
         if (!line_end)
@@ -198,7 +220,7 @@
         return "Request Timeout";
     case HTTP_STATUS_CONFLICT:
         return "Conflict";
-    case HTTP_STATUS_CONTENT_TOO_LARGE:
+    case HTTP_STATUS_BODY_TOO_LARGE:
         return "Content Too Large";
     case HTTP_STATUS_MISDIRECTED:
         return "Misdirected Request";
@@ -206,7 +228,7 @@
         return "Unprocessable Content";
     case HTTP_STATUS_TOO_MANY_REQUESTS:
         return "Too Many Requests";
-    case HTTP_STATUS_HEADER_TOO_LARGE:
+    case HTTP_STATUS_HEAD_TOO_LARGE:
         return "Request Header Fields Too Large";
     case HTTP_STATUS_UNAVAILABLE:
         return "Service Unavailable";
--- a/src/net/idle_list.h
+++ b/src/net/idle_list.h
@@ -1,4 +1,5 @@
-/** A list of idle connections, the longest idle first: these are closed when others need a slot. */
+/** Connections that wait for nothing, the one that has been idle longest first: it is closed when a
+ * connection is needed. The server and the client share this. */
 #ifndef LL_IDLE_LIST_H
 #define LL_IDLE_LIST_H
 
@@ -11,7 +12,7 @@
     bool is_listed;
 };
 
-/** Appends a connection that has become idle, or removes one that is not any more. */
+/** Adds the entry to the list, or takes it out. */
 static inline void idle_list_update(GQueue *list, struct idle_entry *entry, bool is_idle)
 {
     if (entry->is_listed == is_idle)
