--- a/src/node/role_assigner.c
+++ b/src/node/role_assigner.c
@@ -31,10 +31,7 @@
                                    role_await_callback callback, void *arg)
 {
     struct role_assigner *assigner = ctx;
-    if (revision_needed.value)
-        replica_await_revision(assigner->replica, revision_needed, callback, arg);
-    else
-        replica_read_barrier(assigner->replica, callback, arg);
+    replica_await_revision_or_newest(assigner->replica, revision_needed, callback, arg);
 }
 
 /** A claim succeeds only while roles are enabled; the autoscaler's, only while its node leads. */
--- a/src/replica/read_barrier.c
+++ b/src/replica/read_barrier.c
@@ -94,3 +94,12 @@
     *pending = (struct pending_barrier){replica, callback, callback_arg};
     kv_client_read_barrier(replica->kv, barrier_on_revision, pending);
 }
+
+void replica_await_revision_or_newest(struct replica *replica, revision revision_needed,
+                                      replica_callback callback, void *callback_arg)
+{
+    if (revision_needed.value)
+        replica_await_revision(replica, revision_needed, callback, callback_arg);
+    else
+        replica_read_barrier(replica, callback, callback_arg);
+}
--- a/src/replica/replica.h
+++ b/src/replica/replica.h
@@ -126,5 +126,8 @@
 /** Calls back once the replica reflects a revision; at once, if it does already. */
 void replica_await_revision(struct replica *replica, revision revision_needed,
                             replica_callback callback, void *callback_arg);
+/** As replica_await_revision; for revision 0, as replica_read_barrier. */
+void replica_await_revision_or_newest(struct replica *replica, revision revision_needed,
+                                      replica_callback callback, void *callback_arg);
 
 #endif
--- a/src/wire/cloud_codec.c
+++ b/src/wire/cloud_codec.c
@@ -100,6 +100,14 @@
     return true;
 }
 
+char *cloud_machines_path(const char *after_id, int max_machines)
+{
+    if (!after_id)
+        return g_strdup_printf(CLOUD_PATH_MACHINES "?" QUERY_PAGE_LENGTH "=%d", max_machines);
+    return g_strdup_printf(CLOUD_PATH_MACHINES "?" QUERY_AFTER_ID "=%s&" QUERY_PAGE_LENGTH "=%d",
+                           after_id, max_machines);
+}
+
 GArray *cloud_machines_decode(json_object *object, bool *more)
 {
     json_object *list = json_get_array(object, FIELD_MACHINES);
@@ -145,6 +153,13 @@
     return machines;
 }
 
+bool scale_out_response_is_no_capacity(json_object *object)
+{
+    const char *error = "";
+    json_get_text(object, FIELD_ERROR, &error);
+    return strcmp(error, ERROR_NO_CAPACITY) == 0;
+}
+
 char *scale_in_request_encode(const machine_id *machines, guint machine_count)
 {
     json_object *object = json_object_new_object(), *list = json_object_new_array();
--- a/src/wire/cloud_codec.h
+++ b/src/wire/cloud_codec.h
@@ -4,6 +4,11 @@
 
 #include "json_fields.h"
 
+#define CLOUD_PATH_MACHINE_TYPES "/machine_types"
+/** GET: the list of machines; POST: a scale-out. */
+#define CLOUD_PATH_MACHINES "/rentals"
+#define CLOUD_PATH_SCALE_IN "/rentals/return"
+
 /** A type of machine that can be rented. */
 struct machine_type {
     char name[48];
@@ -34,6 +39,9 @@
     double age_s;
 };
 
+/** The path of a page of the list, a new text. after_id is the last one of the page before, or
+ * NULL. */
+char *cloud_machines_path(const char *after_id, int max_machines);
 /** Decodes a page of the list: a new array of struct listed_machine; NULL: malformed. */
 GArray *cloud_machines_decode(json_object *object, bool *more);
 
@@ -42,6 +50,8 @@
                                bool is_spot, int machine_count);
 /** Decodes the machines of the response, a new array of machine_id; NULL: malformed. */
 GArray *scale_out_response_decode(json_object *object);
+/** Whether the body of a response with status 503 says that the cloud has no such machine left. */
+bool scale_out_response_is_no_capacity(json_object *object);
 /** Encodes a scale-in, a new text. */
 char *scale_in_request_encode(const machine_id *machines, guint machine_count);
 
--- a/src/wire/protocol_words.h
+++ b/src/wire/protocol_words.h
@@ -74,5 +74,11 @@
 #define FIELD_AGE_S "HeldS"
 #define FIELD_REQUEST_ID "Charter"
 #define FIELD_MACHINE_COUNT "Number"
+#define FIELD_ERROR "error"
+/** The error when no machine of the type is left in the zone. */
+#define ERROR_NO_CAPACITY "no capacity"
+/** In the query of the list of machines. */
+#define QUERY_AFTER_ID "From"
+#define QUERY_PAGE_LENGTH "Page"
 
 #endif
