--- /dev/null
+++ b/src/cloud/cloud_call.c
@@ -0,0 +1,64 @@
+/**
+ * @file
+ * Calls to the cloud, and the budget that keeps them below the cloud's limit.
+ */
+#include "cloud_provider_internal.h"
+
+enum { CALL_TIMEOUT_MS = 4000 };
+
+/** The part of the cloud's limit that is used. */
+static const double BUDGET_SHARE = 0.9;
+
+/** The most tokens in the budget: calls of so many seconds at the limit, and a part of one call. */
+static const double BURST_S = 1.5, BURST_EXTRA_CALLS = 0.5;
+
+static const double US_PER_S = 1e6;
+
+void cloud_call_budget_init(struct cloud_provider *cloud)
+{
+    cloud->call_budget.tokens = cloud->settings->cloud_requests_per_s;
+    cloud->call_budget.refilled_at = loop_now(cloud->loop);
+}
+
+bool cloud_provider_may_call(struct cloud_provider *cloud)
+{
+    struct cloud_call_budget *budget = &cloud->call_budget;
+    mono_time now = loop_now(cloud->loop);
+    double limit_per_s = cloud->settings->cloud_requests_per_s;
+    double rate = limit_per_s * BUDGET_SHARE;
+    double refilled = budget->tokens + rate * (double)(now.us - budget->refilled_at.us) / US_PER_S;
+    budget->tokens = MIN(limit_per_s * BURST_S + BURST_EXTRA_CALLS, refilled);
+    budget->refilled_at = now;
+    return budget->tokens >= 1;
+}
+
+struct cloud_call *cloud_call_new(struct cloud_provider *cloud)
+{
+    struct cloud_call *call = g_new0(struct cloud_call, 1);
+    call->cloud = cloud;
+    call->generation = cloud->generation;
+    return call;
+}
+
+bool cloud_call_is_current(const struct cloud_call *call)
+{
+    return call->generation == call->cloud->generation;
+}
+
+void cloud_call_send(struct cloud_call *call, const char *method, const char *path,
+                     const char *body, http_response_callback callback)
+{
+    struct cloud_provider *cloud = call->cloud;
+    cloud->call_budget.tokens -= 1;
+    struct http_client_request request = {
+        cloud->settings->cloud_address, method,         path, body,
+        body ? strlen(body) : 0,        CALL_TIMEOUT_MS};
+    cloud->http_client->request(cloud->http_client, &request, callback, call);
+}
+
+json_object *cloud_response_parse(const struct http_response *response)
+{
+    if (response->status != HTTP_STATUS_OK)
+        return NULL;
+    return json_parse(response->body, response->body_bytes);
+}
--- a/src/cloud/cloud_provider.c
+++ b/src/cloud/cloud_provider.c
@@ -1,32 +1,32 @@
+/**
+ * @file
+ * The state of the cloud's client, the right to act, and the order in which calls are sent.
+ */
 #include "cloud_provider_internal.h"
 
 #include "log.h"
 
-enum { CALL_TIMEOUT_MS = 4000 };
+/** The names of the two actions in log lines. */
+static const char ACTION_SCALE_OUT[] = "scale_out", ACTION_SCALE_IN[] = "scale_in";
 
-/* The part of the cloud's rate that calls use, and the burst in seconds' worth of it. */
-static const double RATE_SHARE = 0.9, BURST_S = 1.5, BURST_MORE = 0.5;
+/* ---- what the intent log needs of the node ---- */
 
-/* ---- the intent log's view of the node ---- */
-
-static revision get_map_revision(void *ctx)
+static revision get_shard_map_revision(void *ctx)
 {
     return ((struct cloud_provider *)ctx)->replica->shard_map_mod_revision;
 }
 
-static void await_replica_revision(void *ctx, revision at, role_await_callback done, void *arg)
+static void await_replica_revision(void *ctx, revision revision_needed,
+                                   role_await_callback callback, void *callback_arg)
 {
     struct cloud_provider *cloud = ctx;
-    if (at.value)
-        replica_await_revision(cloud->replica, at, done, arg);
-    else
-        replica_read_barrier(cloud->replica, done, arg);
+    replica_await_revision_or_newest(cloud->replica, revision_needed, callback, callback_arg);
 }
 
-/* Intents take the place of run records: all that this node writes keeps within its share. */
-static void on_intents_written(void *ctx, guint writes)
+/** Intents count as run records do, so that the node's writes keep within its share. */
+static void on_intents_written(void *ctx, guint write_count)
 {
-    shard_charge_writes(((struct cloud_provider *)ctx)->shard, writes);
+    shard_charge_writes(((struct cloud_provider *)ctx)->shard, write_count);
 }
 
 static void on_intents_changed(void *ctx)
@@ -34,21 +34,24 @@
     cloud_provider_step(ctx);
 }
 
-/* The duty was gained: what earlier holders recorded and did not settle is done first. */
+/* ---- changes of the autoscaler's role ---- */
+
+/** Completes what earlier holders of the role recorded and did not settle. */
 static void recover_open_intents(struct cloud_provider *cloud)
 {
     intent_log_open(cloud->intents);
-    GPtrArray *open = intent_log_list_open(cloud->intents);
-    for (guint i = 0; i < open->len; i++) {
-        const struct intent *intent = open->pdata[i];
-        LOG_INFO("intent_taken_over", "what=%s name=%s",
-                 intent->kind == INTENT_SCALE_OUT ? "rent" : "return", intent->name);
-        if (intent->kind == INTENT_SCALE_OUT)
+    GPtrArray *open_intents = intent_log_list_open(cloud->intents);
+    for (guint i = 0; i < open_intents->len; i++) {
+        const struct intent *intent = open_intents->pdata[i];
+        bool is_scale_out = intent->kind == INTENT_SCALE_OUT;
+        LOG_INFO("intent_recovered", "action=%s name=%s",
+                 is_scale_out ? ACTION_SCALE_OUT : ACTION_SCALE_IN, intent->name);
+        if (is_scale_out)
             scale_out_recover(cloud, intent);
         else
             scale_in_recover(cloud, intent);
     }
-    g_ptr_array_unref(open);
+    g_ptr_array_unref(open_intents);
     cloud_provider_step(cloud);
 }
 
@@ -59,7 +62,8 @@
     const struct role_change *change = message->body;
     if (message->kind != MSG_ROLE_CHANGE || change->role != ROLE_AUTOSCALER)
         return;
-    /* What was queued under an earlier token is dropped, also if the duty has come back since. */
+    /* What was queued under an earlier token is dropped, even if the role was gained again since.
+     */
     intent_log_close(cloud->intents);
     cloud_provider_reset(cloud);
     if (change->is_gained && role_manager_holds(cloud->role_manager, ROLE_AUTOSCALER) &&
@@ -67,42 +71,51 @@
         recover_open_intents(cloud);
 }
 
-struct cloud_provider *cloud_provider_new(const struct fleet_setup *setup)
+/* ---- life ---- */
+
+static struct intent_log *new_intent_log(struct cloud_provider *cloud)
+{
+    const struct intent_log_config config = {
+        .loop = cloud->loop,
+        .kv = cloud->kv,
+        .role_manager = cloud->role_manager,
+        .records = cloud->replica->singleton_roles,
+        .role = ROLE_AUTOSCALER,
+        .guard_key = KEY_MAP,
+        .ctx = cloud,
+        .get_guard_revision = get_shard_map_revision,
+        .await_revision = await_replica_revision,
+        .on_write = on_intents_written,
+        .on_change = on_intents_changed,
+    };
+    return intent_log_new(&config);
+}
+
+struct cloud_provider *cloud_provider_new(const struct cloud_provider_setup *setup)
 {
     struct cloud_provider *cloud = g_new0(struct cloud_provider, 1);
     cloud->loop = setup->loop;
-    cloud->net = setup->net;
-    cloud->kv = setup->store;
-    cloud->replica = setup->view;
-    cloud->membership = setup->members;
-    cloud->role_manager = setup->duties;
+    cloud->http_client = setup->http_client;
+    cloud->kv = setup->kv;
+    cloud->replica = setup->replica;
+    cloud->membership = setup->membership;
+    cloud->role_manager = setup->role_manager;
     cloud->shard = setup->shard;
     cloud->settings = setup->settings;
     cloud->features = setup->features;
     cloud->listener = setup->listener;
-    cloud->actor = (struct actor){"fleet", on_message};
+    cloud->actor = (struct actor){"cloud_provider", on_message};
     cloud->machines = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
     cloud->gone_machines = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     cloud->refused_until = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     cloud->scale_in_requests = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
     g_queue_init(&cloud->scale_out_requests);
-    cloud->call_tokens = cloud->settings->cloud_requests_per_s;
-    cloud->call_tokens_at = cloud->delays_logged_at = loop_now(cloud->loop);
+    cloud_call_budget_init(cloud);
+    cloud->delays_logged_at = loop_now(cloud->loop);
     cloud->scale_out_delays = delay_histogram_new();
     cloud->scale_in_delays = delay_histogram_new();
-    const struct intent_log_config log_setup = {.loop = setup->loop,
-                                                .kv = setup->store,
-                                                .role_manager = setup->duties,
-                                                .records = setup->view->singleton_roles,
-                                                .role = ROLE_AUTOSCALER,
-                                                .guard_key = KEY_MAP,
-                                                .ctx = cloud,
-                                                .get_guard_revision = get_map_revision,
-                                                .await_revision = await_replica_revision,
-                                                .on_write = on_intents_written,
-                                                .on_change = on_intents_changed};
-    cloud->intents = intent_log_new(&log_setup);
-    role_manager_add_listener(setup->duties, &cloud->actor);
+    cloud->intents = new_intent_log(cloud);
+    role_manager_add_listener(cloud->role_manager, &cloud->actor);
     return cloud;
 }
 
@@ -114,20 +127,19 @@
     while (cloud->scale_out_requests.head)
         scale_out_request_free(g_queue_pop_head(&cloud->scale_out_requests));
     g_hash_table_remove_all(cloud->scale_in_requests);
-    cloud->types_read_at = (mono_time){0};
-    cloud->list_read_at = (mono_time){0};
-    cloud->is_listed = cloud->list_call_in_flight = cloud->types_call_in_flight =
-        cloud->scale_in_call_in_flight = false;
-    g_clear_pointer(&cloud->list_cursor, g_free);
-    g_clear_pointer(&cloud->listed_ids, g_hash_table_unref);
+    cloud->scale_in_call_in_flight = false;
+    machine_list_reset(cloud);
+    /* The types themselves stay: they are valid whoever read them. */
+    cloud->machine_types.read_at = (mono_time){0};
+    cloud->machine_types.call_in_flight = false;
 }
 
 void cloud_provider_free(struct cloud_provider *cloud)
 {
     cloud_provider_reset(cloud);
     intent_log_free(cloud->intents);
-    if (cloud->types)
-        g_array_unref(cloud->types);
+    if (cloud->machine_types.types)
+        g_array_unref(cloud->machine_types.types);
     g_hash_table_unref(cloud->machines);
     g_hash_table_unref(cloud->gone_machines);
     g_hash_table_unref(cloud->refused_until);
@@ -137,11 +149,11 @@
     g_free(cloud);
 }
 
-/* ---- what is known ---- */
+/* ---- state ---- */
 
 bool cloud_provider_is_listed(const struct cloud_provider *cloud)
 {
-    return cloud->is_listed;
+    return cloud->machine_list.is_complete;
 }
 
 GHashTable *cloud_provider_get_machines(struct cloud_provider *cloud)
@@ -151,22 +163,22 @@
 
 const GArray *cloud_provider_get_types(const struct cloud_provider *cloud)
 {
-    return cloud->types;
+    return cloud->machine_types.types;
 }
 
-char *cloud_offer_key(const char *type_name, const char *zone, bool spot)
+char *cloud_offer_key(const char *type_name, const char *zone, bool is_spot)
 {
-    return g_strdup_printf("%s %s %d", type_name, zone, spot);
+    return g_strdup_printf("%s %s %d", type_name, zone, is_spot);
 }
 
 struct cloud_machine *cloud_machine_add(struct cloud_provider *cloud, machine_id id,
-                                        const char *type_name, const char *zone, bool spot)
+                                        const char *type_name, const char *zone, bool is_spot)
 {
     struct cloud_machine *machine = g_new0(struct cloud_machine, 1);
     machine->id = id;
     g_strlcpy(machine->type_name, type_name, sizeof machine->type_name);
     g_strlcpy(machine->zone, zone, sizeof machine->zone);
-    machine->is_spot = spot;
+    machine->is_spot = is_spot;
     machine->stage = CLOUD_MACHINE_BOOTING;
     machine->requested_at = loop_now(cloud->loop);
     g_hash_table_replace(cloud->machines, machine->id.text, machine);
@@ -203,43 +215,15 @@
     return intent_log_is_empty(cloud->intents);
 }
 
-/* ---- calls ---- */
-
-bool cloud_provider_may_call(struct cloud_provider *cloud)
-{
-    mono_time now = loop_now(cloud->loop);
-    double rate = cloud->settings->cloud_requests_per_s * RATE_SHARE;
-    cloud->call_tokens =
-        MIN(cloud->settings->cloud_requests_per_s * BURST_S + BURST_MORE,
-            cloud->call_tokens + rate * (double)(now.us - cloud->call_tokens_at.us) / 1e6);
-    cloud->call_tokens_at = now;
-    return cloud->call_tokens >= 1;
-}
-
-void cloud_call_send(struct cloud_provider *cloud, const char *method, const char *path,
-                     const char *body, http_response_callback done, struct cloud_call *call)
-{
-    cloud->call_tokens -= 1;
-    struct http_client_request request = {
-        cloud->settings->cloud_address, method,         path, body,
-        body ? strlen(body) : 0,        CALL_TIMEOUT_MS};
-    cloud->net->request(cloud->net, &request, done, call);
-}
-
-struct cloud_call *cloud_call_new(struct cloud_provider *cloud)
-{
-    struct cloud_call *call = g_new0(struct cloud_call, 1);
-    call->cloud = cloud;
-    call->generation = cloud->generation;
-    return call;
-}
+/* ---- delays in the log ---- */
 
-static void log_delays(struct delay_histogram *delays, const char *what)
+/** Logs the delays since the last line, if there were any. */
+static void log_delays(struct delay_histogram *delays, const char *action)
 {
     if (!delay_histogram_count(delays))
         return;
-    LOG_INFO("act_delays",
-             "what=%s number=%" G_GUINT64_FORMAT " p50_ms=%.0f p90_ms=%.0f p99_ms=%.0f", what,
+    LOG_INFO("cloud_request_delays",
+             "action=%s count=%" G_GUINT64_FORMAT " p50_ms=%.0f p90_ms=%.0f p99_ms=%.0f", action,
              delay_histogram_count(delays), delay_histogram_quantile(delays, 0.5),
              delay_histogram_quantile(delays, 0.9), delay_histogram_quantile(delays, 0.99));
     delay_histogram_clear(delays);
@@ -248,34 +232,45 @@
 static void log_delays_when_due(struct cloud_provider *cloud)
 {
     mono_time now = loop_now(cloud->loop);
-    if ((double)time_ms_since(now, cloud->delays_logged_at) <
-        cloud->features->singleton_roles.delay_report_interval_s * 1000)
+    double interval_ms = cloud->features->singleton_roles.delay_report_interval_s * 1000;
+    if ((double)time_ms_since(now, cloud->delays_logged_at) < interval_ms)
         return;
     cloud->delays_logged_at = now;
-    log_delays(cloud->scale_out_delays, "rent");
-    log_delays(cloud->scale_in_delays, "return");
+    log_delays(cloud->scale_out_delays, ACTION_SCALE_OUT);
+    log_delays(cloud->scale_in_delays, ACTION_SCALE_IN);
+}
+
+/* ---- the order of calls ---- */
+
+static void request_types_if_due(struct cloud_provider *cloud)
+{
+    if (machine_types_are_due(cloud) && cloud_provider_may_call(cloud))
+        machine_types_request(cloud);
 }
 
+static void request_list_if_due(struct cloud_provider *cloud)
+{
+    if (machine_list_is_due(cloud) && cloud_provider_may_call(cloud))
+        machine_list_request(cloud);
+}
+
+/**
+ * The order decides which calls get the budget. Scale-ins come first. The types and the list come
+ * before scale-outs until they are known, as nothing can be planned without them, and after them
+ * once they are only refreshed.
+ */
 void cloud_provider_step(struct cloud_provider *cloud)
 {
     if (!cloud_provider_may_act(cloud))
         return;
     scale_in_step(cloud);
     machine_types_store(cloud);
-    if (!cloud->types && machine_types_are_due(cloud) && !cloud->types_call_in_flight &&
-        cloud_provider_may_call(cloud))
-        machine_types_request(cloud);
-    if (!cloud->is_listed && !cloud->list_call_in_flight && cloud_provider_may_call(cloud))
-        machine_list_request(cloud);
+    if (!cloud->machine_types.types)
+        request_types_if_due(cloud);
+    if (!cloud->machine_list.is_complete)
+        request_list_if_due(cloud);
     scale_out_step(cloud);
-    int64_t every = (int64_t)(MAX(cloud->settings->cloud_list_lag_s, 4) * 1000);
-    mono_time now = loop_now(cloud->loop);
-    if (!cloud->list_call_in_flight &&
-        (cloud->listed_ids || time_ms_since(now, cloud->list_read_at) > every) &&
-        cloud_provider_may_call(cloud))
-        machine_list_request(cloud);
-    if (machine_types_are_due(cloud) && !cloud->types_call_in_flight &&
-        cloud_provider_may_call(cloud))
-        machine_types_request(cloud);
+    request_list_if_due(cloud);
+    request_types_if_due(cloud);
     log_delays_when_due(cloud);
 }
--- a/src/cloud/cloud_provider.h
+++ b/src/cloud/cloud_provider.h
@@ -1,7 +1,14 @@
-/* The cloud's client: machine types, rentals and returns, within the call budget. Only the node
- * that has the duty of the fleet calls the cloud: the leader. */
-#ifndef LL_FLEET_H
-#define LL_FLEET_H
+/**
+ * @file
+ * The client of the cloud: machine types, the list of rented machines, scale-out and scale-in,
+ * within the cloud's limit on calls.
+ *
+ * Only the node that leads calls the cloud. While singleton roles are enabled it must hold the
+ * autoscaler's role as well, and scale-outs and scale-ins are recorded as intents (intent_log.h)
+ * before they are sent, so that a later holder completes what an earlier one has begun.
+ */
+#ifndef LL_CLOUD_PROVIDER_H
+#define LL_CLOUD_PROVIDER_H
 
 #include "feature_set.h"
 #include "http.h"
@@ -12,81 +19,110 @@
 
 struct cloud_provider;
 
-enum { MSG_CLOUD_PROVIDER = 300 }; /* to the listener: something changed */
+/** The message to the listener when machines, types or requests have changed; it has no body. */
+enum { MSG_CLOUD_PROVIDER = 300 };
 
-/* What it works with; all of it outlives the fleet. */
-struct fleet_setup {
+/** What the client works with; all of it outlives the client. */
+struct cloud_provider_setup {
     struct loop *loop;
-    struct http_client *net;
-    struct kv_client *store;
-    struct replica *view;
-    struct membership *members;
-    struct role_manager *duties;
+    struct http_client *http_client;
+    struct kv_client *kv;
+    struct replica *replica;
+    struct membership *membership;
+    struct role_manager *role_manager;
+    /** Shares its limit on writes with the intents. */
     struct shard *shard;
     const struct settings *settings;
     const struct feature_set *features;
-    struct actor *listener; /* gets MSG_CLOUD_PROVIDER */
+    /** Gets MSG_CLOUD_PROVIDER. */
+    struct actor *listener;
 };
 
-struct cloud_provider *cloud_provider_new(const struct fleet_setup *setup);
+struct cloud_provider *cloud_provider_new(const struct cloud_provider_setup *setup);
 void cloud_provider_free(struct cloud_provider *cloud);
-/* While it is this node's duty: calls what is due. */
+
+/** Sends the calls that are due; does nothing on a node that may not act. */
 void cloud_provider_step(struct cloud_provider *cloud);
-/* Forgets what only the holder of the duty can know. */
+
+/** Forgets the machines and all requests; responses to calls that were sent before are ignored. */
 void cloud_provider_reset(struct cloud_provider *cloud);
 
-/* A machine that was rented, whether it is up or not. */
+/** A machine that is rented, whether it has booted or not. */
 struct cloud_machine {
     machine_id id;
     char type_name[48], zone[48];
     bool is_spot;
     enum cloud_machine_stage stage;
+    /** When the response with it arrived; for a machine known from the list, by its age there. */
     mono_time requested_at;
 };
 
-/* Whether the list was read since this node leads. */
+/** Whether the whole list of machines was read since the last reset. */
 bool cloud_provider_is_listed(const struct cloud_provider *cloud);
-GHashTable *
-cloud_provider_get_machines(struct cloud_provider *cloud); /* id -> struct cloud_machine */
-/* Types with the prices of today; NULL before the first answer. */
+
+/** Id -> struct cloud_machine; owned by the client. */
+GHashTable *cloud_provider_get_machines(struct cloud_provider *cloud);
+
+/** Array of struct machine_type with current prices; NULL before the first response. */
 const GArray *cloud_provider_get_types(const struct cloud_provider *cloud);
 
-/* ---- renting ---- */
+/* ---- scale-out ---- */
 
-/* Whether the offer was refused lately. */
-bool cloud_provider_is_refused(struct cloud_provider *cloud, const char *type_name,
-                               const char *zone, bool is_spot);
-/* Requested, with no answer yet. */
+enum { MAX_MACHINES_PER_SCALE_OUT = 50 };
+
+/** Queues a request for at most MAX_MACHINES_PER_SCALE_OUT machines. */
+void cloud_provider_scale_out(struct cloud_provider *cloud, const char *type_name, const char *zone,
+                              bool is_spot, int machine_count);
+
+/** The number of machines of the offer that are requested, without a final response yet. */
 int cloud_provider_count_requested(struct cloud_provider *cloud, const char *type_name,
                                    const char *zone, bool is_spot);
-/* Takes back what was ordered and neither asked for nor recorded yet: what is needed is worked out
- * anew all the time, and calls are few. */
+
+/**
+ * Drops the requests that were neither sent nor recorded yet. The autoscaler computes the demand
+ * anew in each pass, while requests may wait long for the limit on calls.
+ */
 void cloud_provider_drop_unsent(struct cloud_provider *cloud);
-enum { MAX_MACHINES_PER_SCALE_OUT = 50 }; /* by one request */
-void cloud_provider_scale_out(struct cloud_provider *cloud, const char *type_name, const char *zone,
-                              bool is_spot, int machine_count);
 
-/* ---- returning ---- */
+/** Whether the cloud had no capacity for the offer a short time ago. */
+bool cloud_provider_is_refused(struct cloud_provider *cloud, const char *type_name,
+                               const char *zone, bool is_spot);
+
+/* ---- scale-in ---- */
+
+/** Begins to return a machine; does nothing if that has begun or is done. */
+void cloud_provider_scale_in(struct cloud_provider *cloud, machine_id id, const char *reason);
 
-void cloud_provider_scale_in(struct cloud_provider *cloud, machine_id id, const char *why);
-/* The machine is to be returned: nothing more may be placed on it. */
+/** Whether the machine is being returned, so that no task may be placed on it. */
 bool cloud_provider_is_scaling_in(const struct cloud_provider *cloud, const char *id);
-/* The cloud has confirmed that it is gone, and all that was on it. */
+
+/** Whether the cloud has confirmed the machine's return: no task runs on it any more. */
 bool cloud_provider_is_gone(const struct cloud_provider *cloud, const char *id);
-/* Machines (char *, new) whose owners have to say that they place nothing more on them before the
- * return goes on; some at a time. */
+
+/**
+ * Machines whose shards must cordon them before their return can be recorded: a new array of new
+ * strings, limited in length.
+ */
 GPtrArray *cloud_provider_list_to_cordon(struct cloud_provider *cloud);
-/* An owner said so in that epoch. */
+
+/** Notes that the machine's owner cordoned it in that epoch. */
 void cloud_provider_note_cordoned(struct cloud_provider *cloud, const char *id, epoch_no epoch);
-/* Machines (char *, new) that are gone, while their owners have not been told; and one has. */
+
+/**
+ * Machines that were returned, as their shards must learn before the intents are settled: a new
+ * array of new strings, limited in length.
+ */
 GPtrArray *cloud_provider_list_to_announce(struct cloud_provider *cloud);
+
+/** Notes that the machine's owner knows of its return. */
 void cloud_provider_note_announced(struct cloud_provider *cloud, const char *id);
 
-/* ---- duties ---- */
+/* ---- switching singleton roles ---- */
 
-/* From now on nothing new is recorded, or again it is. */
+/** Stops or resumes recording new intents; those on record are completed either way. */
 void cloud_provider_pause_recording(struct cloud_provider *cloud, bool is_paused);
-/* Whether nothing that was recorded is open. */
+
+/** Whether no intent is queued or recorded. */
 bool cloud_provider_is_settled(const struct cloud_provider *cloud);
 
 #endif
--- a/src/cloud/cloud_provider_internal.h
+++ b/src/cloud/cloud_provider_internal.h
@@ -1,37 +1,57 @@
-/* What the modules of the fleet share; nobody else includes this.
+/**
+ * @file
+ * What the modules of the cloud's client share; for files of this package only.
  *
- * cloud_provider.c owns the struct, the call budget and the order of calls; machine_types.c asks
- * for machine types and stores them, machine_list.c reads the list of machines, scale_out.c rents
- * and scale_in.c returns. While duties are on, what is rented and returned is recorded first, in an
- * intent log; see docs/duties.md. */
-#ifndef LL_FLEET_STATE_H
-#define LL_FLEET_STATE_H
+ * cloud_provider.c owns the state and the order of calls, cloud_call.c the limit on calls;
+ * machine_types.c reads and stores the machine types, machine_list.c reads the list of machines,
+ * scale_out.c and scale_in.c rent and return machines. See docs/singleton-roles.md for intents.
+ */
+#ifndef LL_CLOUD_PROVIDER_INTERNAL_H
+#define LL_CLOUD_PROVIDER_INTERNAL_H
 
 #include "cloud_provider.h"
 #include "delay_histogram.h"
 #include "intent_log.h"
 
+/** After a scale-out or scale-in without a usable response, how long until it is sent again. */
 enum { CLOUD_RETRY_MS = 700 };
 
-/* One request to rent. It is sent again with the same name until there is an answer: a second
- * answer to one name rents nothing, while a new name after a lost answer would pay twice. */
+/** Whether the cloud may know of a request. */
+enum cloud_send_state {
+    CLOUD_NOT_SENT,
+    CLOUD_IN_FLIGHT,
+    /** Sent at least once, by this node or an earlier holder; to be sent again. */
+    CLOUD_UNANSWERED,
+};
+
+/**
+ * A scale-out. It is sent with the same id until it is answered for good: the cloud rents nothing
+ * for a second request with one id, while a new id after a lost response would rent twice.
+ */
 struct scale_out_request {
+    /** The idempotency key. */
     char *request_id;
     char type_name[48], zone[48];
-    bool is_spot, is_in_flight;
-    bool was_sent; /* once, at least: the cloud may know its name */
+    bool is_spot;
+    enum cloud_send_state send_state;
     int machine_count;
-    mono_time not_before, decided_at;
+    /** When it may be sent again. */
+    mono_time not_before;
+    mono_time decided_at;
 };
 
-/* How far the return of a machine has come. Without duties it begins with SCALE_IN_READY. */
+/** How far a scale-in has come. Without singleton roles it begins with SCALE_IN_READY. */
 enum scale_in_phase {
-    SCALE_IN_WANTED,    /* its owner may still place something on it */
-    SCALE_IN_CORDONED,  /* its owner places nothing more in this epoch */
-    SCALE_IN_RECORDING, /* queued in the intent log */
-    SCALE_IN_READY,     /* it may be sent */
-    SCALE_IN_CONFIRMED, /* the machine is gone; its owner is to be told before the intent is settled
-                         */
+    /** The machine's owner may still place tasks on it. */
+    SCALE_IN_WANTED,
+    /** The machine's owner places no task on it in this epoch. */
+    SCALE_IN_CORDONED,
+    /** Its intent is queued. */
+    SCALE_IN_RECORDING,
+    /** It may be sent. */
+    SCALE_IN_READY,
+    /** The machine is gone; its owner must learn that before the intent is settled. */
+    SCALE_IN_CONFIRMED,
 };
 
 struct scale_in_request {
@@ -39,13 +59,45 @@
     enum scale_in_phase phase;
     epoch_no cordoned_in;
     mono_time decided_at;
-    bool was_sent;     /* once, at least */
-    bool is_in_flight; /* in the request under way */
+    enum cloud_send_state send_state;
+};
+
+/** The token bucket that limits calls; see cloud_provider_may_call(). */
+struct cloud_call_budget {
+    /** The number of calls that may be sent now. */
+    double tokens;
+    mono_time refilled_at;
+};
+
+struct machine_types_state {
+    /** Array of struct machine_type; NULL before the first response. */
+    GArray *types;
+    bool call_in_flight;
+    /** Stored, or being stored. */
+    bool is_stored;
+    /** 0: never since the last reset. */
+    mono_time read_at;
+    /** When a store was last attempted. */
+    mono_time stored_at;
+};
+
+/** The list is read page by page; what is rented is known once the last page has arrived. */
+struct machine_list_state {
+    bool call_in_flight;
+    /** The whole list was read since the last reset. */
+    bool is_complete;
+    /** The last id of the previous page; NULL: the first page is next. */
+    char *cursor;
+    /** Set of the ids on the pages so far; NULL: not being read. */
+    GHashTable *listed_ids;
+    mono_time started_at;
+    /** When the last page arrived. */
+    mono_time read_at;
 };
 
 struct cloud_provider {
     struct loop *loop;
-    struct http_client *net;
+    struct http_client *http_client;
     struct kv_client *kv;
     struct replica *replica;
     struct membership *membership;
@@ -56,80 +108,118 @@
     struct actor *listener;
     struct actor actor;
     struct intent_log *intents;
-    bool recording_paused; /* nothing new is recorded: duties are to be switched off */
-    GArray *types;
-    mono_time types_read_at;
-    mono_time types_stored_at;
-    bool types_call_in_flight, types_are_stored;
-    GHashTable *machines, *gone_machines;
-    GHashTable *refused_until;     /* offer -> until */
-    GQueue scale_out_requests;     /* struct scale_out_request */
-    GHashTable *scale_in_requests; /* id -> struct scale_in_request */
+    /** No new intent is recorded, as singleton roles are to be switched off. */
+    bool recording_paused;
+    /** Counts resets; a call of an earlier generation has no effect on the state. */
+    uint64_t generation;
+    struct cloud_call_budget call_budget;
+    struct machine_types_state machine_types;
+    struct machine_list_state machine_list;
+    /** Id -> struct cloud_machine. */
+    GHashTable *machines;
+    /** Set of the ids of machines whose return was confirmed; kept over resets. */
+    GHashTable *gone_machines;
+    /** Offer (cloud_offer_key()) -> mono_time until which it is not requested. */
+    GHashTable *refused_until;
+    /** Of struct scale_out_request, the oldest first. */
+    GQueue scale_out_requests;
+    /** Part of the ids of scale-outs. */
+    uint64_t request_counter;
+    /** Id -> struct scale_in_request. */
+    GHashTable *scale_in_requests;
     bool scale_in_call_in_flight;
-    uint64_t request_counter, generation;
-    double call_tokens; /* of calls that may be made now */
-    mono_time call_tokens_at, list_read_at, scale_in_not_before;
-    bool list_call_in_flight, is_listed;
-    char *list_cursor;
-    GHashTable *listed_ids;
-    mono_time list_started_at;
-    /* From a decision until it is sent to the cloud. */
+    mono_time scale_in_not_before;
+    /** In ms, from the decision until the request is first sent. */
     struct delay_histogram *scale_out_delays, *scale_in_delays;
-    mono_time delays_logged_at; /* when they were last logged */
+    mono_time delays_logged_at;
 };
 
-/* A call's context outlives a change of leader; its answer then counts for nothing. */
+/** The context of a call; it may outlive the generation in which the call was sent. */
 struct cloud_call {
     struct cloud_provider *cloud;
     uint64_t generation;
+    /** Of a scale-out; valid within the generation only. */
     struct scale_out_request *request;
+    /** Ids of a scale-in, owned by the call. */
     GPtrArray *ids;
 };
 
 /* ---- cloud_provider.c ---- */
 
-/* Whether this node may act for the fleet at this moment. */
+/** Whether this node may call the cloud and store what it learns there, at this moment. */
 bool cloud_provider_may_act(struct cloud_provider *cloud);
-/* Whether acts have to be on record before they are done. */
+
+/** Whether scale-outs and scale-ins must be on record before they are sent. */
 bool cloud_provider_records_intents(const struct cloud_provider *cloud);
-/* Whether the call budget allows one more. */
-bool cloud_provider_may_call(struct cloud_provider *cloud);
-struct cloud_call *cloud_call_new(struct cloud_provider *cloud);
-/* Makes a call; takes the context. */
-void cloud_call_send(struct cloud_provider *cloud, const char *method, const char *path,
-                     const char *body, http_response_callback done, struct cloud_call *call);
-/* Tells the listener that something changed. */
+
+/** Sends MSG_CLOUD_PROVIDER to the listener. */
 void cloud_provider_notify(struct cloud_provider *cloud);
-/* A new text: the name of an offer. */
-char *cloud_offer_key(const char *type_name, const char *zone, bool spot);
+
+/** A new string that identifies a type, a zone and the kind of machine. */
+char *cloud_offer_key(const char *type_name, const char *zone, bool is_spot);
+
+/** Adds a machine that is booting, requested now; replaces one with the same id. */
 struct cloud_machine *cloud_machine_add(struct cloud_provider *cloud, machine_id id,
-                                        const char *type_name, const char *zone, bool spot);
+                                        const char *type_name, const char *zone, bool is_spot);
+
+/* ---- cloud_call.c ---- */
+
+/** Fills the budget. */
+void cloud_call_budget_init(struct cloud_provider *cloud);
+
+/** Whether the budget allows a call now. */
+bool cloud_provider_may_call(struct cloud_provider *cloud);
+
+struct cloud_call *cloud_call_new(struct cloud_provider *cloud);
+
+/** Whether the state is still that in which the call was sent. */
+bool cloud_call_is_current(const struct cloud_call *call);
+
+/** Sends a call and charges it to the budget. The callback gets `call`, which it must free. */
+void cloud_call_send(struct cloud_call *call, const char *method, const char *path,
+                     const char *body, http_response_callback callback);
+
+/** The JSON body of a response with status 200, or NULL; the caller owns it. */
+json_object *cloud_response_parse(const struct http_response *response);
 
 /* ---- machine_types.c ---- */
 
-/* Asks for the types; stores them for other nodes if they have changed. */
+/** Whether the types have to be read again. */
+bool machine_types_are_due(const struct cloud_provider *cloud);
+
+/** Reads the types, and stores them if they have changed. */
 void machine_types_request(struct cloud_provider *cloud);
+
+/** Stores the types for other nodes unless that was done, or was attempted a short time ago. */
 void machine_types_store(struct cloud_provider *cloud);
-bool machine_types_are_due(const struct cloud_provider *cloud);
 
 /* ---- machine_list.c ---- */
 
-/* Asks for the next page of the list. */
+/** Whether a part of the list has to be read. */
+bool machine_list_is_due(const struct cloud_provider *cloud);
+
+/** Reads the next page of the list. */
 void machine_list_request(struct cloud_provider *cloud);
 
+/** Forgets what was read. */
+void machine_list_reset(struct cloud_provider *cloud);
+
 /* ---- scale_out.c ---- */
 
 void scale_out_request_free(struct scale_out_request *request);
-/* Records requests that can be sent soon, and sends what may be sent. */
+
+/** Records the requests that can be sent soon, and sends those that may be sent. */
 void scale_out_step(struct cloud_provider *cloud);
-/* Takes over a request that an earlier holder recorded. */
+
+/** Takes over a request that an earlier holder recorded. */
 void scale_out_recover(struct cloud_provider *cloud, const struct intent *intent);
 
 /* ---- scale_in.c ---- */
 
-/* Records returns of closed machines, and sends those that may be sent. */
+/** Records the scale-ins of cordoned machines, and sends those that may be sent. */
 void scale_in_step(struct cloud_provider *cloud);
-/* Takes over a return that an earlier holder recorded. */
+
+/** Takes over a scale-in that an earlier holder recorded. */
 void scale_in_recover(struct cloud_provider *cloud, const struct intent *intent);
 
 #endif
--- a/src/cloud/machine_list.c
+++ b/src/cloud/machine_list.c
@@ -1,88 +1,131 @@
-/* The cloud's list of machines: what was rented, by whomever. */
+/**
+ * @file
+ * Reads the cloud's list of machines, which has all that are rented, whichever node requested them.
+ */
 #include "cloud_provider_internal.h"
 
-enum { RELOAD_PAGE_KEYS = 500 };
+enum {
+    LIST_PAGE_LENGTH = 500,
+    MIN_LIST_INTERVAL_S = 4,
+};
 
-static void finish_list(struct cloud_provider *cloud)
+/**
+ * A machine is missing from the list for the cloud's lag after it was rented, and a list may be
+ * older than the one before; so only a machine that was rented longer ago is known to be gone.
+ */
+static const double LAG_FACTOR = 2, LAG_MARGIN_S = 5;
+
+static void forget_unlisted_machines(struct cloud_provider *cloud)
 {
-    /* New machines are missing from the list for a while, and it may be older than the last one:
-     * only what was rented long ago and is not listed is gone. */
-    double lag = cloud->settings->cloud_list_lag_s * 2 + 5;
+    double lag_s = cloud->settings->cloud_list_lag_s * LAG_FACTOR + LAG_MARGIN_S;
+    mono_time now = loop_now(cloud->loop);
     GHashTableIter it;
     struct cloud_machine *machine;
-    mono_time now = loop_now(cloud->loop);
     g_hash_table_iter_init(&it, cloud->machines);
     while (g_hash_table_iter_next(&it, NULL, (gpointer *)&machine))
-        if (!g_hash_table_contains(cloud->listed_ids, machine->id.text) &&
-            time_ms_since(now, machine->requested_at) > (int64_t)(lag * 1000))
+        if (!g_hash_table_contains(cloud->machine_list.listed_ids, machine->id.text) &&
+            time_ms_since(now, machine->requested_at) > (int64_t)(lag_s * 1000))
             g_hash_table_iter_remove(&it);
-    /* What was returned long ago is not listed any more, and need not be remembered for ever. */
+}
+
+/** Bounds the memory for returned machines; those that the list still has must be kept. */
+static void forget_old_gone_machines(struct cloud_provider *cloud)
+{
+    GHashTableIter it;
     char *id;
     g_hash_table_iter_init(&it, cloud->gone_machines);
     while (g_hash_table_size(cloud->gone_machines) > MAX_TRACKED_MACHINES &&
            g_hash_table_iter_next(&it, (gpointer *)&id, NULL))
-        if (!g_hash_table_contains(cloud->listed_ids, id))
+        if (!g_hash_table_contains(cloud->machine_list.listed_ids, id))
             g_hash_table_iter_remove(&it);
-    g_clear_pointer(&cloud->list_cursor, g_free);
-    g_clear_pointer(&cloud->listed_ids, g_hash_table_unref);
-    cloud->list_read_at = now;
-    cloud->is_listed = true;
+}
+
+static void finish_list(struct cloud_provider *cloud)
+{
+    struct machine_list_state *list = &cloud->machine_list;
+    forget_unlisted_machines(cloud);
+    forget_old_gone_machines(cloud);
+    g_clear_pointer(&list->cursor, g_free);
+    g_clear_pointer(&list->listed_ids, g_hash_table_unref);
+    list->read_at = loop_now(cloud->loop);
+    list->is_complete = true;
     cloud_provider_notify(cloud);
 }
 
+static void handle_listed_machine(struct cloud_provider *cloud, const struct listed_machine *listed)
+{
+    g_hash_table_add(cloud->machine_list.listed_ids, g_strdup(listed->id.text));
+    if (cloud_provider_is_gone(cloud, listed->id.text))
+        return;
+    struct cloud_machine *machine = g_hash_table_lookup(cloud->machines, listed->id.text);
+    if (!machine) {
+        machine = cloud_machine_add(cloud, listed->id, listed->machine_type_name, listed->zone,
+                                    listed->is_spot);
+        machine->requested_at =
+            time_add_ms(cloud->machine_list.started_at, -(int64_t)(listed->age_s * 1000));
+    }
+    machine->stage = listed->stage;
+}
+
+static void handle_page(struct cloud_provider *cloud, const GArray *page, bool has_more)
+{
+    for (guint i = 0; i < page->len; i++)
+        handle_listed_machine(cloud, &g_array_index(page, struct listed_machine, i));
+    if (!has_more || !page->len) {
+        finish_list(cloud);
+        return;
+    }
+    const struct listed_machine *last = &g_array_index(page, struct listed_machine, page->len - 1);
+    g_free(cloud->machine_list.cursor);
+    cloud->machine_list.cursor = g_strdup(last->id.text);
+}
+
 static void on_list_response(void *arg, const struct http_response *response)
 {
     struct cloud_call *call = arg;
     struct cloud_provider *cloud = call->cloud;
-    bool mine = call->generation == cloud->generation, more = false;
+    bool is_current = cloud_call_is_current(call), has_more = false;
     g_free(call);
-    if (!mine)
-        return;
-    cloud->list_call_in_flight = false;
-    json_object *object = response->status == HTTP_STATUS_OK
-                              ? json_parse(response->body, response->body_bytes)
-                              : NULL;
-    GArray *list = cloud_machines_decode(object, &more);
-    json_object_put(object);
-    if (!list) {
-        cloud->list_read_at = loop_now(cloud->loop);
-        cloud->list_read_at.us -= (int64_t)((cloud->settings->cloud_list_lag_s - 1) * 1e6);
+    if (!is_current)
         return;
-    }
-    for (guint i = 0; i < list->len; i++) {
-        struct listed_machine *rental = &g_array_index(list, struct listed_machine, i);
-        g_hash_table_add(cloud->listed_ids, g_strdup(rental->id.text));
-        if (cloud_provider_is_gone(cloud, rental->id.text))
-            continue;
-        struct cloud_machine *machine = g_hash_table_lookup(cloud->machines, rental->id.text);
-        if (!machine) {
-            machine = cloud_machine_add(cloud, rental->id, rental->machine_type_name, rental->zone,
-                                        rental->is_spot);
-            machine->requested_at =
-                time_add_ms(cloud->list_started_at, -(int64_t)(rental->age_s * 1000));
-        }
-        machine->stage = rental->stage;
-    }
-    if (more && list->len) {
-        g_free(cloud->list_cursor);
-        cloud->list_cursor =
-            g_strdup(g_array_index(list, struct listed_machine, list->len - 1).id.text);
-    } else {
-        finish_list(cloud);
-    }
-    g_array_unref(list);
+    cloud->machine_list.call_in_flight = false;
+    json_object *body = cloud_response_parse(response);
+    GArray *page = cloud_machines_decode(body, &has_more);
+    json_object_put(body);
+    if (!page)
+        return; /* the same page is requested again */
+    handle_page(cloud, page, has_more);
+    g_array_unref(page);
+}
+
+bool machine_list_is_due(const struct cloud_provider *cloud)
+{
+    const struct machine_list_state *list = &cloud->machine_list;
+    if (list->call_in_flight)
+        return false;
+    if (!list->is_complete || list->listed_ids)
+        return true;
+    double interval_s = MAX(cloud->settings->cloud_list_lag_s, MIN_LIST_INTERVAL_S);
+    return time_ms_since(loop_now(cloud->loop), list->read_at) > (int64_t)(interval_s * 1000);
 }
 
 void machine_list_request(struct cloud_provider *cloud)
 {
-    if (!cloud->listed_ids) {
-        cloud->listed_ids = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-        cloud->list_started_at = loop_now(cloud->loop);
+    struct machine_list_state *list = &cloud->machine_list;
+    if (!list->listed_ids) {
+        list->listed_ids = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+        list->started_at = loop_now(cloud->loop);
     }
-    char *path = cloud->list_cursor ? g_strdup_printf("/rentals?From=%s&Page=%d",
-                                                      cloud->list_cursor, RELOAD_PAGE_KEYS)
-                                    : g_strdup_printf("/rentals?Page=%d", RELOAD_PAGE_KEYS);
-    cloud->list_call_in_flight = true;
-    cloud_call_send(cloud, "GET", path, NULL, on_list_response, cloud_call_new(cloud));
+    char *path = cloud_machines_path(list->cursor, LIST_PAGE_LENGTH);
+    list->call_in_flight = true;
+    cloud_call_send(cloud_call_new(cloud), "GET", path, NULL, on_list_response);
     g_free(path);
 }
+
+void machine_list_reset(struct cloud_provider *cloud)
+{
+    struct machine_list_state *list = &cloud->machine_list;
+    g_clear_pointer(&list->cursor, g_free);
+    g_clear_pointer(&list->listed_ids, g_hash_table_unref);
+    *list = (struct machine_list_state){0};
+}
--- a/src/cloud/machine_types.c
+++ b/src/cloud/machine_types.c
@@ -1,44 +1,58 @@
-/* Machine types: asked of the cloud, and stored for the nodes that do not ask. */
+/**
+ * @file
+ * Machine types: read from the cloud, and stored for the nodes that do not call it.
+ */
 #include "cloud_provider_internal.h"
 
 #include "log.h"
+#include "stored_fields.h"
 
 enum {
     TYPES_REFRESH_INTERVAL_MS = 60000,
-    VALUE_BYTES = 32, /* of a part of the types besides these */
+    /** After a response that could not be used, how long until the next request. */
+    TYPES_RETRY_MS = 1000,
     TYPES_STORE_INTERVAL_MS = 1000,
+    /** Of a stored value, reserved for what it has besides the types. */
+    VALUE_OVERHEAD_BYTES = 32,
 };
 
-static bool types_are_equal(const GArray *a, const GArray *b)
+/* ---- storing ---- */
+
+static bool type_is_equal(const struct machine_type *left, const struct machine_type *right)
+{
+    return strcmp(left->name, right->name) == 0 && left->cpus.milli == right->cpus.milli &&
+           left->gpus.milli == right->gpus.milli && left->memory.milli == right->memory.milli &&
+           g_strv_equal((const char *const *)left->zones, (const char *const *)right->zones);
+}
+
+/** Prices, boot times and image caches are not compared: a change of these alone is not stored. */
+static bool types_are_equal(const GArray *left, const GArray *right)
 {
-    if (!a || a->len != b->len)
+    if (!left || left->len != right->len)
         return false;
-    for (guint i = 0; i < a->len; i++) {
-        const struct machine_type *x = &g_array_index(a, struct machine_type, i);
-        const struct machine_type *y = &g_array_index(b, struct machine_type, i);
-        if (strcmp(x->name, y->name) != 0 || x->cpus.milli != y->cpus.milli ||
-            x->gpus.milli != y->gpus.milli || x->memory.milli != y->memory.milli ||
-            !g_strv_equal((const char *const *)x->zones, (const char *const *)y->zones))
+    for (guint i = 0; i < left->len; i++)
+        if (!type_is_equal(&g_array_index(left, struct machine_type, i),
+                           &g_array_index(right, struct machine_type, i)))
             return false;
-    }
     return true;
 }
 
 static void on_types_stored(void *arg, const struct txn_outcome *outcome)
 {
     struct cloud_provider *cloud = arg;
-    cloud->types_are_stored = outcome->status == TXN_COMMITTED;
+    cloud->machine_types.is_stored = outcome->status == TXN_COMMITTED;
 }
 
-/* So many of the types, from one on, as one value takes. */
+/** A new array of as many types, from an index on, as one stored value can have. */
 static GArray *take_types_part(struct cloud_provider *cloud, guint from)
 {
+    const GArray *types = cloud->machine_types.types;
     GArray *part = g_array_new(FALSE, FALSE, sizeof(struct machine_type));
-    gsize most = kv_client_limits(cloud->kv)->max_value_bytes - VALUE_BYTES;
-    for (guint i = from; i < cloud->types->len; i++) {
-        g_array_append_val(part, g_array_index(cloud->types, struct machine_type, i));
+    gsize max_bytes = kv_client_limits(cloud->kv)->max_value_bytes - VALUE_OVERHEAD_BYTES;
+    for (guint i = from; i < types->len; i++) {
+        g_array_append_val(part, g_array_index(types, struct machine_type, i));
         json_object *value = machine_types_encode(part);
-        bool fits = kv_value_size_bytes(value) <= most;
+        bool fits = kv_value_size_bytes(value) <= max_bytes;
         json_object_put(value);
         if (!fits) {
             g_array_set_size(part, part->len - 1);
@@ -48,86 +62,120 @@
     return part;
 }
 
-/* Nodes that do not lead learn the types from the state service. A list that is too long for one
- * value is written in parts, which nodes of version 0 do not know of. */
+struct types_parts {
+    guint count;
+    /** False: there is no type, or one is too long for a value. */
+    bool is_complete;
+};
+
+/** Adds the puts of all parts to a transaction: the continuations, and then the first part. */
+static struct types_parts put_types_parts(struct cloud_provider *cloud, struct txn *txn)
+{
+    struct types_parts parts = {.is_complete = true};
+    json_object *first_value = NULL;
+    guint type_count = 0;
+    do {
+        GArray *part = take_types_part(cloud, type_count);
+        json_object *value = machine_types_encode(part);
+        if (parts.count == 0) {
+            first_value = value;
+        } else {
+            char *key = g_strdup_printf(KEY_TYPES "/%u", parts.count);
+            txn_put(txn, key, value, (lease_id){0});
+            g_free(key);
+        }
+        parts.count++;
+        type_count += part->len;
+        parts.is_complete = part->len > 0;
+        g_array_unref(part);
+    } while (parts.is_complete && type_count < cloud->machine_types.types->len);
+    if (parts.count > 1)
+        json_put_u64(first_value, MACHINE_TYPES_FIELD_CONTINUATIONS, parts.count - 1);
+    txn_put(txn, KEY_TYPES, first_value, (lease_id){0});
+    return parts;
+}
+
+/** Nodes before the version with job DAGs read the first part only, so they must be gone. */
+static bool can_store_parts(struct cloud_provider *cloud, const struct types_parts *parts)
+{
+    if (!parts->is_complete || (int)parts->count > kv_client_limits(cloud->kv)->max_txn_operations)
+        return false;
+    return parts->count == 1 ||
+           membership_all_nodes_support(cloud->membership, NODE_VERSION_JOB_DAG);
+}
+
+static bool store_is_due(struct cloud_provider *cloud)
+{
+    const struct machine_types_state *state = &cloud->machine_types;
+    if (!state->types || state->is_stored ||
+        types_are_equal(cloud->replica->machine_types, state->types) ||
+        !cloud_provider_may_act(cloud))
+        return false;
+    return time_ms_since(loop_now(cloud->loop), state->stored_at) >= TYPES_STORE_INTERVAL_MS;
+}
+
 void machine_types_store(struct cloud_provider *cloud)
 {
-    mono_time now = loop_now(cloud->loop);
-    if (!cloud->types || cloud->types_are_stored ||
-        types_are_equal(cloud->replica->machine_types, cloud->types) ||
-        !cloud_provider_may_act(cloud) ||
-        time_ms_since(now, cloud->types_stored_at) < TYPES_STORE_INTERVAL_MS)
+    if (!store_is_due(cloud))
         return;
-    cloud->types_stored_at = now;
+    cloud->machine_types.stored_at = loop_now(cloud->loop);
     struct txn *txn = txn_new();
     if (cloud_provider_records_intents(cloud))
         role_manager_add_guard(cloud->role_manager, ROLE_AUTOSCALER, txn);
     else
         txn_compare(txn, KEY_LEADER, cloud->replica->leader_mod_revision);
-    json_object *first = NULL;
-    guint parts = 0, at = 0;
-    do {
-        GArray *part = take_types_part(cloud, at);
-        json_object *value = machine_types_encode(part);
-        at += part->len;
-        char *key = g_strdup_printf(KEY_TYPES "/%u", parts);
-        if (!parts++)
-            first = value;
-        else
-            txn_put(txn, key, value, (lease_id){0});
-        g_free(key);
-        if (!part->len)
-            at = cloud->types->len + 1; /* one that no value takes */
-        g_array_unref(part);
-    } while (at < cloud->types->len);
-    if (parts > 1)
-        json_put_u64(first, "more", parts - 1);
-    txn_put(txn, KEY_TYPES, first, (lease_id){0});
-    if (at > cloud->types->len || (int)parts > kv_client_limits(cloud->kv)->max_txn_operations ||
-        (parts > 1 && !membership_all_nodes_support(cloud->membership, NODE_VERSION_JOB_DAG))) {
-        LOG_INFO("types_not_stored", "types=%u parts=%u", cloud->types->len, parts);
+    const struct types_parts parts = put_types_parts(cloud, txn);
+    if (!can_store_parts(cloud, &parts)) {
+        LOG_INFO("machine_types_not_stored", "types=%u parts=%u", cloud->machine_types.types->len,
+                 parts.count);
         txn_free(txn);
         return;
     }
-    cloud->types_are_stored = true;
+    cloud->machine_types.is_stored = true;
     kv_client_commit(cloud->kv, KV_LANE_NORMAL, txn, on_types_stored, cloud);
 }
 
+/* ---- reading ---- */
+
 static void on_types_response(void *arg, const struct http_response *response)
 {
     struct cloud_call *call = arg;
     struct cloud_provider *cloud = call->cloud;
-    bool mine = call->generation == cloud->generation;
+    struct machine_types_state *state = &cloud->machine_types;
+    bool is_current = cloud_call_is_current(call);
     g_free(call);
-    if (!mine)
+    if (!is_current)
         return;
-    cloud->types_call_in_flight = false;
-    json_object *object = response->status == HTTP_STATUS_OK
-                              ? json_parse(response->body, response->body_bytes)
-                              : NULL;
-    GArray *types = machine_types_decode(object);
-    json_object_put(object);
-    cloud->types_read_at = loop_now(cloud->loop);
+    state->call_in_flight = false;
+    json_object *body = cloud_response_parse(response);
+    GArray *types = machine_types_decode(body);
+    json_object_put(body);
+    state->read_at = loop_now(cloud->loop);
     if (!types) {
-        cloud->types_read_at.us -= (TYPES_REFRESH_INTERVAL_MS - 1000) * 1000LL;
+        state->read_at =
+            time_add_ms(state->read_at, -(int64_t)(TYPES_REFRESH_INTERVAL_MS - TYPES_RETRY_MS));
         return;
     }
-    if (cloud->types)
-        g_array_unref(cloud->types);
-    cloud->types = types;
-    cloud->types_are_stored = false;
+    if (state->types)
+        g_array_unref(state->types);
+    state->types = types;
+    state->is_stored = false;
     machine_types_store(cloud);
     cloud_provider_notify(cloud);
 }
 
 bool machine_types_are_due(const struct cloud_provider *cloud)
 {
-    return !cloud->types_read_at.us ||
-           time_ms_since(loop_now(cloud->loop), cloud->types_read_at) > TYPES_REFRESH_INTERVAL_MS;
+    const struct machine_types_state *state = &cloud->machine_types;
+    if (state->call_in_flight)
+        return false;
+    return !state->read_at.us ||
+           time_ms_since(loop_now(cloud->loop), state->read_at) > TYPES_REFRESH_INTERVAL_MS;
 }
 
 void machine_types_request(struct cloud_provider *cloud)
 {
-    cloud->types_call_in_flight = true;
-    cloud_call_send(cloud, "GET", "/machine_types", NULL, on_types_response, cloud_call_new(cloud));
+    cloud->machine_types.call_in_flight = true;
+    cloud_call_send(cloud_call_new(cloud), "GET", CLOUD_PATH_MACHINE_TYPES, NULL,
+                    on_types_response);
 }
--- a/src/cloud/scale_in.c
+++ b/src/cloud/scale_in.c
@@ -1,11 +1,18 @@
-/* Returns of machines. */
+/**
+ * @file
+ * Scale-in: returns machines to the cloud.
+ *
+ * With singleton roles, a machine is cordoned by its owner, the intent to return it is recorded,
+ * the request is sent, and the intent is settled when the owner knows that the machine is gone.
+ */
 #include "cloud_provider_internal.h"
 
 #include "log.h"
 
 enum {
-    MAX_MACHINES_PER_SCALE_IN = 100, /* by one request */
-    MAX_MACHINES_PER_NOTICE = 500,   /* to owners at a time */
+    MAX_MACHINES_PER_SCALE_IN = 100,
+    /** In one list of machines that owners must cordon, or must know to be gone. */
+    MAX_MACHINES_PER_NOTICE = 500,
 };
 
 bool cloud_provider_is_gone(const struct cloud_provider *cloud, const char *id)
@@ -20,220 +27,245 @@
            role_records_is_scaling_in(cloud->replica->singleton_roles, id);
 }
 
-static struct scale_in_request *scale_in_request_add(struct cloud_provider *cloud, machine_id id,
-                                                     enum scale_in_phase phase)
+static struct scale_in_request *add_request(struct cloud_provider *cloud, machine_id id,
+                                            enum scale_in_phase phase)
 {
-    struct scale_in_request *entry = g_new0(struct scale_in_request, 1);
-    entry->id = id;
-    entry->phase = phase;
-    entry->decided_at = loop_now(cloud->loop);
-    g_hash_table_replace(cloud->scale_in_requests, entry->id.text, entry);
-    return entry;
+    struct scale_in_request *request = g_new0(struct scale_in_request, 1);
+    request->id = id;
+    request->phase = phase;
+    request->decided_at = loop_now(cloud->loop);
+    g_hash_table_replace(cloud->scale_in_requests, request->id.text, request);
+    return request;
 }
 
-void cloud_provider_scale_in(struct cloud_provider *cloud, machine_id id, const char *why)
+void cloud_provider_scale_in(struct cloud_provider *cloud, machine_id id, const char *reason)
 {
     if (cloud_provider_is_gone(cloud, id.text) ||
         g_hash_table_contains(cloud->scale_in_requests, id.text))
         return;
-    LOG_INFO("return", "machine=%s why=%s", id.text, why);
-    scale_in_request_add(cloud, id,
-                         cloud_provider_records_intents(cloud) ? SCALE_IN_WANTED : SCALE_IN_READY);
+    LOG_INFO("scale_in_requested", "machine=%s reason=%s", id.text, reason);
+    add_request(cloud, id,
+                cloud_provider_records_intents(cloud) ? SCALE_IN_WANTED : SCALE_IN_READY);
 }
 
 void scale_in_recover(struct cloud_provider *cloud, const struct intent *intent)
 {
     machine_id id;
+    /* The earlier holder may have sent it, so its delay is not counted. */
     if (machine_id_parse(&id, intent->name))
-        scale_in_request_add(cloud, id, SCALE_IN_READY)->was_sent = true; /* perhaps */
+        add_request(cloud, id, SCALE_IN_READY)->send_state = CLOUD_UNANSWERED;
 }
 
-/* ---- closing ---- */
+/* ---- what owners must know ---- */
 
 static GPtrArray *list_machines_in_phase(struct cloud_provider *cloud, enum scale_in_phase phase)
 {
-    GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
+    GPtrArray *ids = g_ptr_array_new_with_free_func(g_free);
     GHashTableIter it;
-    struct scale_in_request *entry;
+    struct scale_in_request *request;
     g_hash_table_iter_init(&it, cloud->scale_in_requests);
-    while (names->len < MAX_MACHINES_PER_NOTICE &&
-           g_hash_table_iter_next(&it, NULL, (gpointer *)&entry))
-        if (entry->phase == phase)
-            g_ptr_array_add(names, g_strdup(entry->id.text));
-    return names;
+    while (ids->len < MAX_MACHINES_PER_NOTICE &&
+           g_hash_table_iter_next(&it, NULL, (gpointer *)&request))
+        if (request->phase == phase)
+            g_ptr_array_add(ids, g_strdup(request->id.text));
+    return ids;
 }
 
 GPtrArray *cloud_provider_list_to_cordon(struct cloud_provider *cloud)
 {
-    /* What was decided before the duty was gained is forgotten then. A machine that was closed for
-     * it would stay closed, and never be idle. */
+    /* Requests are dropped when the role is gained. A machine that was cordoned for one of them
+     * would stay cordoned, and never count as idle. */
     return role_manager_holds(cloud->role_manager, ROLE_AUTOSCALER)
                ? list_machines_in_phase(cloud, SCALE_IN_WANTED)
                : g_ptr_array_new_with_free_func(g_free);
 }
 
+void cloud_provider_note_cordoned(struct cloud_provider *cloud, const char *id, epoch_no epoch)
+{
+    struct scale_in_request *request = g_hash_table_lookup(cloud->scale_in_requests, id);
+    if (!request || request->phase != SCALE_IN_WANTED)
+        return;
+    request->phase = SCALE_IN_CORDONED;
+    request->cordoned_in = epoch;
+}
+
 GPtrArray *cloud_provider_list_to_announce(struct cloud_provider *cloud)
 {
     return list_machines_in_phase(cloud, SCALE_IN_CONFIRMED);
 }
 
-void cloud_provider_note_cordoned(struct cloud_provider *cloud, const char *id, epoch_no epoch)
+/**
+ * The intent stays on record until then: a new epoch uncordons machines without one, and the owner
+ * would place tasks on a machine that does not exist any more.
+ */
+void cloud_provider_note_announced(struct cloud_provider *cloud, const char *id)
 {
-    struct scale_in_request *entry = g_hash_table_lookup(cloud->scale_in_requests, id);
-    if (!entry || entry->phase != SCALE_IN_WANTED)
+    const struct scale_in_request *request = g_hash_table_lookup(cloud->scale_in_requests, id);
+    if (!request || request->phase != SCALE_IN_CONFIRMED)
         return;
-    entry->phase = SCALE_IN_CORDONED;
-    entry->cordoned_in = epoch;
+    intent_log_settle(cloud->intents, INTENT_SCALE_IN, id);
+    g_hash_table_remove(cloud->scale_in_requests, id);
 }
 
 /* ---- recording ---- */
 
-/* A machine that was closed in an earlier epoch may have an owner by now who does not know of it.
- * The intent is conditioned on the map, so that it cannot be recorded later either. */
-static void record_scale_in(struct cloud_provider *cloud, struct scale_in_request *entry)
+/**
+ * A machine that was cordoned in an earlier epoch may have a new owner that does not know of it.
+ * The intent depends on the revision of the shard map, so that it cannot be recorded later either.
+ */
+static void record_intent(struct cloud_provider *cloud, struct scale_in_request *request)
 {
     struct intent intent = {.kind = INTENT_SCALE_IN};
-    g_strlcpy(intent.name, entry->id.text, sizeof intent.name);
+    g_strlcpy(intent.name, request->id.text, sizeof intent.name);
     intent_log_add(cloud->intents, &intent, cloud->replica->shard_map_mod_revision);
-    entry->phase = SCALE_IN_RECORDING;
+    request->phase = SCALE_IN_RECORDING;
 }
 
-/* Whether a return has to begin anew: it was sent before duties were on, its intent was dropped as
- * the map has changed, or the epoch in which it was closed is over. */
-static bool is_void(const struct cloud_provider *cloud, const struct scale_in_request *entry,
-                    enum intent_state state)
+/**
+ * Whether a scale-in without a recorded intent must start over: it was begun before singleton roles
+ * were enabled, its intent was dropped as the shard map has changed, or the epoch in which the
+ * machine was cordoned is over.
+ */
+static bool must_start_over(const struct cloud_provider *cloud,
+                            const struct scale_in_request *request, enum intent_state state)
 {
-    switch (entry->phase) {
+    switch (request->phase) {
     case SCALE_IN_READY:
         return true;
     case SCALE_IN_RECORDING:
         return state == INTENT_UNKNOWN;
     case SCALE_IN_CORDONED:
-        return entry->cordoned_in.value != cloud->replica->shard_map_epoch.value;
+        return request->cordoned_in.value != cloud->replica->shard_map_epoch.value;
     default:
         return false;
     }
 }
 
-static void advance_scale_in(struct cloud_provider *cloud, struct scale_in_request *entry)
+/** Moves a request that is not in flight to the phase that its intent allows. */
+static void advance_with_intent(struct cloud_provider *cloud, struct scale_in_request *request)
 {
-    if (entry->phase == SCALE_IN_CONFIRMED)
+    if (request->phase == SCALE_IN_CONFIRMED)
         return;
-    enum intent_state state = intent_log_get_state(cloud->intents, INTENT_SCALE_IN, entry->id.text);
+    enum intent_state state =
+        intent_log_get_state(cloud->intents, INTENT_SCALE_IN, request->id.text);
     if (state == INTENT_RECORDED)
-        entry->phase = SCALE_IN_READY;
-    else if (is_void(cloud, entry, state))
-        entry->phase = SCALE_IN_WANTED;
-    else if (entry->phase == SCALE_IN_CORDONED && !cloud->recording_paused)
-        record_scale_in(cloud, entry);
+        request->phase = SCALE_IN_READY;
+    else if (must_start_over(cloud, request, state))
+        request->phase = SCALE_IN_WANTED;
+    else if (request->phase == SCALE_IN_CORDONED && !cloud->recording_paused)
+        record_intent(cloud, request);
 }
 
-/* ---- sending ---- */
+/** Returns whether any request may be sent. */
+static bool advance_all(struct cloud_provider *cloud)
+{
+    GHashTableIter it;
+    struct scale_in_request *request;
+    bool any_is_ready = false;
+    g_hash_table_iter_init(&it, cloud->scale_in_requests);
+    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&request)) {
+        if (!cloud_provider_records_intents(cloud)) {
+            if (request->phase != SCALE_IN_CONFIRMED)
+                request->phase = SCALE_IN_READY;
+        } else if (request->send_state != CLOUD_IN_FLIGHT) {
+            advance_with_intent(cloud, request);
+        }
+        any_is_ready = any_is_ready || request->phase == SCALE_IN_READY;
+    }
+    return any_is_ready;
+}
 
-static void finish_scale_in(struct cloud_provider *cloud, const char *id, bool mine)
+/* ---- responses ---- */
+
+static void forget_machine(struct cloud_provider *cloud, const char *id)
 {
-    g_hash_table_add(cloud->gone_machines, g_strdup(id));
-    if (!mine)
-        return;
     struct cloud_machine *machine = g_hash_table_lookup(cloud->machines, id);
-    if (machine) {
-        /* There is room for another of its kind. */
-        char *key = cloud_offer_key(machine->type_name, machine->zone, machine->is_spot);
-        g_hash_table_remove(cloud->refused_until, key);
-        g_free(key);
-        g_hash_table_remove(cloud->machines, id);
-    }
-    struct scale_in_request *entry = g_hash_table_lookup(cloud->scale_in_requests, id);
-    if (entry && cloud_provider_records_intents(cloud))
-        entry->phase = SCALE_IN_CONFIRMED;
+    if (!machine)
+        return;
+    /* The cloud has capacity for one more of the kind now. */
+    char *offer = cloud_offer_key(machine->type_name, machine->zone, machine->is_spot);
+    g_hash_table_remove(cloud->refused_until, offer);
+    g_free(offer);
+    g_hash_table_remove(cloud->machines, id);
+}
+
+static void finish_request(struct cloud_provider *cloud, const char *id)
+{
+    forget_machine(cloud, id);
+    struct scale_in_request *request = g_hash_table_lookup(cloud->scale_in_requests, id);
+    if (request && cloud_provider_records_intents(cloud))
+        request->phase = SCALE_IN_CONFIRMED;
     else
         g_hash_table_remove(cloud->scale_in_requests, id);
 }
 
-/* The intent stays on record until then: the owner would go on placing tasks on a machine that is
- * no more once a new epoch has opened what was closed. */
-void cloud_provider_note_announced(struct cloud_provider *cloud, const char *id)
+/** Updates the state in which the call was sent. */
+static void handle_response(struct cloud_provider *cloud, const GPtrArray *ids, bool is_confirmed)
 {
-    const struct scale_in_request *entry = g_hash_table_lookup(cloud->scale_in_requests, id);
-    if (!entry || entry->phase != SCALE_IN_CONFIRMED)
-        return;
-    intent_log_settle(cloud->intents, INTENT_SCALE_IN, id);
-    g_hash_table_remove(cloud->scale_in_requests, id);
+    for (guint i = 0; i < ids->len; i++) {
+        struct scale_in_request *request =
+            g_hash_table_lookup(cloud->scale_in_requests, ids->pdata[i]);
+        if (request)
+            request->send_state = CLOUD_UNANSWERED;
+        if (is_confirmed)
+            finish_request(cloud, ids->pdata[i]);
+    }
+    cloud->scale_in_call_in_flight = false;
+    cloud->scale_in_not_before =
+        time_add_ms(loop_now(cloud->loop), is_confirmed ? 0 : CLOUD_RETRY_MS);
+    cloud_provider_notify(cloud);
 }
 
 static void on_scale_in_response(void *arg, const struct http_response *response)
 {
     struct cloud_call *call = arg;
     struct cloud_provider *cloud = call->cloud;
-    bool mine = call->generation == cloud->generation, done = response->status == HTTP_STATUS_OK;
-    for (guint i = 0; i < call->ids->len; i++) {
-        const char *id = call->ids->pdata[i];
-        struct scale_in_request *entry =
-            mine ? g_hash_table_lookup(cloud->scale_in_requests, id) : NULL;
-        if (entry)
-            entry->is_in_flight = false;
-        if (done)
-            finish_scale_in(cloud, id, mine);
-    }
-    if (mine) {
-        cloud->scale_in_call_in_flight = false;
-        cloud->scale_in_not_before = time_add_ms(loop_now(cloud->loop), done ? 0 : CLOUD_RETRY_MS);
-        cloud_provider_notify(cloud);
-    }
+    bool is_confirmed = response->status == HTTP_STATUS_OK;
+    for (guint i = 0; is_confirmed && i < call->ids->len; i++)
+        g_hash_table_add(cloud->gone_machines, g_strdup(call->ids->pdata[i]));
+    if (cloud_call_is_current(call))
+        handle_response(cloud, call->ids, is_confirmed);
     g_ptr_array_unref(call->ids);
     g_free(call);
 }
 
-static void add_to_call(struct cloud_provider *cloud, struct cloud_call *call, GArray *hosts,
-                        struct scale_in_request *entry)
+/* ---- sending ---- */
+
+static void add_to_call(struct cloud_provider *cloud, struct cloud_call *call, GArray *machines,
+                        struct scale_in_request *request)
 {
     mono_time now = loop_now(cloud->loop);
-    if (!entry->was_sent)
-        delay_histogram_add(cloud->scale_in_delays, (double)(now.us - entry->decided_at.us) / 1000);
-    entry->is_in_flight = entry->was_sent = true;
-    g_array_append_val(hosts, entry->id);
-    g_ptr_array_add(call->ids, g_strdup(entry->id.text));
+    if (request->send_state == CLOUD_NOT_SENT)
+        delay_histogram_add(cloud->scale_in_delays,
+                            (double)(now.us - request->decided_at.us) / 1000);
+    request->send_state = CLOUD_IN_FLIGHT;
+    g_array_append_val(machines, request->id);
+    g_ptr_array_add(call->ids, g_strdup(request->id.text));
 }
 
 static void send_scale_in(struct cloud_provider *cloud)
 {
     struct cloud_call *call = cloud_call_new(cloud);
     call->ids = g_ptr_array_new_with_free_func(g_free);
-    GArray *hosts = g_array_new(FALSE, FALSE, sizeof(machine_id));
+    GArray *machines = g_array_new(FALSE, FALSE, sizeof(machine_id));
     GHashTableIter it;
-    struct scale_in_request *entry;
+    struct scale_in_request *request;
     g_hash_table_iter_init(&it, cloud->scale_in_requests);
-    while (hosts->len < MAX_MACHINES_PER_SCALE_IN &&
-           g_hash_table_iter_next(&it, NULL, (gpointer *)&entry))
-        if (entry->phase == SCALE_IN_READY)
-            add_to_call(cloud, call, hosts, entry);
-    char *body = scale_in_request_encode((machine_id *)hosts->data, hosts->len);
-    g_array_unref(hosts);
+    while (machines->len < MAX_MACHINES_PER_SCALE_IN &&
+           g_hash_table_iter_next(&it, NULL, (gpointer *)&request))
+        if (request->phase == SCALE_IN_READY)
+            add_to_call(cloud, call, machines, request);
+    char *body = scale_in_request_encode((machine_id *)machines->data, machines->len);
+    g_array_unref(machines);
     cloud->scale_in_call_in_flight = true;
-    cloud_call_send(cloud, "POST", "/rentals/return", body, on_scale_in_response, call);
+    cloud_call_send(call, "POST", CLOUD_PATH_SCALE_IN, body, on_scale_in_response);
     g_free(body);
 }
 
-static bool advance_all_scale_ins(struct cloud_provider *cloud)
-{
-    GHashTableIter it;
-    struct scale_in_request *entry;
-    bool ready = false;
-    g_hash_table_iter_init(&it, cloud->scale_in_requests);
-    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&entry)) {
-        if (cloud_provider_records_intents(cloud) && !entry->is_in_flight)
-            advance_scale_in(cloud, entry);
-        else if (!cloud_provider_records_intents(cloud) && entry->phase != SCALE_IN_CONFIRMED)
-            entry->phase = SCALE_IN_READY;
-        ready = ready || entry->phase == SCALE_IN_READY;
-    }
-    return ready;
-}
-
 void scale_in_step(struct cloud_provider *cloud)
 {
     mono_time now = loop_now(cloud->loop);
-    if (advance_all_scale_ins(cloud) && !cloud->scale_in_call_in_flight &&
+    if (advance_all(cloud) && !cloud->scale_in_call_in_flight &&
         !time_before(now, cloud->scale_in_not_before) && cloud_provider_may_call(cloud))
         send_scale_in(cloud);
 }
--- a/src/scheduler/leader.c
+++ b/src/scheduler/leader.c
@@ -45,19 +45,19 @@
 static struct cloud_provider *new_cloud_provider(const struct leader_setup *setup,
                                                  struct actor *listener)
 {
-    const struct fleet_setup fleet_setup = {
+    const struct cloud_provider_setup cloud_setup = {
         .loop = setup->loop,
-        .net = setup->http_client,
-        .store = setup->kv,
-        .view = setup->replica,
-        .members = setup->membership,
-        .duties = setup->role_manager,
+        .http_client = setup->http_client,
+        .kv = setup->kv,
+        .replica = setup->replica,
+        .membership = setup->membership,
+        .role_manager = setup->role_manager,
         .shard = setup->shard,
         .settings = setup->settings,
         .features = setup->features,
         .listener = listener,
     };
-    return cloud_provider_new(&fleet_setup);
+    return cloud_provider_new(&cloud_setup);
 }
 
 /** Allocates the leader's arrays with one element for each zone, and its lists for a pass. */
