--- a/src/cluster/cancel_broadcast.c
+++ b/src/cluster/cancel_broadcast.c
@@ -283,9 +283,9 @@
     (void)response;
     struct cancel_notice notice;
     if (!cancel_notice_decode(message, &notice))
-        return 400;
+        return HTTP_STATUS_BAD_REQUEST;
     cancel_broadcast_add_remote(ctx, &notice);
-    return 200;
+    return HTTP_STATUS_OK;
 }
 
 /* ---- status ---- */
--- a/src/cluster/failure_detector.c
+++ b/src/cluster/failure_detector.c
@@ -53,7 +53,7 @@
                                                       question.replica_revision, report.cancels);
     *response = health_report_encode(&report);
     health_report_clear(&report);
-    return 200;
+    return HTTP_STATUS_OK;
 }
 
 struct failure_detector *failure_detector_new(const struct failure_detector_setup *setup)
--- a/src/cluster/lease_proxy.c
+++ b/src/cluster/lease_proxy.c
@@ -47,7 +47,7 @@
     const struct proxy_report report = {
         (double)time_ms_since(loop_now(proxy->loop), proxy->last_renewal_at)};
     *response = proxy_report_encode(&report);
-    return 200;
+    return HTTP_STATUS_OK;
 }
 
 struct lease_proxy *lease_proxy_new(struct loop *loop, struct node_rpc *rpc, struct peer_poll *poll,
--- a/src/scheduler/shard_dispatcher.c
+++ b/src/scheduler/shard_dispatcher.c
@@ -9,7 +9,6 @@
     /** A node that has not answered for this long is excluded from the shard map. */
     UNREACHABLE_TIMEOUT_MS = 4000,
     NODE_EXCLUSION_MS = 20000,
-    RPC_OK = 200,
 };
 
 static void shard_channel_free(gpointer data)
@@ -208,7 +207,7 @@
     struct shard_channel *channel = g_hash_table_lookup(leader->shard_channels, request->label);
     if (request->generation == leader->generation && channel) {
         channel->is_request_in_flight = false;
-        if (status == RPC_OK)
+        if (status == HTTP_STATUS_OK)
             on_acknowledged(leader, channel, answer);
         else
             on_failed(leader, channel);
--- a/src/scheduler/shard_status_receiver.c
+++ b/src/scheduler/shard_status_receiver.c
@@ -15,13 +15,6 @@
     MIN_EPOCH_AGE_MS = 5000,
 };
 
-/** Answers, as HTTP statuses. */
-enum {
-    STATUS_APPLIED = 200,
-    STATUS_MALFORMED = 400,
-    STATUS_NEEDS_FULL_REPORT = 409,
-};
-
 /** Learns from the end of a task: from its run time, or from the cause of its failure. */
 static void apply_task_event(struct leader *leader, const struct task_event *event)
 {
@@ -150,30 +143,30 @@
 }
 
 /** Applies a report, unless it is of another epoch, a repeated one, or only changes where a full
- * one is missing. Returns an answer as an HTTP status. */
+ * one is missing. Returns an HTTP status; after HTTP_STATUS_CONFLICT the shard sends a full one. */
 static int accept_status(struct leader *leader, const char *from,
                          const struct status_message *status, cJSON **answer)
 {
     if (!is_current_epoch(leader, status->epoch.value))
-        return STATUS_NEEDS_FULL_REPORT;
+        return HTTP_STATUS_CONFLICT;
     struct shard_channel *channel = shard_dispatcher_channel(leader, from);
     if (status->sequence <= channel->status_sequence ||
         (!status->is_full && !channel->has_full_status))
-        return STATUS_NEEDS_FULL_REPORT;
+        return HTTP_STATUS_CONFLICT;
     channel->status_sequence = status->sequence;
     apply_status(leader, from, status);
     raise_epoch_if_requested(leader, status);
     *answer = build_answer(leader, from);
     channel->has_full_status = channel->has_full_status || status->is_full;
     leader_request_pass(leader);
-    return STATUS_APPLIED;
+    return HTTP_STATUS_OK;
 }
 
 int shard_status_receiver_handle(void *ctx, const char *from, const cJSON *json, cJSON **answer)
 {
     struct status_message status;
     if (!status_message_decode(json, &status))
-        return STATUS_MALFORMED;
+        return HTTP_STATUS_BAD_REQUEST;
     int http_status = accept_status(ctx, from, &status, answer);
     status_message_clear(&status);
     return http_status;
--- a/src/shard/dispatch_receiver.c
+++ b/src/shard/dispatch_receiver.c
@@ -85,10 +85,10 @@
     struct shard *shard = ctx;
     struct dispatch_message message;
     if (!dispatch_message_decode(json, &message))
-        return NODE_RPC_MALFORMED;
-    int status = NODE_RPC_OK;
+        return HTTP_STATUS_BAD_REQUEST;
+    int status = HTTP_STATUS_OK;
     if (!is_current(shard, from, &message)) {
-        status = NODE_RPC_CONFLICT;
+        status = HTTP_STATUS_CONFLICT;
     } else if (message.sequence > shard->last_dispatch_sequence) {
         /* A copy that was delayed must not dispatch a task once more after it was rejected. */
         shard->last_dispatch_sequence = message.sequence;
--- a/src/shard/shard_messages_internal.h
+++ b/src/shard/shard_messages_internal.h
@@ -9,15 +9,8 @@
 #include "shard_internal.h"
 #include "shard_messages.h"
 
-/** HTTP status of the answers to messages between nodes. */
-enum node_rpc_status {
-    NODE_RPC_OK = 200,
-    NODE_RPC_MALFORMED = 400,
-    /** The sender is not the leader, or of another epoch. */
-    NODE_RPC_CONFLICT = 409,
-};
-
-/** Handles a message of the leader; a node_rpc handler.
+/** Handles a message of the leader; a node_rpc handler. Answers HTTP_STATUS_CONFLICT if the sender
+ * is not the leader, or of another epoch.
  * @param ctx the struct shard. */
 int shard_handle_dispatch_message(void *ctx, const char *from, const cJSON *json, cJSON **answer);
 
--- a/src/shard/shard_status.c
+++ b/src/shard/shard_status.c
@@ -171,7 +171,7 @@
 {
     if (status->is_requested)
         return STATUS_DELAY_MS;
-    return http_status == NODE_RPC_OK ? STATUS_INTERVAL_MS : STATUS_RETRY_MS;
+    return http_status == HTTP_STATUS_OK ? STATUS_INTERVAL_MS : STATUS_RETRY_MS;
 }
 
 /** What the leader has received is not sent again. If the answer was lost it may have been
@@ -182,7 +182,7 @@
     struct shard *shard = request->shard;
     struct shard_status *status = &shard->status;
     status->in_flight = false;
-    if (http_status == NODE_RPC_OK && request->generation == shard->generation) {
+    if (http_status == HTTP_STATUS_OK && request->generation == shard->generation) {
         g_array_remove_range(status->rejected_dispatches, 0, request->rejected_count);
         g_array_remove_range(status->events, 0, request->event_count);
         status->wants_epoch_raise = false;
