--- a/daemon/main.c
+++ b/daemon/main.c
@@ -1,4 +1,7 @@
-/* linenlandingd: a thin program around the library. */
+/**
+ * @file
+ * linenlandingd: reads the command line and the files it names, opens the sockets and runs a node.
+ */
 #include "log.h"
 #include "node.h"
 
@@ -7,16 +10,27 @@
 #include <stdlib.h>
 
 enum {
+    /** The exit code for a command line or a file that cannot be used. */
     EXIT_USAGE = 2,
-    RESERVED_FDS = 24, /* files that are no connections */
-    CONNECTIONS_PER_ADDRESS = 8,
+    /** Open files besides connections. */
+    RESERVED_FDS = 24,
+    MAX_CONNECTIONS_PER_ADDRESS = 8,
+    MIN_CLIENT_CONNECTIONS = 8,
+    MIN_RPC_CONNECTIONS_PER_NODE = 4,
+    CONNECT_TIMEOUT_MS = 1500,
+    CLIENT_IDLE_TIMEOUT_MS = 20000,
+    SERVER_IDLE_TIMEOUT_MS = 90000,
+    SERVER_REQUEST_TIMEOUT_MS = 10000,
+    MAX_API_BODY_BYTES = 64 << 10,
 };
 
+/** The command line. The paths are owned; NULL: not given. */
 struct options {
     char *config, *policy, *check_policy, *features, *check_features;
     gboolean version, check_config;
 };
 
+/** Reports an error, and returns the exit code. */
 static int usage_error(const char *message)
 {
     (void)fprintf(stderr, "linenlandingd: %s\n", message);
@@ -31,27 +45,29 @@
     return exit_code;
 }
 
-static bool parse_options(int argc, char **argv, struct options *o, GError **error)
+static bool parse_options(int argc, char **argv, struct options *options, GError **error)
 {
     const GOptionEntry entries[] = {
-        {"config", 'c', 0, G_OPTION_ARG_FILENAME, &o->config, "Settings of this node (TOML)",
+        {"config", 'c', 0, G_OPTION_ARG_FILENAME, &options->config, "Settings of this node (TOML)",
          "FILE"},
-        {"policy", 'p', 0, G_OPTION_ARG_FILENAME, &o->policy, "Operators' own settings", "FILE"},
-        {"check-policy", 0, 0, G_OPTION_ARG_FILENAME, &o->check_policy,
-         "Check operators' own settings and exit", "FILE"},
-        {"features", 'f', 0, G_OPTION_ARG_FILENAME, &o->features, "Features that are switched on",
+        {"policy", 'p', 0, G_OPTION_ARG_FILENAME, &options->policy, "Operators' own settings",
          "FILE"},
-        {"check-features", 0, 0, G_OPTION_ARG_FILENAME, &o->check_features,
+        {"check-policy", 0, 0, G_OPTION_ARG_FILENAME, &options->check_policy,
+         "Check operators' own settings and exit", "FILE"},
+        {"features", 'f', 0, G_OPTION_ARG_FILENAME, &options->features,
+         "Features that are switched on", "FILE"},
+        {"check-features", 0, 0, G_OPTION_ARG_FILENAME, &options->check_features,
          "Check such a file and exit", "FILE"},
-        {"check-config", 0, 0, G_OPTION_ARG_NONE, &o->check_config, "Check the settings and exit",
+        {"check-config", 0, 0, G_OPTION_ARG_NONE, &options->check_config,
+         "Check the settings and exit", NULL},
+        {"version", 'V', 0, G_OPTION_ARG_NONE, &options->version, "Print the version and exit",
          NULL},
-        {"version", 'V', 0, G_OPTION_ARG_NONE, &o->version, "Print the version and exit", NULL},
         {0},
     };
-    GOptionContext *c = g_option_context_new("- run a node of the cluster scheduler");
-    g_option_context_add_main_entries(c, entries, NULL);
-    bool ok = g_option_context_parse(c, &argc, &argv, error);
-    g_option_context_free(c);
+    GOptionContext *context = g_option_context_new("- run a node of the cluster scheduler");
+    g_option_context_add_main_entries(context, entries, NULL);
+    bool ok = g_option_context_parse(context, &argc, &argv, error);
+    g_option_context_free(context);
     if (ok && argc > 1) {
         g_set_error(error, G_OPTION_ERROR, G_OPTION_ERROR_UNKNOWN_OPTION, "unexpected argument %s",
                     argv[1]);
@@ -60,44 +76,100 @@
     return ok;
 }
 
-static int run_node(const struct settings *settings, const struct policy *policy,
-                    const struct feature_set *features)
+static void options_clear(struct options *options)
 {
-    struct loop *loop = loop_new();
-    /* Workers and users come in, and any worker may have to be reached: all of them, when this is
-     * the last node. Beyond the limits the connection that idles longest makes room. */
-    int fds = settings->max_open_files - RESERVED_FDS;
-    int kept = CONNECTIONS_PER_ADDRESS *
-               (settings->node_count + 1); /* to nodes, state service and cloud */
-    struct http_client_limits client = {.max_connections = MAX(fds * 3 / 8 - kept, 8),
-                                        .max_connections_per_address = CONNECTIONS_PER_ADDRESS,
-                                        .max_queued_requests = MAX(fds, MAX_TRACKED_MACHINES),
-                                        .max_response_bytes = settings_max_response_bytes(settings),
-                                        .connect_timeout_ms = 1500,
-                                        .idle_timeout_ms = 20000};
-    struct http_client *http_client = http_client_new(loop, client);
+    g_free(options->config);
+    g_free(options->policy);
+    g_free(options->check_policy);
+    g_free(options->features);
+    g_free(options->check_features);
+}
+
+/* ---- connections ---- */
+
+/** How many connections the process may have open. */
+static int get_max_connections(const struct settings *settings)
+{
+    return settings->max_open_files - RESERVED_FDS;
+}
+
+/**
+ * Agents and users connect to this node, and it may have to connect to any agent: to all of them,
+ * when it is the last node. So 9/16 of the connections are for the API, 3/8 for the client and 1/16
+ * for other nodes; beyond a limit the connection that has idled longest is closed.
+ */
+static struct http_client_limits get_client_limits(const struct settings *settings)
+{
+    int max_connections = get_max_connections(settings);
+    /* To the nodes, the key-value store and the cloud, which are exempt from the limit. */
+    int exempt_connections = MAX_CONNECTIONS_PER_ADDRESS * (settings->node_count + 1);
+    return (struct http_client_limits){
+        .max_connections =
+            MAX(max_connections * 3 / 8 - exempt_connections, MIN_CLIENT_CONNECTIONS),
+        .max_connections_per_address = MAX_CONNECTIONS_PER_ADDRESS,
+        .max_queued_requests = MAX(max_connections, MAX_TRACKED_MACHINES),
+        .max_response_bytes = settings_max_response_bytes(settings),
+        .connect_timeout_ms = CONNECT_TIMEOUT_MS,
+        .idle_timeout_ms = CLIENT_IDLE_TIMEOUT_MS,
+    };
+}
+
+static struct http_client *new_http_client(struct loop *loop, const struct settings *settings)
+{
+    struct http_client *http_client = http_client_new(loop, get_client_limits(settings));
     http_client_exempt_address(http_client, settings->kv_address);
     http_client_exempt_address(http_client, settings->cloud_address);
     for (guint i = 0; i < settings->siblings->len; i++)
         http_client_exempt_address(http_client,
                                    g_array_index(settings->siblings, struct sibling, i).endpoint);
-    struct node *node = node_new(loop, http_client, settings, policy, features);
-    struct http_server_limits api = {fds * 9 / 16, 64 << 10, 90000, 10000};
-    struct http_server_limits back = {MAX(fds / 16, 4 * settings->node_count),
-                                      settings_max_response_bytes(settings), 90000, 10000};
+    return http_client;
+}
+
+/** Opens the sockets for users and agents, and for other nodes. False: an address cannot be used.
+ */
+static bool open_servers(struct loop *loop, struct node *node, const struct settings *settings)
+{
+    int max_connections = get_max_connections(settings);
+    const struct http_server_limits api_limits = {
+        .max_connections = max_connections * 9 / 16,
+        .max_body_bytes = MAX_API_BODY_BYTES,
+        .idle_timeout_ms = SERVER_IDLE_TIMEOUT_MS,
+        .request_timeout_ms = SERVER_REQUEST_TIMEOUT_MS,
+    };
+    const struct http_server_limits rpc_limits = {
+        .max_connections =
+            MAX(max_connections / 16, MIN_RPC_CONNECTIONS_PER_NODE * settings->node_count),
+        .max_body_bytes = settings_max_response_bytes(settings),
+        .idle_timeout_ms = SERVER_IDLE_TIMEOUT_MS,
+        .request_timeout_ms = SERVER_REQUEST_TIMEOUT_MS,
+    };
     char *error = NULL;
-    if (!http_server_new(loop, settings->api_address, api, api_serve, node->api, &error) ||
-        !http_server_new(loop, settings->rpc_address, back, node_rpc_serve, node->rpc, &error)) {
-        LOG_ERROR("listen", "%s", error);
-        return 1;
-    }
+    if (http_server_new(loop, settings->api_address, api_limits, api_serve, node->api, &error) &&
+        http_server_new(loop, settings->rpc_address, rpc_limits, node_rpc_serve, node->rpc, &error))
+        return true;
+    LOG_ERROR("listen", "%s", error);
+    g_free(error);
+    return false;
+}
+
+/** Runs until the process is ended; returns only if it cannot begin. */
+static int run_node(const struct settings *settings, const struct policy *policy,
+                    const struct feature_set *features)
+{
+    struct loop *loop = loop_new();
+    struct http_client *http_client = new_http_client(loop, settings);
+    struct node *node = node_new(loop, http_client, settings, policy, features);
+    if (!open_servers(loop, node, settings))
+        return EXIT_FAILURE;
     LOG_INFO("start", "version=%s api=%s back=%s", LL_VERSION, settings->api_address,
              settings->rpc_address);
     node_start(node);
     loop_run(loop);
-    return 0;
+    return EXIT_SUCCESS;
 }
 
+/* ---- commands ---- */
+
 static int check_policy(const char *path)
 {
     GError *error = NULL;
@@ -119,57 +191,59 @@
     return 0;
 }
 
-/* Reads all that a node needs, and runs it unless it was only to be checked. */
+/** Sets up the log from LOG_LEVEL in the environment. False: that is not the name of a level. */
+static bool set_up_log(const struct settings *settings)
+{
+    const char *level = g_getenv("LOG_LEVEL");
+    return log_setup(level && *level ? level : "info", settings->label);
+}
+
+/** Reads all files of a node, and runs it unless they were only to be checked. */
 static int load_and_run(const struct options *options)
 {
     GError *error = NULL;
     struct settings *settings = settings_load(options->config, &error);
     struct policy *policy = NULL;
     struct feature_set features = feature_set_default();
-    int rc = EXIT_USAGE;
-    bool ok =
-        settings && (!options->features || feature_set_load(options->features, &features, &error));
-    if (ok)
+    int exit_code;
+    if (settings && (!options->features || feature_set_load(options->features, &features, &error)))
         policy = options->policy ? policy_load(options->policy, &error) : policy_default();
-    const char *level = g_getenv("LOG_LEVEL");
     if (!policy)
-        rc = config_error(error);
-    else if (!log_setup(level && *level ? level : "info", settings->label))
-        rc = usage_error("LOG_LEVEL: must be error, info or debug");
+        exit_code = config_error(error);
+    else if (!set_up_log(settings))
+        exit_code = usage_error("LOG_LEVEL: must be error, info or debug");
     else if (options->check_config)
-        rc = printf("%s: fine\n", options->config) < 0;
+        exit_code = printf("%s: fine\n", options->config) < 0;
     else
-        rc = run_node(settings, policy, &features);
+        exit_code = run_node(settings, policy, &features);
     if (policy)
         policy_free(policy);
     if (settings)
         settings_free(settings);
-    return rc;
+    return exit_code;
 }
 
-int main(int argc, char **argv)
+static int run_command(const struct options *options)
 {
-    struct options options = {0};
-    GError *problem = NULL;
-    int rc = 0;
-    if (!parse_options(argc, argv, &options, &problem)) {
-        rc = usage_error(problem->message);
-        g_error_free(problem);
-    } else if (options.version) {
+    if (options->version) {
         puts("linenlandingd " LL_VERSION);
-    } else if (options.check_policy) {
-        rc = check_policy(options.check_policy);
-    } else if (options.check_features) {
-        rc = check_features(options.check_features);
-    } else if (!options.config) {
-        rc = usage_error("--config FILE is missing");
-    } else {
-        rc = load_and_run(&options);
+        return EXIT_SUCCESS;
     }
-    g_free(options.config);
-    g_free(options.policy);
-    g_free(options.check_policy);
-    g_free(options.features);
-    g_free(options.check_features);
-    return rc;
+    if (options->check_policy)
+        return check_policy(options->check_policy);
+    if (options->check_features)
+        return check_features(options->check_features);
+    if (!options->config)
+        return usage_error("--config FILE is missing");
+    return load_and_run(options);
+}
+
+int main(int argc, char **argv)
+{
+    struct options options = {0};
+    GError *error = NULL;
+    int exit_code =
+        parse_options(argc, argv, &options, &error) ? run_command(&options) : config_error(error);
+    options_clear(&options);
+    return exit_code;
 }
