--- a/tests/transcript.sh
+++ b/tests/transcript.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # Compares what nodes do, seen from outside, between two builds: the whole-node tests write a
 # transcript of every message to and from users, workers, cloud, state service and between nodes,
-# with its simulated time (tests/transcript.h). It is a tool for changes that must not change
+# with its simulated time (tests/support/transcript.h). It is a tool for changes that must not change
 # behaviour, and no part of CI, as libm differs between machines.
 #
 #   tests/transcript.sh record DIR [BUILD]   writes the transcripts of the tests in BUILD/tests to DIR
