--- /dev/null
+++ b/tests/support/role_failures.c
@@ -0,0 +1,117 @@
+#include "role_failures.h"
+
+#include <string.h>
+
+static bool chance(struct role_scenario *scenario, double share)
+{
+    return g_rand_double(scenario->random) < share;
+}
+
+/* Short ones, some of about a lease of the state service (4 s), some longer than two. */
+static int64_t pause_ms(struct role_scenario *scenario)
+{
+    if (chance(scenario, 0.55))
+        return g_rand_int_range(scenario->random, 20, 300);
+    return chance(scenario, 0.7) ? g_rand_int_range(scenario->random, 3000, 5500)
+                                 : g_rand_int_range(scenario->random, 8500, 13000);
+}
+
+static void pause_node(struct role_scenario *scenario, int node, bool after_send)
+{
+    struct world *world = scenario->world;
+    if (world->paused[node] || role_scenario_count_paused(world) >= MOST_PAUSED)
+        return;
+    scenario->pauses++;
+    scenario->resume_at[node] = time_add_ms(loop_now(world->loop), pause_ms(scenario));
+    if (after_send)
+        world->pause_after_send[node] = true;
+    else
+        world_pause(world, node);
+}
+
+/* How likely a node stands still just as it sends this. */
+static double pause_share(const struct http_client_request *request)
+{
+    if (request_is_to_cloud(request))
+        return strcmp(request->method, "POST") == 0 ? 0.6 : 0.1;
+    if (strcmp(request->path, "/txn") != 0 || !request->body)
+        return 0.01;
+    if (strstr(request->body, "\"Set\":\"ll\\/duty\\/") || strstr(request->body, "ll\\/features"))
+        return 0.5;
+    return strstr(request->body, "ll\\/pending\\/") ? 0.6 : 0.05;
+}
+
+static bool is_return_intent(const struct http_client_request *request)
+{
+    return strcmp(request->path, "/txn") == 0 && strstr(request->body, "\"return\":[\"");
+}
+
+enum fate role_failures_fate(struct world *world, int node,
+                             const struct http_client_request *request)
+{
+    struct role_scenario *scenario = role_scenario_of(world);
+    if (!scenario->troubles || world->paused[node])
+        return FATE_NORMAL;
+    /* An intent waits while the epoch changes, and comes as something is placed. */
+    if (is_return_intent(request) && chance(scenario, 0.3)) {
+        membership_raise_epoch(world->nodes[node]->membership, "by the driver");
+        return FATE_HELD;
+    }
+    if (request_writes_records(request) && chance(scenario, 0.3))
+        scenario->deliver_at = loop_now(world->loop);
+    if (chance(scenario, pause_share(request)))
+        pause_node(scenario, node, chance(scenario, 0.5));
+    if (strcmp(request->path, "/txn") != 0 && !request_is_to_cloud(request))
+        return FATE_NORMAL;
+    static const enum fate fates[] = {FATE_LOST, FATE_ANSWER_LOST, FATE_HELD, FATE_LATE,
+                                      FATE_REFUSED};
+    return chance(scenario, 0.08)
+               ? fates[g_rand_int_range(scenario->random, 0, G_N_ELEMENTS(fates))]
+               : FATE_NORMAL;
+}
+
+static bool due(struct role_scenario *scenario, mono_time *at, int32_t least_ms, int32_t most_ms)
+{
+    mono_time now = loop_now(scenario->world->loop);
+    if (time_before(now, *at))
+        return false;
+    *at = time_add_ms(now, g_rand_int_range(scenario->random, least_ms, most_ms));
+    return true;
+}
+
+/* Processes end, and are back after some time or at once. */
+static void kill_and_start(struct role_scenario *scenario)
+{
+    struct world *world = scenario->world;
+    int node = g_rand_int_range(scenario->random, 0, WORLD_NODES);
+    if (due(scenario, &scenario->next_kill, 9000, 20000) && world->nodes[node]) {
+        world_kill(world, node);
+        scenario->start_at[node] =
+            time_add_ms(loop_now(world->loop), chance(scenario, 0.5) ? 50 : 3000);
+    }
+    for (int i = 0; i < WORLD_NODES; i++)
+        if (!world->nodes[i] && !time_before(loop_now(world->loop), scenario->start_at[i]))
+            world_start(world, i);
+}
+
+void role_failures_step(struct world *world)
+{
+    enum { EVERY_MS = 20 };
+    struct role_scenario *scenario = role_scenario_of(world);
+    mono_time now = loop_now(world->loop);
+    for (int i = 0; i < WORLD_NODES; i++)
+        if (world->paused[i] && !time_before(now, scenario->resume_at[i]))
+            world_resume(world, i);
+    if (now.us / 1000 % EVERY_MS)
+        return;
+    role_scenario_finish_tasks(world);
+    world->capacity = scenario->capacity;
+    if (!scenario->troubles)
+        return;
+    kill_and_start(scenario);
+    if (due(scenario, &scenario->deliver_at, 1000, 9000))
+        world_deliver_held(world);
+    struct node *leader = world_leader(world);
+    if (due(scenario, &scenario->raise_at, 800, 5000) && leader)
+        membership_raise_epoch(leader->membership, "by the driver");
+}
--- /dev/null
+++ b/tests/support/role_scenario.h
@@ -0,0 +1,96 @@
+/** Scenarios in which holders of singleton roles are paused, killed or cut off. They are judged by
+ * what the state service and the cloud carried out (duty_history.h), and by the order of closing a
+ * machine and recording its return. */
+#ifndef LL_TEST_ROLE_SCENARIO_H
+#define LL_TEST_ROLE_SCENARIO_H
+
+#include "duty_history.h"
+#include "world.h"
+
+enum {
+    MACHINES = 24,
+    MOST_PAUSED = 2, /* of three nodes */
+};
+
+/** Where the holder stands still, once: as it sends what contains the text, before or after. */
+struct stop {
+    const char *path, *text;
+    bool after_send;
+    int64_t ms;
+    bool successor_too; /* the next holder stands still at the same step */
+    enum fate fate;
+};
+
+/** A scenario: a world with singleton roles, its judges, and the failures to be played. */
+struct role_scenario {
+    struct world *world;
+    struct duty_history *history;
+    struct world_observer observer;
+    GRand *random;
+    GHashTable *closed_under; /* machine -> the map under which its owner last closed it */
+    char *closing_fault; /* an intent to return that was recorded under another map; NULL: none */
+    mono_time resume_at[WORLD_MOST_NODES], next_kill, start_at[WORLD_MOST_NODES];
+    mono_time deliver_at, raise_at;
+    int capacity; /* of the cloud, at any moment */
+    unsigned pauses, jobs;
+    bool troubles;
+    const struct stop *stop; /* NULL: none is played */
+    int stops;
+    int acts[WORLD_MOST_NODES]; /* requests to rent and to return, by node */
+};
+
+/** A world with singleton roles whose nodes can be paused. */
+struct world_plan role_scenario_plan(void);
+
+/** The scenario that a world belongs to. */
+struct role_scenario *role_scenario_of(struct world *world);
+
+/** Starts a scenario with three nodes and waits until jobs are accepted. fate decides on requests
+ * from the first one on; NULL: nothing fails. stop is kept for role_scenario_stop_once(); NULL:
+ * none. */
+struct role_scenario *role_scenario_new_with(unsigned seed, fate_fn fate, const struct stop *stop);
+
+/** The same without failures. */
+struct role_scenario *role_scenario_new(unsigned seed);
+
+/** Fails when the history or the order of closing and recording was wrong. */
+void role_scenario_expect_right(struct role_scenario *scenario);
+
+/** Checks the scenario and frees it. */
+void role_scenario_end(struct role_scenario *scenario);
+
+/** Completes the tasks that have run for TASK_MS. */
+void role_scenario_finish_tasks(struct world *world);
+
+/** How many nodes are paused. */
+int role_scenario_count_paused(const struct world *world);
+
+/** Whether a request goes to the cloud. */
+bool request_is_to_cloud(const struct http_client_request *request);
+
+/** Whether a request is a transaction that writes run records. */
+bool request_writes_records(const struct http_client_request *request);
+
+/** Writes an accepted job to the state service; no node need be up for that. */
+void role_scenario_add_job(struct role_scenario *scenario);
+
+/** Ends all failures and runs until everything is settled. */
+void role_scenario_settle(struct role_scenario *scenario);
+
+/** Fails when an intent is left on record. */
+void role_scenario_expect_no_intents(struct world *world);
+
+/** Fails when an intent or a machine without an owner is left. */
+void role_scenario_expect_settled(struct role_scenario *scenario);
+
+/** A fate_fn that pauses the node, or lets the request fail, at the scenario's struct stop. */
+enum fate role_scenario_stop_once(struct world *world, int node,
+                                  const struct http_client_request *request);
+
+/** The node that holds a role, or -1; fails when there are two. */
+int role_scenario_holder(struct world *world, enum singleton_role role);
+
+/** The fencing token of a role's record. */
+uint64_t role_scenario_token(struct world *world, enum singleton_role role);
+
+#endif
--- a/tests/support/trouble_fixtures.c
+++ b/tests/support/trouble_fixtures.c
@@ -72,3 +72,10 @@
     world_expect_stage(world, node, "wk-3", "running");
     assert_int_equal(world_ask(world, node, "GET", "/ready", NULL).status, 200);
 }
+
+enum fate late_watches(struct world *world, int node, const struct http_client_request *request)
+{
+    (void)world;
+    (void)node;
+    return g_str_has_prefix(request->path, "/watch") ? FATE_LATE : FATE_NORMAL;
+}
--- /dev/null
+++ b/tests/test_combined_machine_failures.c
@@ -0,0 +1,273 @@
+/** Machines that fail, hang, cannot be reached or are new, with other failures at the same time.
+ * See docs/safety.md. */
+#include "combined_failures.h"
+
+/* "Jobs bound to one zone, arrays too, lose machines": what they lose starts again in the zone in
+ * which the others still are, and elsewhere only once none is left there. */
+static void jobs_in_one_zone_that_lose_machines_stay_together(void **state)
+{
+    struct world *world = *state;
+    combined_start_machines(world, 2, 8, true);
+    struct known *bound[] = {user_job_add("wk-1", "sweep", 6, "blue", 2.0),
+                             user_job_add("wk-2", "daemon", 3, "blue", 2.0)};
+    for (int i = 0; i < 2; i++) {
+        bound[i]->one_zone = true;
+        user_job_replace_text(bound[i], "\"OneZone\":false", "\"OneZone\":true");
+        combined_request(world, i, ASK_SUBMIT, bound[i]);
+    }
+    combined_run(world, 5000);
+    for (int i = 0; i < 2; i++)
+        combined_expect_on_machines(world, bound[i], bound[i]->tasks);
+    for (int round = 0; round < 4; round++) {
+        struct worker *worker = NULL;
+        for (int i = 0; i < 2 && !worker; i++)
+            worker = combined_worker_of(world, bound[(round + i) % 2], 0);
+        assert_non_null(worker);
+        char zone[4];
+        g_strlcpy(zone, worker->zone, sizeof zone);
+        for (int i = 0; i < WORLD_WORKERS; i++) /* one, and at last the whole zone */
+            if (&world->workers[i] == worker ||
+                (round == 3 && world->workers[i].up && strcmp(world->workers[i].zone, zone) == 0))
+                world->workers[i].silent = true;
+        world->capacity = round == 3 ? 4 : 2;
+        if (round % 2) {
+            int gone = combined_kill_leader(world);
+            combined_run(world, 3000);
+            world_start(world, gone);
+        }
+        combined_run(world, 30000);
+    }
+    world->capacity = 2; /* the zone may lack room, which is rented there and not elsewhere */
+    combined_run(world, 20000);
+    for (int i = 0; i < 2; i++)
+        combined_expect_on_machines(world, bound[i], bound[i]->tasks);
+    assert_in_range(world->rented, 0, 16);
+    combined_expect_recovery(world);
+}
+
+/* "Workers can't open connections to any controller, while direct commands still reach them": their
+ * leases run out, and what ran goes on elsewhere, or there in a later session. */
+static void workers_that_reach_no_controller_are_still_told(void **state)
+{
+    struct world *world = *state;
+    combined_start_machines(world, 4, 8, false);
+    struct known *service = combined_submit(world, 0, "wk-1", "daemon", 6),
+                 *upstream_cancelled = combined_submit(world, 1, "wk-2", "daemon", 6);
+    combined_run(world, 4000);
+    for (int i = 4; i < 8; i++)
+        world->workers[i].quiet_until = time_add_ms(loop_now(world->loop), i < 6 ? 8000 : 40000);
+    combined_run(world, 500);
+    combined_cancel(world, 0, upstream_cancelled);
+    combined_run(world, 3000);
+    combined_expect_on_machines(world, upstream_cancelled, 0); /* told straight */
+    struct known *more = combined_submit(world, 2, "wk-3", "sweep", 2);
+    combined_run(world, 50000);
+    combined_expect_on_machines(world, service, 6);
+    combined_expect_on_machines(world, more, 2);
+    combined_expect_recovery(world);
+}
+
+/* "A leader ends while machines with long tasks can't be reached, or don't hear the new leader's
+ * answer": they are within their leases, so their tasks go on where they are. */
+static void a_leader_ends_while_machines_are_out_of_reach(void **state)
+{
+    struct world *world = *state;
+    combined_start_machines(world, 2, 8, false);
+    struct known *service = combined_submit(world, 0, "wk-1", "daemon", 10);
+    combined_run(world, 4000);
+    for (int round = 0; round < 2; round++) {
+        int starts = world_starts(world);
+        bool away[WORLD_WORKERS] = {false};
+        for (int i = 2, n = 0; i < 8; i++)
+            if (world->workers[i].tasks->len) {
+                away[i] = true;
+                *(n++ % 2 ? &world->workers[i].silent : &world->workers[i].deaf) = true;
+            }
+        combined_run(world, 500);
+        int old = combined_kill_leader(world);
+        struct known *more = combined_submit(world, combined_other_node(world, old),
+                                             round ? "wk-3" : "wk-2", "sweep", 2);
+        combined_run(world, 6000);
+        combined_expect_on_machines(world, more, 2); /* on machines that hear */
+        for (int i = 2; i < 8; i++)
+            assert_false(away[i] && (worker_task(&world->workers[i], more->id, 0) ||
+                                     worker_task(&world->workers[i], more->id, 1)));
+        if (!round)
+            assert_int_equal(world_starts(world), starts + 2);
+        combined_run(world, round ? 14000 : 500); /* the second time past their leases */
+        for (int i = 2; i < 8; i++)
+            world->workers[i].silent = world->workers[i].deaf = false;
+        world_start(world, old);
+        combined_run(world, 12000);
+        combined_expect_on_machines(world, service, 10);
+        combined_cancel(world, 1, more);
+        combined_run(world, 3000);
+    }
+    combined_cancel(world, 0, service);
+    combined_run(world, 3000);
+    combined_expect_on_machines(world, service, 0);
+    combined_expect_recovery(world);
+}
+
+static enum fate slow_links(struct world *world, int node,
+                            const struct http_client_request *request)
+{
+    static int n;
+    (void)world;
+    (void)node;
+    if (request_is_to_state(request))
+        return FATE_NORMAL;
+    return n++ % 5 == 0 ? FATE_ANSWER_LOST : n % 2 ? FATE_LATE : FATE_NORMAL;
+}
+
+/* "There is more work than room, urgent and not, over slow links". */
+static void more_work_than_room_over_slow_links(void **state)
+{
+    struct world *world = *state;
+    combined_start_machines(world, 5, 8, false);
+    world->fate = slow_links;
+    for (int n = 0; n < 24; n++) {
+        char id[16];
+        g_snprintf(id, sizeof id, "wk-%02d", n);
+        struct known *known = user_job_add(id, "sweep", 4, n % 2 ? "red" : "blue", 2.0);
+        if (n % 3 == 0)
+            user_job_replace_text(known, "\"high\"", "\"best_effort\"");
+        user_job_request(world, n % WORLD_NODES, ASK_SUBMIT, known);
+        combined_run(world, 1500);
+        for (guint k = 0; k < user_jobs->len; k++)
+            if ((k + (guint)n) % 4 == 0)
+                combined_end_job(world, user_jobs->pdata[k]);
+    }
+    for (int round = 0; round < 40; round++) {
+        combined_run(world, 1500);
+        for (guint k = 0; k < user_jobs->len; k++)
+            combined_end_job(world, user_jobs->pdata[k]);
+    }
+    combined_run(world, 3000);
+    for (guint k = 0; k < user_jobs->len; k++) {
+        combined_request(world, (int)k % WORLD_NODES, ASK_POLL, user_jobs->pdata[k]);
+        assert_int_equal(((struct known *)user_jobs->pdata[k])->told, TOLD_DONE);
+    }
+    combined_expect_recovery(world);
+}
+
+static bool hold;
+static enum fate hold_commands(struct world *world, int node,
+                               const struct http_client_request *request)
+{
+    static int n;
+    (void)world;
+    (void)node;
+    return !hold || !request_is_command(request) ? FATE_NORMAL
+           : n++ % 2                             ? FATE_HELD
+                                                 : FATE_ANSWER_LOST;
+}
+
+/* "A command or its answer is held up for seconds, and the machine then goes on". */
+static void commands_are_held_up_and_the_machine_goes_on(void **state)
+{
+    struct world *world = *state;
+    combined_start_machines(world, 5, 8, false);
+    world->fate = hold_commands;
+    for (int round = 0; round < 4; round++) {
+        char id[2][16];
+        struct known *known[2];
+        hold = true;
+        for (int i = 0; i < 2; i++) {
+            g_snprintf(id[i], sizeof id[i], "wk-%d%d", round, i);
+            known[i] = combined_submit(world, i, id[i], "sweep", 6);
+        }
+        for (int i = 0; i < 200 && !world->held->len; i++)
+            combined_run(world, STEP_MS);
+        assert_true(world->held->len > 0);
+        for (int i = 5; i < 8; i++)
+            world->workers[i].silent = round % 2 == 0 && (i + round) % 3 != 0;
+        if (round % 2 == 0) /* which raises the epoch, so that old commands count no more */
+            combined_cancel(world, 2, known[0]);
+        combined_run(world, round % 2 ? 5000 : 7500);
+        for (int i = 5; i < 8; i++)
+            world->workers[i].silent = false;
+        if (round % 2 == 0)
+            world_deliver_held(world);
+        combined_run(world, 6000);
+        combined_end_job(world, known[0]);
+        combined_end_job(world, known[1]);
+        combined_run(world, 3000);
+        int starts = world_starts(world);
+        world_deliver_held(world); /* commands for what is over */
+        hold = false;
+        combined_check(world);
+        combined_run(world, 8000);
+        if (round % 2)
+            assert_int_equal(world_starts(world), starts);
+        combined_end_job(world, known[1]);
+        combined_run(world, 3000);
+        combined_expect_on_machines(world, known[0], 0);
+        combined_expect_on_machines(world, known[1], 0);
+        combined_request(world, 0, ASK_POLL, known[1]);
+        assert_int_equal(known[1]->told, TOLD_DONE);
+    }
+    combined_expect_recovery(world);
+}
+
+static bool hold_writes;
+static enum fate lagging_writes(struct world *world, int node,
+                                const struct http_client_request *request)
+{
+    static int n;
+    (void)world;
+    (void)node;
+    if (!request_is_txn(request) || !strstr(request->body, "ll\\/p\\/"))
+        return FATE_NORMAL;
+    return hold_writes ? FATE_HELD : n++ % 3 ? FATE_SLOW : FATE_LATE;
+}
+
+/* "New machines are up within two seconds and get work at once while writes lag, and the leader
+ * ends". */
+static void new_machines_get_work_while_writes_lag_and_the_leader_ends(void **state)
+{
+    struct world *world = *state;
+    world->fate = lagging_writes;
+    struct known *known[4];
+    for (int round = 0; round < 4; round++) {
+        char id[16];
+        g_snprintf(id, sizeof id, "wk-%d", round);
+        world->capacity = 2;
+        hold_writes = round % 2;
+        known[round] = combined_submit(world, round % WORLD_NODES, id, "sweep", 8);
+        for (int i = 0; i < 400 && world->capacity; i++)
+            combined_run(world, STEP_MS);
+        for (int i = 0; i < 300 && hold_writes && !world->held->len; i++)
+            combined_run(world, STEP_MS);
+        combined_run(world,
+                     300 + 900 * round); /* dealt, being written, or the command on its way */
+        int old = combined_kill_leader(world);
+        if (round == 2)
+            combined_cancel(world, combined_other_node(world, old), known[2]);
+        assert_true(!hold_writes || world->held->len > 0);
+        hold_writes = false;
+        combined_run(world, 2500);
+        world_start(world, old);
+        combined_run(world, 4000);
+        world_deliver_held(world); /* what it wrote last */
+        combined_run(world, 2000);
+    }
+    world->fate = NULL;
+    combined_run(world, 20000);
+    for (int round = 0; round < 4; round++)
+        combined_expect_on_machines(world, known[round], round == 2 ? 0 : 8);
+    combined_expect_recovery(world);
+}
+
+int main(void)
+{
+    const struct CMUnitTest tests[] = {
+        COMBINED_TEST(jobs_in_one_zone_that_lose_machines_stay_together),
+        COMBINED_TEST(workers_that_reach_no_controller_are_still_told),
+        COMBINED_TEST(a_leader_ends_while_machines_are_out_of_reach),
+        COMBINED_TEST(more_work_than_room_over_slow_links),
+        COMBINED_TEST(commands_are_held_up_and_the_machine_goes_on),
+        COMBINED_TEST(new_machines_get_work_while_writes_lag_and_the_leader_ends),
+    };
+    return cmocka_run_group_tests(tests, NULL, NULL);
+}
--- /dev/null
+++ b/tests/test_record_pages.c
@@ -0,0 +1,265 @@
+/** Pages of run records: machines that go before a record is written, and pages that change hands.
+ */
+#include "run_records_internal.h"
+#include "trouble_fixtures.h"
+
+#include <string.h>
+
+/* More machines go at once than a transaction may hold writes for, which the world asserts. */
+static void many_machines_go_at_once(void **state)
+{
+    struct world *world = *state;
+    world_kill(world, 1);
+    world_kill(world, 2);
+    world->capacity = 0;
+    for (int i = 0; i < WORLD_WORKERS; i++)
+        world_worker(world, i, i % 2 ? "a" : "b", true);
+    world_run(world, 6000);
+    world_submit(world, 0, "wk-1", "daemon", 32);
+    world_run(world, 4000);
+    assert_int_equal(world_on_machines(world, "wk-1"), 32);
+    for (int i = 0; i < WORLD_WORKERS; i++)
+        world->workers[i].silent = true;
+    world_run(world, 12000);
+    assert_int_equal(world->returned, WORLD_WORKERS);
+    assert_int_equal(g_hash_table_size(world->nodes[0]->replica->machines), 0);
+    world_worker(world, 3, "a", true);
+    world_run(world, 5000);
+    assert_int_equal(world_on_machines(world, "wk-1"), 4);
+}
+
+/* Whether the nodes have used up their share of the writes. */
+static void writes_wait(struct world *world, bool wait)
+{
+    for (int i = 0; i < WORLD_NODES; i++) {
+        world->nodes[i]->shard->records.write_budget = wait ? -2000 : 1;
+        timer_start(world->loop, &world->nodes[i]->shard->records.flush_timer, 1);
+    }
+}
+
+/* A task is placed on a machine that goes before its start is on record. It used to stay dealt in
+ * the leader's ledger, and so never ran. */
+static void what_was_placed_on_a_machine_that_goes_is_dealt_again(void **state)
+{
+    struct world *world = *state;
+    world->capacity = 0;
+    struct worker *old = world_worker(world, 7, "a", true);
+    world_run(world, 3000);
+    writes_wait(world, true);
+    world_submit(world, 0, "wk-1", "sweep", 2);
+    world_run(world, 1000);
+    old->silent = true;
+    world_run(world, 9000);
+    assert_false(old->up);
+    writes_wait(world, false);
+    world_worker(world, 6, "b", true);
+    world_run(world, 6000);
+    assert_int_equal(world_on_machines(world, "wk-1"), 2);
+}
+
+/* More records than one page holds, on pages that change hands when nodes go and come: the state
+ * service takes no value that is too long, which the world asserts, so a page that is reckoned
+ * emptier than it is would stop all that is written. */
+static void submit_long_names(struct world *world, int from, int to)
+{
+    for (int i = from; i < to; i++) {
+        char id[48];
+        g_snprintf(id, sizeof id, "wk-%03d-a-long-name-that-takes-much-of-the-page", i);
+        char *job = world_job(id, "daemon", 1, "blue", 0.2, "");
+        assert_int_equal(world_ask(world, i % 2, "POST", "/work", job).status, 201);
+        g_free(job);
+    }
+}
+
+static void full_pages_change_hands(void **state)
+{
+    struct world *world = *state;
+    world->capacity = 0;
+    world_kill(world, 2); /* two nodes have more to write each */
+    for (int i = 2; i < WORLD_WORKERS; i++)
+        world_worker(world, i, i % 2 ? "a" : "b", false);
+    world_run(world, 3000);
+    submit_long_names(world, 0, 140);
+    world_run(world, 6000);
+    assert_int_equal(world_starts(world), 140);
+    /* What waits now is dealt all at once, when the nodes have just been started. */
+    for (int i = 2; i < WORLD_WORKERS; i++)
+        world->workers[i].silent = true;
+    world_run(world, 4500);
+    submit_long_names(world, 140, 188);
+    for (int i = 0; i < 2; i++) {
+        world_kill(world, i);
+        world_start(world, i);
+    }
+    for (int i = 2; i < WORLD_WORKERS; i++)
+        world->workers[i].silent = false;
+    world_run(world, 9000);
+    world_start(world, 2);
+    assert_int_equal(world_starts(world), 188);
+    for (int round = 0; round < 4; round++) {
+        int node = round % 3;
+        world_kill(world, node);
+        world_run(world, round == 3 ? 200 : 7000);
+        world_start(world, node);
+        world_run(world, 7000);
+    }
+    assert_int_equal(world_starts(world), 188);
+    char *last = world_job("wk-last", "sweep", 4, "blue", 0.2, "");
+    assert_int_equal(world_ask(world, 0, "POST", "/work", last).status, 201);
+    g_free(last);
+    world_run(world, 5000);
+    assert_int_equal(world_on_machines(world, "wk-last"), 4);
+    assert_true(g_hash_table_size(world->nodes[0]->replica->pages) > 3);
+}
+
+/* A machine that hung is back with its next session before anybody missed it: what ran is gone, and
+ * starts again at once. */
+/* A page of a node that is away, as it may have been written: six machines with tasks of two jobs
+ * each, or every step-th of them. */
+static char *page_of_two_jobs(int step)
+{
+    GString *s = g_string_new("{\"t\":\"");
+    for (int host = 0; host < 6; host++) {
+        g_string_append_printf(s, "@host-90000%d =10.1.9.%d:9000,g8,a,0 ", host, host);
+        for (int job = 1; job <= 2; job++) {
+            g_string_append_printf(s, "#wk-%d *1 ", job);
+            for (int i = 0; i < 100; i += step)
+                g_string_append_printf(s, "%d ", host * 100 + i);
+        }
+    }
+    g_string_append(s, "\",\"d\":\"\"}");
+    return g_string_free(s, FALSE);
+}
+
+/* What is left on a page once tasks have gone is no longer in the order of machines and jobs. It is
+ * taken over all the same, in texts that are not too long (the state service's stand-in sees to
+ * that). */
+static void a_page_in_disorder_changes_hands(void **state)
+{
+    struct world *world = *state;
+    world->capacity = 0;
+    world_submit(world, 0, "wk-1", "sweep", 600);
+    world_submit(world, 0, "wk-2", "sweep", 600);
+    char *whole = page_of_two_jobs(1), *half = page_of_two_jobs(2);
+    world_put(world, "ll/p/mast-7/0", whole);
+    world_run(world, 500);
+    world_put(world, "ll/p/mast-7/0", half);
+    world_run(world, 500);
+    membership_raise_epoch(world_leader(world)->membership, "test");
+    world_run(world, 8000);
+    GHashTableIter it;
+    struct record_page *page;
+    guint tasks = 0;
+    g_hash_table_iter_init(&it, world->nodes[0]->replica->pages);
+    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&page)) {
+        tasks += page->run_records->len;
+        assert_true(strcmp(page->label, "mast-7") != 0 || page->run_records->len == 0);
+    }
+    assert_int_equal(tasks, 600);
+    g_free(whole);
+    g_free(half);
+}
+
+static enum fate slow_to_take_over(struct world *world, int node,
+                                   const struct http_client_request *request)
+{
+    (void)world;
+    (void)node;
+    return strcmp(request->path, "/txn") == 0 && strstr(request->body, "mast-7") ? FATE_SLOW
+                                                                                 : FATE_NORMAL;
+}
+
+/* While a machine's records are being taken over to a page, a new task finds no room there and goes
+ * to another one. The first one may not be written without what was put on it. */
+static void records_leave_the_page_they_were_put_on(void **state)
+{
+    struct world *world = *state;
+    world->capacity = 0;
+    struct worker *worker = world_worker(world, 2, "a", true);
+    world_run(world, 2500);
+    world_submit(world, 0, "wk-1", "sweep", 1);
+    world_run(world, 3000);
+    assert_int_equal(worker->tasks->len, 1);
+    /* Its record stands on a page of a node that is away, not on its owner's. */
+    int owner = shard_map_get_owner(world->nodes[0]->replica, worker->id)[5] - '0';
+    struct shard *shard = world->nodes[owner]->shard;
+    char *own = key_record_page(shard->settings->label, 0),
+         *text = g_strdup_printf("{\"t\":\"@%s #wk-1 *%" G_GUINT64_FORMAT " 0 \",\"d\":\"\"}",
+                                 worker->id, g_array_index(worker->tasks, struct wtask, 0).attempt);
+    world_put(world, "ll/p/mast-7/0", text);
+    world->fate = slow_to_take_over;
+    world_put(world, own, "{\"t\":\"\",\"d\":\"\"}"); /* so it takes the machine over */
+    struct machine *machine = NULL;
+    struct task_run *run = NULL;
+    for (int i = 0; i < 400 && !(run && run->record.is_in_txn && run->record.is_foreign); i++) {
+        world_run(world, 1);
+        machine = shard_find_machine(shard, worker->id);
+        run = machine && machine->runs->len ? machine->runs->pdata[0] : NULL;
+    }
+    assert_true(run && run->record.is_in_txn && run->record.is_foreign);
+    int put = run->record.next_page;
+    ((struct own_page *)shard->records.pages->pdata[put])->bytes = shard_max_page_bytes(shard);
+    world_submit(world, 0, "wk-2", "sweep", 1);
+    for (int i = 0; i < 3000 && run->record.is_foreign; i++)
+        world_run(world, 1);
+    assert_int_equal(run->record.page, put);
+    world_run(world, 4000);
+    assert_int_equal(machine->runs->len, 2); /* its records are on two pages now */
+    assert_int_not_equal(((struct task_run *)machine->runs->pdata[1])->record.page, put);
+    world_worker(world, 3, "a", true); /* where a task that looks free would be started */
+    world_run(world, 6000);
+    assert_int_equal(world_on_machines(world, "wk-1") + world_on_machines(world, "wk-2"), 2);
+    assert_int_equal(world_starts(world), 2);
+    g_free(own);
+    g_free(text);
+}
+
+/* Answers to watches come later than those to transactions, so a node that learns that another one
+ * has written a page of its own knows newer things of its other pages than its view shows: tasks
+ * recorded a moment ago were taken for freed, and stopped. */
+static void a_view_that_lags_frees_nothing(void **state)
+{
+    struct world *world = *state;
+    world->capacity = 0;
+    for (int i = 4; i < WORLD_WORKERS; i++)
+        world_worker(world, i, i % 2 ? "a" : "b", true);
+    world_run(world, 3000);
+    world->fate = late_watches;
+    char *job = world_job("wk-1", "sweep", 400, "blue", 0.5, "");
+    assert_int_equal(world_ask(world, 0, "POST", "/work", job).status, 201);
+    g_free(job);
+    int ended = 0;
+    for (int i = 0; i < 300; i++) {
+        for (int k = 4; k < WORLD_WORKERS; k++) {
+            struct worker *worker = &world->workers[k];
+            if (i % 3 == 0 && worker->tasks->len &&
+                strcmp(g_array_index(worker->tasks, struct wtask, 0).stage, "running") == 0) {
+                worker_exit(worker, "wk-1", g_array_index(worker->tasks, struct wtask, 0).index,
+                            "done");
+                worker_report(worker);
+                ended++;
+            }
+        }
+        for (int node = 0; node < WORLD_NODES; node++) {
+            char *page = key_record_page(world->nodes[node]->settings->label, 40);
+            world_put(world, page, "{\"t\":\"\",\"d\":\"\"}");
+            g_free(page);
+        }
+        world_run(world, 70);
+    }
+    assert_in_range(ended, 50, 400);
+    assert_int_equal(world_starts(world), ended + world_on_machines(world, "wk-1"));
+}
+
+int main(void)
+{
+    const struct CMUnitTest tests[] = {
+        WORLD_TEST_SETTLED(many_machines_go_at_once),
+        WORLD_TEST(what_was_placed_on_a_machine_that_goes_is_dealt_again),
+        WORLD_TEST(full_pages_change_hands),
+        WORLD_TEST(a_page_in_disorder_changes_hands),
+        WORLD_TEST(records_leave_the_page_they_were_put_on),
+        WORLD_TEST(a_view_that_lags_frees_nothing),
+    };
+    return cmocka_run_group_tests(tests, NULL, NULL);
+}
--- /dev/null
+++ b/tests/test_role_feature_switch.c
@@ -0,0 +1,96 @@
+/** Singleton roles begin once all nodes know them, and end once no node's operators want them. */
+#include "role_scenario.h"
+
+static void restart_node(struct role_scenario *scenario, int node)
+{
+    world_kill(scenario->world, node);
+    world_run(scenario->world, 500);
+    world_start(scenario->world, node);
+    world_run(scenario->world, 3000);
+}
+
+static void expect_job_served(struct role_scenario *scenario)
+{
+    int returned = scenario->world->returned;
+    role_scenario_add_job(scenario);
+    world_run(scenario->world, 15000);
+    char id[24];
+    g_snprintf(id, sizeof id, "wk-%05u", scenario->jobs);
+    world_expect_stage(scenario->world, 0, id, "done");
+    assert_true(scenario->world->returned > returned);
+}
+
+/* The last node that wants duties goes away while a request to rent has no answer and machines are
+ * to be returned: they stay on until that is settled. */
+static void expect_open_intents_keep_it_on(struct role_scenario *scenario)
+{
+    struct world *world = scenario->world;
+    role_scenario_add_job(scenario);
+    world_run(world, 3000); /* its machines are up and idle soon */
+    world->cloud_down = true;
+    role_scenario_add_job(scenario);
+    world_run(world, 1000);
+    restart_node(scenario, WORLD_NODES - 1);
+    world_run(world, 10000);
+    assert_non_null(world_key(world, "ll/features"));
+    world->cloud_down = false;
+    world_run(world, 30000);
+    assert_null(world_key(world, "ll/features"));
+    for (int i = 0; i < world->plan.workers; i++)
+        assert_false(world->workers[i].up);
+}
+
+/* A fleet in which one node after the other learns of duties: they begin when all have. They end
+ * once no node's operators want them. */
+static void the_switch_waits_for_all_nodes(void **state)
+{
+    (void)state;
+    struct role_scenario *scenario = role_scenario_new(1);
+    struct world *world = scenario->world;
+    world->observer = NULL; /* without duties acts are on no record */
+    for (int i = 0; i < WORLD_NODES; i++)
+        world_kill(world, i);
+    world_run(world, 6000);
+    world_remove(world, "ll/features");
+    for (int i = 0; i < WORLD_NODES; i++) {
+        char *version = g_strdup_printf("ll/v/mast-%d", i);
+        world_put(world, version, "{\"v\":1}");
+        g_free(version);
+        world->old[i] = true;
+        world_start(world, i);
+    }
+    world_run(world, 4000);
+    for (int i = 0; i < WORLD_NODES; i++) {
+        expect_job_served(scenario);
+        assert_null(world_key(world, "ll/features"));
+        assert_null(world_key(world, "ll/duty/fleet"));
+        world->old[i] = false;
+        restart_node(scenario, i);
+    }
+    assert_string_equal(world_key(world, "ll/features"), "{\"duties\":true}");
+    assert_non_null(world_key(world, "ll/duty/fleet"));
+    expect_job_served(scenario);
+    world->features.singleton_roles.is_enabled = false;
+    for (int i = 0; i < WORLD_NODES; i++) {
+        assert_non_null(world_key(world, "ll/features"));
+        if (i == WORLD_NODES - 1)
+            expect_open_intents_keep_it_on(scenario);
+        else
+            restart_node(scenario, i);
+        expect_job_served(scenario);
+    }
+    assert_null(world_key(world, "ll/features"));
+    assert_null(world_key(world, "ll/duty/fleet"));
+    assert_null(world_key(world, "ll/duty/cleanup"));
+    assert_null(world_key(world, "ll/pending/fleet/0"));
+    expect_job_served(scenario);
+    role_scenario_end(scenario);
+}
+
+int main(void)
+{
+    const struct CMUnitTest tests[] = {
+        cmocka_unit_test(the_switch_waits_for_all_nodes),
+    };
+    return cmocka_run_group_tests(tests, NULL, NULL);
+}
--- /dev/null
+++ b/tests/test_role_handover.c
@@ -0,0 +1,222 @@
+/** Who holds a singleton role: claims, hand-over, restarts and outages. */
+#include "delay_histogram.h"
+#include "role_scenario.h"
+#include "scheduler_internal.h"
+
+#include <stdio.h>
+
+static void all_claim_in_the_same_instant(void **state)
+{
+    (void)state;
+    struct role_scenario *scenario = role_scenario_new(1);
+    struct world *world = scenario->world;
+    for (int round = 0; round < 20; round++) {
+        world_remove(world, "ll/duty/cleanup");
+        for (int i = 0; i < WORLD_NODES; i++)
+            role_manager_claim(world->nodes[i]->role_manager, ROLE_GARBAGE_COLLECTOR);
+        /* All claims are answered by the time that the first holder is known. */
+        unsigned holders = duty_history_holders(scenario->history);
+        while (duty_history_holders(scenario->history) == holders)
+            world_run(world, 1);
+        world_run(world, 1);
+        assert_int_equal(duty_history_holders(scenario->history), holders + 1);
+        for (int ms = 0; ms < 900; ms++) {
+            world_run(world, 1);
+            role_scenario_holder(world, ROLE_GARBAGE_COLLECTOR);
+        }
+        assert_true(role_scenario_holder(world, ROLE_GARBAGE_COLLECTOR) >= 0);
+    }
+    role_scenario_end(scenario);
+}
+
+static void clean_up_is_handed_over_to_a_named_node(void **state)
+{
+    (void)state;
+    struct role_scenario *scenario = role_scenario_new(1);
+    struct world *world = scenario->world;
+    int leader = world_leader_index(world),
+        before = role_scenario_holder(world, ROLE_GARBAGE_COLLECTOR);
+    assert_true(before >= 0 && before != leader);
+    assert_int_equal(role_scenario_holder(world, ROLE_AUTOSCALER), leader);
+    uint64_t token = role_scenario_token(world, ROLE_GARBAGE_COLLECTOR);
+    int to = 3 - leader - before; /* the third node */
+    const struct node_record *node =
+        g_hash_table_lookup(world->nodes[before]->replica->nodes, world->settings[to]->label);
+    struct role_holder successor = {.incarnation = node->incarnation};
+    g_strlcpy(successor.label, node->label, sizeof successor.label);
+    role_manager_claim(world->nodes[to]->role_manager, ROLE_GARBAGE_COLLECTOR);
+    assert_true(role_manager_hand_over(world->nodes[before]->role_manager, ROLE_GARBAGE_COLLECTOR,
+                                       &successor));
+    assert_int_equal(role_scenario_holder(world, ROLE_GARBAGE_COLLECTOR),
+                     -1); /* it stops at once */
+    world_run(world, 20);
+    assert_true(role_scenario_token(world, ROLE_GARBAGE_COLLECTOR) > token);
+    /* The keeper of the third node gives it back to the one that is chosen. */
+    world_run(world, 2000);
+    assert_int_equal(role_scenario_holder(world, ROLE_GARBAGE_COLLECTOR), before);
+    role_scenario_end(scenario);
+}
+
+/* A duty is not handed to a process that is no more: the holder goes on. */
+static void nothing_is_handed_to_a_dead_process(void **state)
+{
+    (void)state;
+    struct role_scenario *scenario = role_scenario_new(1);
+    struct world *world = scenario->world;
+    int holder = role_scenario_holder(world, ROLE_GARBAGE_COLLECTOR);
+    struct role_holder dead = {"mast-9", {999}};
+    assert_true(
+        role_manager_hand_over(world->nodes[holder]->role_manager, ROLE_GARBAGE_COLLECTOR, &dead));
+    world_run(world, 2000);
+    assert_int_equal(role_scenario_holder(world, ROLE_GARBAGE_COLLECTOR), holder);
+    role_scenario_end(scenario);
+}
+
+static void a_holder_back_at_once_is_another_process(void **state)
+{
+    (void)state;
+    struct role_scenario *scenario = role_scenario_new(1);
+    struct world *world = scenario->world;
+    for (int round = 0; round < 5; round++) {
+        int leader = world_leader_index(world);
+        uint64_t token = role_scenario_token(world, ROLE_AUTOSCALER);
+        world_kill(world, leader);
+        world_run(world, 50);
+        world_start(world, leader);
+        world_run(world, 1500); /* less than the lease of the process before */
+        assert_true(role_scenario_holder(world, ROLE_AUTOSCALER) >= 0);
+        assert_true(role_scenario_token(world, ROLE_AUTOSCALER) > token);
+    }
+    role_scenario_end(scenario);
+}
+
+/* The holder cannot reach the state service, nor does the cloud serve it: it asks again, but no
+ * more once its lease has run out. */
+static void expect_no_acts(struct role_scenario *scenario, int node, int64_t ms)
+{
+    int first = scenario->acts[node];
+    world_run(scenario->world, 5000);
+    assert_true(scenario->acts[node] > first);
+    int before = scenario->acts[node];
+    world_run(scenario->world, ms);
+    assert_int_equal(scenario->acts[node], before);
+}
+
+/* The state service is away for that long for the holder alone, or for all. */
+static void play_absence(bool for_all)
+{
+    struct role_scenario *scenario = role_scenario_new(1);
+    struct world *world = scenario->world;
+    world->fate = role_scenario_stop_once;
+    int leader = world_leader_index(world);
+    world->cloud_down = true;
+    role_scenario_add_job(scenario);
+    world_run(world, 2000);
+    world->state_down = for_all;
+    world->refused[leader] = !for_all;
+    expect_no_acts(scenario, leader, 15000);
+    assert_true(role_scenario_holder(world, ROLE_AUTOSCALER) != leader);
+    world->state_down = world->refused[leader] = world->cloud_down = false;
+    role_scenario_settle(scenario);
+    role_scenario_expect_settled(scenario);
+    role_scenario_end(scenario);
+}
+
+static void a_holder_that_is_refused_does_nothing(void **state)
+{
+    (void)state;
+    play_absence(false);
+}
+
+static void in_an_outage_nobody_acts(void **state)
+{
+    (void)state;
+    play_absence(true);
+}
+
+/* ---- a measurement, which is no test ---- */
+
+enum ending { ENDS_BY_CRASH, ENDS_BY_RESTART, ENDS_BY_PAUSE, ENDS_BY_HAND_OVER, ENDINGS };
+
+static void end_holder(struct role_scenario *scenario, enum ending ending, int holder)
+{
+    struct world *world = scenario->world;
+    struct role_holder successor = {0};
+    switch (ending) {
+    case ENDS_BY_CRASH:
+        world_kill(world, holder);
+        break;
+    case ENDS_BY_RESTART:
+        world_kill(world, holder);
+        world_start(world, holder);
+        break;
+    case ENDS_BY_PAUSE:
+        world_pause(world, holder);
+        scenario->resume_at[holder] = time_add_ms(loop_now(world->loop), 20000);
+        break;
+    default:
+        g_strlcpy(successor.label, world->settings[(holder + 1) % WORLD_NODES]->label,
+                  sizeof successor.label);
+        successor.incarnation = ((struct node_record *)g_hash_table_lookup(
+                                     world->nodes[holder]->replica->nodes, successor.label))
+                                    ->incarnation;
+        role_manager_claim(world->nodes[(holder + 1) % WORLD_NODES]->role_manager,
+                           ROLE_GARBAGE_COLLECTOR);
+        role_manager_hand_over(world->nodes[holder]->role_manager, ROLE_GARBAGE_COLLECTOR,
+                               &successor);
+    }
+}
+
+static int living_holder(struct world *world, enum singleton_role role)
+{
+    for (int i = 0; i < WORLD_NODES; i++)
+        if (world->nodes[i] && !world->paused[i] &&
+            role_manager_may_act(world->nodes[i]->role_manager, role))
+            return i;
+    return -1;
+}
+
+static void measure_ending(enum ending ending, const char *name, int rounds)
+{
+    struct delay_histogram *gaps = delay_histogram_new();
+    enum singleton_role role =
+        ending == ENDS_BY_HAND_OVER ? ROLE_GARBAGE_COLLECTOR : ROLE_AUTOSCALER;
+    for (int round = 0; round < rounds; round++) {
+        struct role_scenario *scenario = role_scenario_new(1);
+        world_run(scenario->world, 1 + round * 37);
+        end_holder(scenario, ending, living_holder(scenario->world, role));
+        int ms = 0;
+        for (; living_holder(scenario->world, role) < 0; ms++)
+            world_run(scenario->world, 1);
+        delay_histogram_add(gaps, ms);
+        role_scenario_end(scenario);
+    }
+    printf("without a holder, %s: %" G_GUINT64_FORMAT " times, p50 %.0f ms, p90 %.0f, p99 %.0f\n",
+           name, delay_histogram_count(gaps), delay_histogram_quantile(gaps, 0.5),
+           delay_histogram_quantile(gaps, 0.9), delay_histogram_quantile(gaps, 0.99));
+    delay_histogram_free(gaps);
+}
+
+static int measure(int rounds)
+{
+    static const char *const names[ENDINGS] = {"crash", "restart at once", "pause", "hand-over"};
+    for (int i = 0; i < ENDINGS; i++)
+        measure_ending((enum ending)i, names[i], rounds);
+    return 0;
+}
+
+/** test_role_handover [ROUNDS]: the tests, or a measurement of that many rounds. */
+int main(int argc, char **argv)
+{
+    if (argc > 1)
+        return measure((int)strtol(argv[1], NULL, 10));
+    const struct CMUnitTest tests[] = {
+        cmocka_unit_test(all_claim_in_the_same_instant),
+        cmocka_unit_test(clean_up_is_handed_over_to_a_named_node),
+        cmocka_unit_test(nothing_is_handed_to_a_dead_process),
+        cmocka_unit_test(a_holder_back_at_once_is_another_process),
+        cmocka_unit_test(a_holder_that_is_refused_does_nothing),
+        cmocka_unit_test(in_an_outage_nobody_acts),
+    };
+    return cmocka_run_group_tests(tests, NULL, NULL);
+}
--- /dev/null
+++ b/tests/test_role_pauses.c
@@ -0,0 +1,113 @@
+/** Holders of singleton roles that are paused at every step of an act, and go on after their lease
+ * or their successor's. */
+#include "role_failures.h"
+#include "role_scenario.h"
+
+enum {
+    SEEDS = 60,
+    SEED_MS = 70000,
+    LEAST_PAUSES = 2000,
+};
+
+/* A job needs machines, ends, and they are returned. */
+static void play_stop(const struct stop *stop)
+{
+    struct role_scenario *scenario = role_scenario_new_with(1, role_scenario_stop_once, stop);
+    for (int i = 0; i < 3; i++) {
+        role_scenario_add_job(scenario);
+        world_run(scenario->world, 4000);
+    }
+    world_run(scenario->world, 2 * stop->ms + 25000);
+    scenario->stop = NULL;
+    role_scenario_settle(scenario);
+    role_scenario_expect_settled(scenario);
+    if (!scenario->stops)
+        fail_msg("never sent: %s %s", stop->path, stop->text);
+    for (int i = 0; i < 3; i++) {
+        char id[24];
+        g_snprintf(id, sizeof id, "wk-%05d", i + 1);
+        world_expect_stage(scenario->world, i, id, "done");
+    }
+    role_scenario_end(scenario);
+}
+
+static void each_step_alone(void **state)
+{
+    (void)state;
+    static const struct stop steps[] = {
+        {.path = "/txn", .text = "\"Set\":\"ll\\/duty\\/fleet"},
+        {.path = "/txn", .text = "\"rent\":[["},
+        {.path = "/txn", .text = "\"return\":[\""},
+        {.path = "/txn", .text = "\"return\":[],\"rent\":[]"},
+        {.path = "/rentals"},
+        {.path = "/rentals/return"},
+    };
+    static const int64_t lengths_ms[] = {1000, 6000, 13000};
+    for (guint i = 0; i < G_N_ELEMENTS(steps); i++)
+        for (guint k = 0; k < G_N_ELEMENTS(lengths_ms); k++)
+            for (int how = 0; how < 4; how++) {
+                struct stop stop = steps[i];
+                stop.ms = lengths_ms[k];
+                stop.after_send = how & 1;
+                stop.successor_too = how & 2;
+                play_stop(&stop);
+            }
+}
+
+/* The answer is lost, or comes late, or what was sent is carried out much later. */
+static void each_answer_is_lost(void **state)
+{
+    (void)state;
+    static const struct stop steps[] = {
+        {.path = "/txn", .text = "\"Set\":\"ll\\/duty\\/fleet"},
+        {.path = "/txn", .text = "ll\\/features"},
+        {.path = "/txn", .text = "ll\\/pending\\/"},
+        {.path = "/rentals"},
+        {.path = "/rentals/return"},
+    };
+    static const enum fate fates[] = {FATE_ANSWER_LOST, FATE_HELD, FATE_LOST, FATE_LATE};
+    for (guint i = 0; i < G_N_ELEMENTS(steps); i++)
+        for (guint k = 0; k < G_N_ELEMENTS(fates); k++) {
+            struct stop stop = steps[i];
+            stop.fate = fates[k];
+            play_stop(&stop);
+        }
+}
+
+/* Thousands of times a holder stands still as it claims, records, rents, returns or waits for the
+ * answer, and goes on later, at times under another's token. */
+static void holders_stand_still_at_every_step(void **state)
+{
+    (void)state;
+    unsigned pauses = 0, holders = 0, effects = 0;
+    for (unsigned seed = 1; seed <= SEEDS; seed++) {
+        struct role_scenario *scenario = role_scenario_new(seed);
+        scenario->world->fate = role_failures_fate;
+        scenario->troubles = true;
+        mono_time end = time_add_ms(loop_now(scenario->world->loop), SEED_MS);
+        while (time_before(loop_now(scenario->world->loop), end)) {
+            role_scenario_add_job(scenario);
+            world_run(scenario->world, g_rand_int_range(scenario->random, 500, 4000));
+            role_scenario_expect_right(scenario);
+        }
+        role_scenario_settle(scenario);
+        role_scenario_expect_settled(scenario);
+        pauses += scenario->pauses;
+        holders += duty_history_holders(scenario->history);
+        effects += duty_history_effects(scenario->history);
+        role_scenario_end(scenario);
+    }
+    print_message("%u pauses, %u holders, %u effects\n", pauses, holders, effects);
+    assert_true(pauses >= LEAST_PAUSES);
+    assert_true(holders > SEEDS * 4 && effects > SEEDS * 20);
+}
+
+int main(void)
+{
+    const struct CMUnitTest tests[] = {
+        cmocka_unit_test(each_step_alone),
+        cmocka_unit_test(each_answer_is_lost),
+        cmocka_unit_test(holders_stand_still_at_every_step),
+    };
+    return cmocka_run_group_tests(tests, NULL, NULL);
+}
