--- a/tests/transcript.sh
+++ b/tests/transcript.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # Compares what nodes do, seen from outside, between two builds: the whole-node tests write a
 # transcript of every message to and from users, workers, cloud, state service and between nodes,
-# with its simulated time (tests/transcript.h). It is a tool for changes that must not change
+# with its simulated time (tests/support/transcript.h). It is a tool for changes that must not change
 # behaviour, and no part of CI, as libm differs between machines.
 #
 #   tests/transcript.sh record DIR [BUILD]   writes the transcripts of the tests in BUILD/tests to DIR
@@ -11,8 +11,11 @@
 # BUILD is "target" unless given. JOBS plays run at once (2). TESTS names the tests to play.
 set -eu
 cd "$(dirname "$0")/.."
-TESTS=${TESTS:-"test_world test_scheduling test_troubles test_outages test_gap test_meetings
-    test_gangs test_gangs_anew test_gang_failures test_pipeline test_upgrade test_load test_duties"}
+TESTS=${TESTS:-"test_world test_scheduling test_troubles test_partitions_and_outages test_restarts
+    test_record_pages test_user_answers test_gap test_combined_leader_changes
+    test_combined_machine_failures test_combined_user_requests test_gangs test_gangs_anew
+    test_gang_failures test_pipeline test_upgrade test_load test_role_pauses test_role_handover
+    test_role_feature_switch test_role_returns"}
 JOBS=${JOBS:-2}
 verb=${1:-check}
 
