--- a/src/base/event_loop.h
+++ b/src/base/event_loop.h
@@ -12,6 +12,7 @@
 
 struct loop;
 
+/** A message in an actor's mailbox. */
 struct message {
     /** One of the MSG_... constants of the sender's header. */
     int kind;
@@ -33,6 +34,7 @@
     void (*ready)(struct loop_io *io, uint32_t events);
 };
 
+/** A callback at a time; embed it in what it belongs to. */
 struct timer {
     void (*callback)(void *arg);
     void *arg;
--- a/src/cloud/cloud_provider.h
+++ b/src/cloud/cloud_provider.h
@@ -38,7 +38,9 @@
     struct actor *listener;
 };
 
+/** Creates the client. */
 struct cloud_provider *cloud_provider_new(const struct cloud_provider_setup *setup);
+/** Frees the client. Requests that were sent may still be carried out. */
 void cloud_provider_free(struct cloud_provider *cloud);
 
 /** Sends the calls that are due; does nothing on a node that may not act. */
--- a/src/cluster/cancel_broadcast.h
+++ b/src/cluster/cancel_broadcast.h
@@ -31,14 +31,17 @@
     CANCEL_COMMITTED,
 };
 
+/** Creates the broadcast and registers its message with the RPC. */
 struct cancel_broadcast *cancel_broadcast_new(struct loop *loop, struct node_rpc *rpc,
                                               struct replica *replica,
                                               const struct settings *settings);
+/** Frees it with all that it remembers. */
 void cancel_broadcast_free(struct cancel_broadcast *broadcast);
 
 /** Sends MSG_CANCELLED to this actor from now on; there is one listener. */
 void cancel_broadcast_set_listener(struct cancel_broadcast *broadcast, struct actor *listener);
 
+/** Returns what this node knows of a cancellation of the job. */
 enum cancel_status cancel_broadcast_get_status(const struct cancel_broadcast *broadcast,
                                                job_id job);
 
@@ -95,6 +98,7 @@
  * of, as all of them have shared theirs since; 0: unknown.
  */
 mono_time cancel_broadcast_known_until(const struct cancel_broadcast *broadcast);
+/** Sets the time that cancel_broadcast_known_until() returns. */
 void cancel_broadcast_set_known_until(struct cancel_broadcast *broadcast, mono_time until);
 
 #endif
--- a/src/cluster/failure_detector.h
+++ b/src/cluster/failure_detector.h
@@ -25,8 +25,11 @@
     struct lease_proxy *lease_proxy;
 };
 
+/** Creates the detector and registers its message with the RPC. */
 struct failure_detector *failure_detector_new(const struct failure_detector_setup *setup);
+/** Frees the detector. */
 void failure_detector_free(struct failure_detector *detector);
+/** Starts its periodic check. */
 void failure_detector_start(struct failure_detector *detector);
 
 /**
--- a/src/cluster/leader_election.h
+++ b/src/cluster/leader_election.h
@@ -37,7 +37,9 @@
     bool is_leader;
 };
 
+/** Creates it; the setup is copied. */
 struct leader_election *leader_election_new(const struct leader_election_setup *setup);
+/** Frees it. */
 void leader_election_free(struct leader_election *election);
 
 /** Becomes a candidate if there is no leader; writes the map if this node leads and it is due. */
--- a/src/cluster/lease_proxy.h
+++ b/src/cluster/lease_proxy.h
@@ -16,8 +16,10 @@
 
 struct lease_proxy;
 
+/** Creates the proxy and registers its message with the RPC. */
 struct lease_proxy *lease_proxy_new(struct loop *loop, struct node_rpc *rpc, struct peer_poll *poll,
                                     const struct replica *replica, const struct settings *settings);
+/** Frees the proxy. */
 void lease_proxy_free(struct lease_proxy *proxy);
 
 /** Notes that this node has renewed the lease of a machine that another node owns. */
--- a/src/cluster/membership.h
+++ b/src/cluster/membership.h
@@ -20,7 +20,9 @@
  */
 struct membership *membership_new(struct loop *loop, struct kv_client *kv, struct replica *replica,
                                   const struct settings *settings, bool wants_singleton_roles);
+/** Frees it; the node's lease is left to expire. */
 void membership_free(struct membership *membership);
+/** Begins to join. */
 void membership_start(struct membership *membership);
 
 /** Whether this node may start tasks and write: it has joined, and its lease is certain to hold. */
--- a/src/cluster/node_lease.h
+++ b/src/cluster/node_lease.h
@@ -34,7 +34,9 @@
     void (*on_change)(void *ctx);
 };
 
+/** Creates it without a lease; the setup is copied. */
 struct node_lease *node_lease_new(const struct node_lease_setup *setup);
+/** Frees it; the lease is left to expire. */
 void node_lease_free(struct node_lease *lease);
 
 /** Requests a lease, unless there is one or a request is under way; it is then kept renewed. */
--- a/src/cluster/peer_poll.h
+++ b/src/cluster/peer_poll.h
@@ -32,8 +32,10 @@
 /** Called once for each node that was asked, also when it does not respond in time. */
 typedef void (*peer_response_callback)(void *ctx, const struct peer_response *response);
 
+/** Creates it; no question has been asked. */
 struct peer_poll *peer_poll_new(struct loop *loop, struct node_rpc *rpc,
                                 const struct replica *replica, const struct settings *settings);
+/** Frees it. */
 void peer_poll_free(struct peer_poll *poll);
 
 /** Asks all other nodes. Returns how many they are: `callback` is called as many times. */
--- a/src/config/policy_schema.h
+++ b/src/config/policy_schema.h
@@ -15,6 +15,7 @@
     enum policy_type type;
 };
 
+/** A setting of the policy file: its type, default, range and the inputs that it may use. */
 struct policy_setting_definition {
     const char *name;
     /** The expression that applies if the policy file does not set this one. */
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -42,6 +42,7 @@
     int max_txn_operations;
 };
 
+/** All settings of a node. */
 struct settings {
     /** This node: its name, its zone, and where it serves users and other nodes. */
     char *label, *zone, *api_address, *rpc_address;
--- a/src/kv/kv_txn.h
+++ b/src/kv/kv_txn.h
@@ -25,6 +25,7 @@
     TXN_UNKNOWN,
 };
 
+/** What became of a transaction; valid for the callback only. */
 struct txn_outcome {
     enum txn_status status;
     /** The store's revision; set with TXN_COMMITTED and TXN_CONFLICT. */
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -82,6 +82,7 @@
 typedef void (*http_handler)(void *context, struct http_responder *responder, connection_ref from,
                              const struct http_request *request);
 
+/** What a server takes, and for how long it waits. */
 struct http_server_limits {
     int max_connections;
     size_t max_body_bytes;
@@ -129,6 +130,7 @@
                     http_response_callback callback, void *callback_arg);
 };
 
+/** What a client may use, and for how long it waits. */
 struct http_client_limits {
     int max_connections;             /**< in all */
     int max_connections_per_address; /**< at once to one address */
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -35,7 +35,9 @@
 struct node *node_new(struct loop *loop, struct http_client *http_client,
                       const struct settings *settings, const struct policy *policy,
                       const struct feature_set *features);
+/** Starts all parts. */
 void node_start(struct node *node);
+/** Frees all parts, in the reverse order of their creation. */
 void node_free(struct node *node);
 
 #endif
--- a/src/node/role_assigner.h
+++ b/src/node/role_assigner.h
@@ -15,10 +15,13 @@
 
 struct role_assigner;
 
+/** Creates the assigner with its role manager. */
 struct role_assigner *role_assigner_new(struct loop *loop, struct kv_client *kv,
                                         struct replica *replica, struct membership *membership,
                                         const struct settings *settings);
+/** Frees both. */
 void role_assigner_free(struct role_assigner *assigner);
+/** Starts its periodic check. */
 void role_assigner_start(struct role_assigner *assigner);
 
 /** The role manager that the assigner owns. */
--- a/src/scheduler/autoscaler_plan.h
+++ b/src/scheduler/autoscaler_plan.h
@@ -16,6 +16,7 @@
     int machine_count;
 };
 
+/** A plan of machines to rent. */
 struct scale_out_plan {
     /** Whose offers are used. */
     struct leader *leader;
--- a/src/shard/shard.h
+++ b/src/shard/shard.h
@@ -30,6 +30,7 @@
 /** A new shard, which owns no machines until the replica shows a shard map. Free with shard_free().
  */
 struct shard *shard_new(const struct shard_setup *setup);
+/** Frees the shard. Tasks on machines go on. */
 void shard_free(struct shard *shard);
 /** Begins the regular checks and status messages. */
 void shard_start(struct shard *shard);
--- a/src/shard/shard_messages.h
+++ b/src/shard/shard_messages.h
@@ -42,7 +42,9 @@
     double grace_s;
 };
 
+/** Encodes an item of the list DISPATCH_MESSAGE_DISPATCHES. The caller owns it. */
 cJSON *dispatch_item_encode(const struct dispatch_item *item);
+/** Encodes an item of the list DISPATCH_MESSAGE_STOPS. The caller owns it. */
 cJSON *stop_item_encode(const struct stop_item *item);
 
 /** Names of the lists of a dispatch message. An empty list is left out. */
@@ -71,6 +73,7 @@
 
 /** Whether it has a number; false: malformed, and there is nothing to clear. */
 bool dispatch_message_decode(const cJSON *json, struct dispatch_message *out);
+/** Frees the lists of a decoded message. */
 void dispatch_message_clear(struct dispatch_message *message);
 /** The answer: names of the machines on which nothing can be placed any more. */
 cJSON *dispatch_answer_encode(const GPtrArray *cordoned);
@@ -108,6 +111,7 @@
     TASK_EVENT_COMPLETED,
 };
 
+/** How a run ended, for the leader's statistics of machines and jobs. */
 struct task_event {
     enum task_event_kind kind;
     machine_id machine;
@@ -134,14 +138,17 @@
 
 /** Empty lists. */
 void status_message_init(struct status_message *message);
+/** Encodes a status. The caller owns it. */
 cJSON *status_message_encode(const struct status_message *message);
 /** Whether it has a number; false: malformed, and there is nothing to clear. The strings borrow
  * from the JSON. */
 bool status_message_decode(const cJSON *json, struct status_message *out);
+/** Frees the lists of a status. */
 void status_message_clear(struct status_message *message);
 /** The answer: an empty list of machines on which nothing more may be placed, to which
  * status_answer_add() adds. */
 cJSON *status_answer_new(void);
+/** Adds a machine to an answer. */
 void status_answer_add(cJSON *answer, const char *machine_name);
 /** Its names; free the array. */
 GPtrArray *status_answer_decode(const cJSON *json);
--- a/src/singleton/intent_log.h
+++ b/src/singleton/intent_log.h
@@ -15,6 +15,7 @@
 
 struct intent_log;
 
+/** How far an intent is, from the holder's point of view. */
 enum intent_state {
     /** Not in the log; or dropped, as the key on which it depends has changed. */
     INTENT_UNKNOWN,
@@ -46,7 +47,9 @@
     void (*on_change)(void *ctx);
 };
 
+/** Creates a closed log; the configuration is copied. */
 struct intent_log *intent_log_new(const struct intent_log_config *config);
+/** Frees the log and its copies of intents; what is recorded stays. */
 void intent_log_free(struct intent_log *log);
 
 /** To be called when the role was gained: takes over what earlier holders left unsettled. */
@@ -62,6 +65,7 @@
  */
 void intent_log_add(struct intent_log *log, const struct intent *intent, revision guard_revision);
 
+/** Returns how far the intent of that kind and name is. */
 enum intent_state intent_log_get_state(const struct intent_log *log, enum intent_kind kind,
                                        const char *name);
 
--- a/src/singleton/role_manager.h
+++ b/src/singleton/role_manager.h
@@ -44,6 +44,7 @@
 /** The message to listeners when a role was gained or lost; its body is a struct role_change. */
 enum { MSG_ROLE_CHANGE = 500 };
 
+/** The body of MSG_ROLE_CHANGE. */
 struct role_change {
     enum singleton_role role;
     bool is_gained;
@@ -51,7 +52,9 @@
     fencing_token token;
 };
 
+/** Creates the manager of this node; it holds no role yet. */
 struct role_manager *role_manager_new(const struct role_manager_config *config);
+/** Frees the manager. It does not release its roles: their leases expire. */
 void role_manager_free(struct role_manager *manager);
 
 /**
--- a/src/singleton/role_records.h
+++ b/src/singleton/role_records.h
@@ -21,7 +21,9 @@
 
 struct role_records;
 
+/** Creates empty records. */
 struct role_records *role_records_new(void);
+/** Frees the records and their intents. */
 void role_records_free(struct role_records *records);
 
 /**
--- a/src/wire/agent_codec.h
+++ b/src/wire/agent_codec.h
@@ -31,6 +31,7 @@
     bool has_saved_state;
 };
 
+/** An agent's report of its machine, its epoch and its tasks. */
 struct heartbeat {
     machine_id machine;
     char address[24], machine_type_name[48], zone[48];
@@ -60,6 +61,7 @@
     COMMAND_CLEAR,
 };
 
+/** A command to an agent about one attempt of a task. */
 struct agent_command {
     enum agent_command_verb verb;
     job_id job;
