--- a/tests/support/combined_failures.h
+++ b/tests/support/combined_failures.h
@@ -5,6 +5,7 @@
 
 #include "user_jobs.h"
 
+/** The rules are checked so often. */
 enum { STEP_MS = 20 };
 
 /** Checks after a step what can be seen from outside: limits of teams, zones, cancellations, and
@@ -70,6 +71,7 @@
 /** cmocka teardown. */
 int combined_teardown(void **state);
 
+/** A test in a world with three nodes that are up. */
 #define COMBINED_TEST(f) cmocka_unit_test_setup_teardown(f, combined_setup, combined_teardown)
 
 #endif
--- a/tests/support/role_scenario.h
+++ b/tests/support/role_scenario.h
@@ -7,17 +7,18 @@
 #include "duty_history.h"
 #include "world.h"
 
-enum {
-    MACHINES = 24,
-    MOST_PAUSED = 2, /* of three nodes */
-};
+/** Machines of the cloud, and how many of the three nodes are paused at once at most. */
+enum { MACHINES = 24, MOST_PAUSED = 2 };
 
-/** Where the holder stands still, once: as it sends what contains the text, before or after. */
+/** A step at which the holder is paused, once: the first request with that path that contains the
+ * text (NULL: any). */
 struct stop {
     const char *path, *text;
+    /** Paused after the request was sent, not before. */
     bool after_send;
     int64_t ms;
-    bool successor_too; /* the next holder stands still at the same step */
+    /** The next holder is paused at the same step too. */
+    bool successor_too;
     enum fate fate;
 };
 
@@ -27,16 +28,22 @@
     struct duty_history *history;
     struct world_observer observer;
     GRand *random;
-    GHashTable *closed_under; /* machine -> the map under which its owner last closed it */
-    char *closing_fault; /* an intent to return that was recorded under another map; NULL: none */
+    /** Machine -> the shard map under which its owner last closed it. */
+    GHashTable *closed_under;
+    /** An intent to return that was recorded under another map; NULL: none. */
+    char *closing_fault;
     mono_time resume_at[WORLD_MOST_NODES], next_kill, start_at[WORLD_MOST_NODES];
     mono_time deliver_at, raise_at;
-    int capacity; /* of the cloud, at any moment */
+    /** Of the cloud, at any moment. */
+    int capacity;
     unsigned pauses, jobs;
+    /** Random failures are on (role_failures.h). */
     bool troubles;
-    const struct stop *stop; /* NULL: none is played */
+    /** NULL: none. */
+    const struct stop *stop;
     int stops;
-    int acts[WORLD_MOST_NODES]; /* requests to rent and to return, by node */
+    /** Requests to rent and to return, by node. */
+    int acts[WORLD_MOST_NODES];
 };
 
 /** A world with singleton roles whose nodes can be paused. */
--- a/tests/support/rules.h
+++ b/tests/support/rules.h
@@ -1,5 +1,6 @@
-/* The rules of the protocol, judged from outside: from what users are told and from what starts on
- * machines and leaves them. The first broken ones are kept in words. */
+/** The rules of the protocol, judged from outside: by what users are answered, and by which tasks
+ * start on machines and leave them. The first violations of each rule are kept in words. test_rules
+ * breaks each rule on purpose. */
 #ifndef LL_TEST_RULES_H
 #define LL_TEST_RULES_H
 
@@ -7,52 +8,55 @@
 
 struct rules;
 
-/* A machine as the cloud and its worker show it. */
+/** A machine as the cloud and its agent show it. */
 struct rules_machine {
     const char *id, *type_name, *zone;
     bool spot;
 };
 
-/* Four minutes: what a class's largest jobs have to begin within. */
+/** RULES_BEGIN_MS: within that time the largest jobs of a class have to begin. RULES_WAIT_MS: for
+ * that long a job may wait although it could run. */
 enum { RULES_BEGIN_MS = 240000, RULES_WAIT_MS = 90000 };
 
-/* Limits of teams and cancel_timeout_s are those of the settings, which must stay. */
+/** Limits of teams and cancel_timeout_s are taken from the settings, which must outlive the rules.
+ */
 struct rules *rules_new(const struct settings *settings);
 void rules_free(struct rules *rules);
-/* What the cloud says of its machine types; the text must stay. */
+/** The machine types as the cloud describes them; the text must outlive the rules. */
 void rules_types(struct rules *rules, const char *text);
 
-/* A user asks, and is answered: asked is when. Other paths than those of jobs are not judged. */
+/** A user sends a request, and gets the answer; asked is when it was sent. Paths other than those
+ * of jobs are not judged. */
 void rules_asked(struct rules *rules, mono_time now, const char *method, const char *path,
                  const char *body);
 void rules_answered(struct rules *rules, mono_time now, mono_time asked, const char *method,
                     const char *path, const char *body, int status, const char *answer);
 
-/* A task starts; the command was sent at that moment. */
+/** A task starts; sent is when the command was sent. */
 void rules_started(struct rules *rules, mono_time now, mono_time sent,
                    const struct rules_machine *machine, const char *job, uint32_t index);
-/* It exits, is killed, or its machine is gone. */
+/** A task exits or is killed, or its machine is gone. */
 void rules_left(struct rules *rules, mono_time now, const char *machine, const char *job,
                 uint32_t index);
-/* It exits with done. */
+/** A task completes. */
 void rules_done(struct rules *rules, const char *job, uint32_t index);
 
-/* Exceptions, for tests that write by hand what nodes of another time would have: a job with the
- * value of its key, and a task that is just there. They are known and counted from then on. */
+/** Exceptions for tests that write what nodes would have written earlier: a job with the value of
+ * its key, and a task that is already on a machine. Both are counted from then on. */
 void rules_job_by_hand(struct rules *rules, mono_time now, const char *job, const char *value);
 void rules_task_by_hand(struct rules *rules, mono_time now, const struct rules_machine *machine,
                         const char *job, uint32_t index);
 
-/* Once all troubles are over, looked at again and again: no job is left waiting although a machine
- * that is up has room for it and its team is under its limit. */
+/** To be called repeatedly once all failures are over: no job may wait although a machine that is
+ * up has the resources for it and its team is below its limit. */
 void rules_look(struct rules *rules, mono_time now, const struct rules_machine *machines, guint n);
-/* Accepted jobs that no user cancelled, nor anything that they await: for each the path of its
- * poll, and whether it has to be known. */
+/** The paths to poll the accepted jobs that no user cancelled, nor a job on which they depend: a
+ * new array. */
 GPtrArray *rules_kept_jobs(struct rules *rules);
-/* Where a load was played: at least half of each class, of each team and of each class's largest
- * jobs is served, the largest ones within four minutes. */
+/** For tests with a load: at least half of the jobs of each class and each team have begun, and
+ * half of the largest jobs of each class within RULES_BEGIN_MS. */
 void rules_shares(struct rules *rules);
-/* What only the end shows: tasks that are still there. NULL, or what was broken, one line each. */
+/** Judges the tasks that are still on machines. Returns all violations, one a line, or NULL. */
 const char *rules_end(struct rules *rules, mono_time now);
 
 #endif
--- a/tests/support/trouble_fixtures.h
+++ b/tests/support/trouble_fixtures.h
@@ -1,17 +1,23 @@
-/* What the tests of troubles and of outages share. */
+/** What the tests of single failures share: machines with a service, and nodes that are cut off or
+ * late. */
 #ifndef LL_TEST_TROUBLE_FIXTURES_H
 #define LL_TEST_TROUBLE_FIXTURES_H
 
 #include "world.h"
 
+/** The worker on which a task is, or NULL. */
 struct worker *worker_of(struct world *world, const char *job, uint32_t index);
-/* Tasks on record on a machine, as any live node sees them. */
+/** How many tasks the leader has on record on a machine. */
 guint recorded(struct world *world, const struct worker *worker);
+/** Brings up two machines that are not spot, in two zones; nothing can be rented. */
 void two_ordinary_machines(struct world *world);
-/* The machine on which the first replica of wk-1 runs. */
+/** Runs the service wk-1 on two such machines. Returns the one with its first replica. */
 struct worker *service_on_two_machines(struct world *world, int replicas);
+/** The scenario of a node that only workers and users reach: it refuses its users at once, its
+ * machines keep their tasks, a cancellation through another node takes effect in time, and all is
+ * well once it is back. */
 void lone(struct world *world, int node);
-/* A fate_fn by which answers to watches are late: the nodes see changes half a second later. */
+/** A fate_fn: answers to watches are late, so that nodes see changes half a second later. */
 enum fate late_watches(struct world *world, int node, const struct http_client_request *request);
 
 #endif
--- a/tests/support/user_jobs.h
+++ b/tests/support/user_jobs.h
@@ -10,17 +10,24 @@
 
 /** A job as its user sees it. */
 struct known {
+    /** zone: where its tasks are, as far as this step has seen. */
     char id[24], team[16], zone[4];
+    /** What is submitted. */
     char *body;
     int tasks;
+    /** Of each task. */
     double cpus;
-    bool one_zone, ordinary; /* not on spot */
+    /** ordinary: not on spot machines. */
+    bool one_zone, ordinary;
     bool cancel_asked;
     enum local_cancel told;
-    mono_time told_at; /* that it is accepted, and then what became of it */
-    uint64_t ended;    /* the tasks that are done */
+    /** When told got its value. */
+    mono_time told_at;
+    /** The tasks that have completed, one bit each. */
+    uint64_t ended;
 };
 
+/** What a user asks. */
 enum question { ASK_SUBMIT, ASK_POLL, ASK_CANCEL };
 
 /** A request of a user, and its answer. */
@@ -29,7 +36,9 @@
     struct world *world;
     struct known *job;
     enum question question;
-    enum local_cancel before; /* what had been told when it was asked */
+    /** What the user had been told when he asked. */
+    enum local_cancel before;
+    /** status 0: there is no answer yet. */
     int node, status;
     char *path;
     mono_time since;
--- a/tests/support/world.c
+++ b/tests/support/world.c
@@ -482,7 +482,7 @@
     char *broken = g_strdup(rules_end(world->rules, loop_now(world->loop)));
     world_free(world);
     if (ran_twice)
-        fail_msg("a task ran world_task_twice");
+        fail_msg("a task ran twice");
     if (broken)
         fail_msg("%s", broken);
 }
--- a/tests/support/world.h
+++ b/tests/support/world.h
@@ -1,5 +1,10 @@
-/* A world for tests: a fake clock, a state service of our own, and workers and a cloud that do what
- * the test scripts. Nothing here opens a socket. */
+/** The test world: whole nodes on a simulated clock, with stand-ins of the state service, the cloud
+ * and the agents ("workers") on machines, which do what a test scripts. Nothing here opens a
+ * socket.
+ *
+ * A test gets a world from WORLD_TEST, submits jobs, brings failures about, and lets time pass with
+ * world_run(). The rules of the protocol (rules.h) are judged throughout and fail the test at its
+ * end. */
 #ifndef LL_TEST_WORLD_H
 #define LL_TEST_WORLD_H
 
@@ -12,41 +17,52 @@
 
 #include <cmocka.h>
 
-/* What becomes of a request: answered, refused, lost before or after it was carried out, or
- * answered after two seconds. */
+/** What becomes of a request of a node. */
 enum fate {
     FATE_NORMAL,
+    /** Answered 503, not carried out. */
     FATE_REFUSED,
-    FATE_TOO_MANY, /* 429 */
+    /** Answered 429, not carried out. */
+    FATE_TOO_MANY,
+    /** Not carried out; the node's request times out. */
     FATE_LOST,
+    /** Carried out; the node's request times out. */
     FATE_ANSWER_LOST,
+    /** Kept until world_deliver_held() carries it out; the node's request times out. */
     FATE_HELD,
+    /** Arrives after two seconds. */
     FATE_SLOW,
-    FATE_LATE /* carried out at once, answered after half a second */
+    /** Carried out at once, answered after half a second. */
+    FATE_LATE
 };
 
 struct world;
+/** Decides on each request of a node, as it is sent. */
 typedef enum fate (*fate_fn)(struct world *world, int node,
                              const struct http_client_request *request);
 
-/* Of the world that most tests play in. */
+/** Size of the world in which most tests run, and the most nodes that any has. */
 enum { WORLD_NODES = 3, WORLD_WORKERS = 8, WORLD_MOST_NODES = 5 };
 
-/* How large a world is, and what its settings say. */
+/** How large a world is, and what its settings say. */
 struct world_plan {
-    int nodes, workers, teams; /* teams 0: red and blue */
-    double cpus, cpus_max;     /* of each team, where they are counted */
+    /** teams 0: the two teams red and blue. */
+    int nodes, workers, teams;
+    /** Reserved and maximal processors of each team, if teams is not 0. */
+    double cpus, cpus_max;
     double report_s, lease_s, cancel_s;
     double rps, write_rps, cloud_rps;
     int txn_ops, fd_limit, boot_ms;
-    bool duties;   /* they are switched on */
-    bool pausable; /* each node has a loop of its own, and may stand still */
-    /* Limits of the state service that the settings say are to come; 0: they say nothing. */
+    /** Singleton roles are enabled. */
+    bool duties;
+    /** Each node has an event loop of its own and can be paused. */
+    bool pausable;
+    /** Limits of the state service that the settings announce; 0: none is announced. */
     double next_value_kb, next_write_rps;
     int next_txn_ops;
 };
 
-/* Who is told what the state service and the cloud carry out. */
+/** Receives what the state service and the cloud carry out. */
 struct world_observer {
     void *ctx;
     void (*key_changed)(void *ctx, const char *key, const char *text, uint64_t mod_revision);
@@ -54,188 +70,245 @@
     void (*returned)(void *ctx, const char *machine);
 };
 
+/** The HTTP client of a node. */
 struct wnet {
     struct http_client net;
     struct world *world;
     int node;
 };
 
-/* A worker as the protocol describes it, as far as tests need one. */
+/** A task on a worker. */
 struct wtask {
     job_id job;
     uint32_t index;
     uint64_t attempt;
     char stage[16], cause[16];
     mono_time since;
-    bool stored; /* it was stopped, and what it had done is saved */
+    /** It was stopped, and its progress is saved. */
+    bool stored;
 };
 
+/** A machine with the agent on it, which follows the protocol as far as tests need it. */
 struct worker {
     char id[16], addr[24], type_name[16], zone[8];
+    /** silent: it neither sends nor receives anything. */
     bool spot, up, silent;
-    mono_time rented; /* or begun otherwise */
-    bool deaf;        /* its reports arrive; answers and commands do not reach it */
+    /** When it was rented, or came up otherwise. */
+    mono_time rented;
+    /** Its heartbeats arrive; answers and commands do not reach it. */
+    bool deaf;
+    /** Until then it sends no heartbeats; commands reach it. */
     mono_time quiet_until;
     uint64_t session, sequence, token;
-    double reclaim_notice_s; /* < 0: no notice */
-    GArray *tasks;           /* struct wtask */
-    GPtrArray *said;         /* its reports, as they went out */
-    int node;                /* that it reports to */
-    int only;                /* the only node that it reaches and is reached by; -1: all */
+    /** Below 0: the cloud has given no notice that it reclaims the machine. */
+    double reclaim_notice_s;
+    /** struct wtask */
+    GArray *tasks;
+    /** Its heartbeats as they were sent, oldest first. */
+    GPtrArray *said;
+    /** The node to which it reports. */
+    int node;
+    /** The only node that it reaches and is reached by; -1: all. */
+    int only;
     int starts;
     mono_time lease_from;
     struct timer report;
     struct world *world;
 };
 
+/** The answer to a user's request. status 0: none arrived. */
 struct user_answer {
     int status;
     char body[512], fields[64];
     int64_t took_ms;
 };
 
+/** The state of a world. Tests set the fields that bring failures about and read the counters. */
 struct world {
     struct loop *loop;
     struct world_plan plan;
     struct settings *settings[WORLD_MOST_NODES];
     struct wnet nets[WORLD_MOST_NODES];
     struct policy *policy;
-    struct feature_set features; /* of nodes that are started from now on */
+    /** Of nodes that are started from now on. */
+    struct feature_set features;
+    /** NULL: the node's process is not running. */
     struct node *nodes[WORLD_MOST_NODES];
-    /* With plan.pausable: */
+    /** These three are used with plan.pausable. */
     struct loop *node_loops[WORLD_MOST_NODES];
     bool paused[WORLD_MOST_NODES];
-    bool pause_after_send[WORLD_MOST_NODES]; /* the node stands still once its request has left */
-    GPtrArray *inboxes[WORLD_MOST_NODES];    /* struct flight: what waits for it to go on */
-    void (*each_step)(struct world *world);  /* every millisecond; NULL: nothing */
+    /** The node is paused once its next request has left. */
+    bool pause_after_send[WORLD_MOST_NODES];
+    /** struct flight: what waits until a paused node resumes. */
+    GPtrArray *inboxes[WORLD_MOST_NODES];
+    /** Called every millisecond; NULL: nothing. */
+    void (*each_step)(struct world *world);
     void *step_ctx;
-    const struct world_observer *observer; /* NULL: nobody */
-    int list_lag_ms;                       /* new machines are not listed before */
-    int process[WORLD_MOST_NODES]; /* counts a node's processes: an address may be used again */
+    /** NULL: nobody observes. */
+    const struct world_observer *observer;
+    /** For that long new machines are missing from the cloud's list. */
+    int list_lag_ms;
+    /** Counts a node's processes, as an address may be used again. */
+    int process[WORLD_MOST_NODES];
+    /** NULL: all requests are FATE_NORMAL. */
     fate_fn fate;
+    /** The state service serves nobody. */
     bool state_down;
-    bool refused[WORLD_MOST_NODES]; /* the state service refuses this node alone */
-    int lone;                       /* the node that world_only_workers cuts off */
-    const char *lost; /* a kind of message between nodes, all of which are lost; NULL: none */
-    /* What arrives of an answer between nodes; the text belongs to the caller. NULL: as it is. */
+    /** The state service refuses this node alone. */
+    bool refused[WORLD_MOST_NODES];
+    /** The node that world_only_workers() cuts off. */
+    int lone;
+    /** A kind of message between nodes, all of which are lost; NULL: none. */
+    const char *lost;
+    /** Replaces an answer between nodes; the text belongs to the caller. NULL: as it is. */
     char *(*between)(struct world *w, int node, const char *path, const char *body);
-    double state_value_kb; /* what the state service allows: more fails the test */
+    /** What the state service allows; more fails the test. */
+    double state_value_kb;
     int state_txn_ops;
-    int too_old;                /* watches that are answered 410 */
-    guint most_news;            /* in one answer to a watch */
-    bool old[WORLD_MOST_NODES]; /* what the node says of its version is not heard */
-    int deaf_node;              /* neither hears workers nor reaches them; -1: none */
-    /* state service */
+    /** So many watches are answered 410. */
+    int too_old;
+    /** The most events in one answer to a watch. */
+    guint most_news;
+    /** What the node writes about its version is dropped, as if it were of the old one. */
+    bool old[WORLD_MOST_NODES];
+    /** A node that workers neither reach nor are reached by; -1: none. */
+    int deaf_node;
+    /** The state service: keys, revision, leases, and events for watches. */
     GTree *keys;
     uint64_t ledger, next_lease;
     GHashTable *leases;
     GArray *events, *watches;
     struct timer tick;
     int writes;
-    GPtrArray *held; /* requests that a cut holds back */
-    /* cloud */
+    /** Requests with FATE_HELD. */
+    GPtrArray *held;
+    /** The cloud: how many more machines it rents out, and how many it has rented and got back. */
     bool cloud_down;
     int capacity, rented, returned;
     GPtrArray *charters;
-    struct worker *workers;   /* plan.workers of them */
-    GHashTable *worker_addrs; /* address -> struct worker */
-    GHashTable *last_on;      /* task -> struct worker that started it last */
-    const char *types;        /* what the cloud says of them */
-    bool play_gangs;          /* workers play gangs as the protocol describes them */
-    GHashTable *gangs;        /* job -> struct wgang, of those submitted since */
-    /* replies to what the test asked */
+    /** plan.workers of them. */
+    struct worker *workers;
+    /** Address -> struct worker. */
+    GHashTable *worker_addrs;
+    /** Task -> struct worker that started it last. */
+    GHashTable *last_on;
+    /** The machine types, as the cloud describes them. */
+    const char *types;
+    /** Workers run gangs as the protocol describes them. */
+    bool play_gangs;
+    /** Job -> struct wgang, of those submitted since. */
+    GHashTable *gangs;
+    /** Judges the run; see world_end(). */
     struct rules *rules;
     struct http_responder replier;
     GHashTable *answers;
     uint64_t next_conn;
 };
 
-/* The plan of the world that most tests play in. */
+/** The plan of the world in which most tests run. */
 struct world_plan world_usual(void);
+/** A world without running nodes, by the usual plan or by that one. */
 struct world *world_new(void);
 struct world *world_new_sized(const struct world_plan *plan);
 void world_free(struct world *world);
-/* Starts and kills the process of a node. */
+/** Starts the process of a node, or kills it without a shutdown. */
 void world_start(struct world *world, int node);
 void world_kill(struct world *world, int node);
+/** Lets that much simulated time pass. */
 void world_run(struct world *world, int64_t ms);
-/* With plan.pausable: the node's process stands still, in the middle of a turn if it is just
- * sending, and goes on later. What it sends or is sent waits meanwhile. */
+/** With plan.pausable: stops the node's process, in the middle of a callback if it is just sending,
+ * and resumes it. What it sends or is sent meanwhile waits. */
 void world_pause(struct world *world, int node);
 void world_resume(struct world *world, int node);
-/* A machine that nobody rented: it is just there. */
+/** Brings up worker i on a machine that was not rented. */
 struct worker *world_worker(struct world *world, int i, const char *zone, bool spot);
+/** The same with a machine type. */
 struct worker *world_machine(struct world *world, int i, const char *type_name, const char *zone,
                              bool spot);
-/* Writes a key of the state service by hand. */
+/** Writes a key of the state service directly. */
 void world_put(struct world *world, const char *key, const char *text);
-/* The same for a job that no user submitted, or its end: the rules take its value for true. */
+/** The same for a job that no user submitted, or its end; the rules accept the value as true. */
 void world_put_job(struct world *world, const char *job, const char *value);
-/* An array of team blue, of tasks of two processors, as if some node had accepted it then. */
+/** Writes an array of team blue with two processors a task, as if a node had accepted it then. */
 void world_put_accepted(struct world *world, const char *id, int tasks, wall_time submitted);
+/** Removes a key of the state service. */
 void world_remove(struct world *world, const char *key);
-const char *world_key(struct world *world, const char *key); /* its text, or NULL */
-/* A task is on a machine, as some node started it that nobody sees here. */
+/** The value of a key, owned by the world; NULL when there is none. */
+const char *world_key(struct world *world, const char *key);
+/** Puts a task on a worker as if a node had started it earlier. */
 void worker_has(struct worker *worker, const char *job, uint32_t index, uint64_t attempt);
-/* From now on the state service allows no more than the plan's next limits. */
+/** From now on the state service allows no more than the plan's next limits. */
 void world_limits_fall(struct world *world);
-/* Carries out what was held back, late. */
+/** Carries out the requests with FATE_HELD. */
 void world_deliver_held(struct world *world);
 
-/* A request from outside, by a real process, to the state service or the cloud; done may be called
- * later. */
+/** A request of a real process to the state service or the cloud. done may be called later. */
 void world_serve(struct world *world, const struct http_client_request *request,
                  http_response_callback done, void *arg);
 
-/* A user's request at a node; runs the world until it is answered, for five seconds at most. */
+/** Sends a user's request to a node and runs the world until the answer, for at most five seconds.
+ */
 struct user_answer world_ask(struct world *world, int node, const char *method, const char *path,
                              const char *body);
-/* The text with one thing, which must be in it, in place of another. */
+/** A copy of the text with by in place of what, which must occur. The caller frees it. */
 char *world_swapped(const char *text, const char *what, const char *by);
+/** Submits a job of team blue; form is the word of the wire (sweep: array, gang, daemon: service).
+ */
 struct user_answer world_submit(struct world *world, int node, const char *id, const char *form,
                                 int tasks);
+/** The body of a submission; more is appended to its fields. The caller frees it. */
 char *world_job(const char *id, const char *form, int tasks, const char *team_name, double cpus,
                 const char *more);
 
-/* Tasks of a job that are on machines and have not exited. */
+/** How many tasks of a job are on machines and have not exited. */
 int world_on_machines(struct world *world, const char *job);
+/** The task on a worker, or NULL. */
 struct wtask *worker_task(struct worker *worker, const char *job, uint32_t index);
+/** A task exits with that cause; worker_exit_all() does so for all tasks of the job. */
 void worker_exit(struct worker *worker, const char *job, uint32_t index, const char *cause);
 void worker_exit_all(struct world *world, const char *job, const char *cause);
+/** Sends a heartbeat now. */
 void worker_report(struct worker *worker);
-/* Its lease has run out: its tasks are gone. anew: it counts from the beginning again. */
+/** The worker's lease has expired: its tasks are gone and it begins the next session. anew:
+ * sessions are counted from the beginning again. */
 void worker_new_session(struct worker *worker, bool anew);
-/* A copy of an earlier report arrives at a node; nobody waits for the answer. */
+/** A copy of an earlier heartbeat arrives at a node; nobody waits for the answer. */
 void world_say_again(struct world *world, int node, const char *report);
-/* With play_gangs: how often a gang of that job has begun, and how often one saved as a whole. */
+/** With play_gangs: how often a gang of the job has begun as a whole, and how often it saved as a
+ * whole. */
 int world_gang_begun(struct world *world, const char *job);
 int world_gang_saved(struct world *world, const char *job);
-/* How many starts all workers have seen. */
+/** How many starts of tasks all workers have seen. */
 int world_starts(struct world *world);
-/* How many tasks were ever on two machines at once. */
+/** Whether a task was ever on two machines at once. */
 bool world_ran_twice(struct world *world);
+/** The node that leads, or NULL; its index, or -1. */
 struct node *world_leader(struct world *world);
 int world_leader_index(struct world *world);
-/* Cancels a job at a node; the status that its user gets. */
+/** Cancels a job at a node. Returns the status of the answer. */
 int world_cancel(struct world *world, int node, const char *job);
-/* A fate: the node w->lone and the others do not reach one another, nor it the state service. */
+/** A fate_fn: the node world->lone is cut off from the other nodes and from the state service;
+ * workers and users still reach it. */
 enum fate world_only_workers(struct world *world, int node,
                              const struct http_client_request *request);
+/** Fails unless a node answers that the job is in that stage. */
 void world_expect_stage(struct world *world, int node, const char *job, const char *stage);
 
-/* A look whether a job waits in vain: every second, and only while there are no troubles. */
+/** Checks whether a job waits although it could run. To be called every second, and only without
+ * failures. */
 void world_look(struct world *world);
-/* Ends all troubles, runs the world, and looks: nothing waits in vain, all nodes know all jobs. */
+/** Ends all failures and runs the world; fails when a job waits in vain or a node does not know a
+ * job. */
 void world_settle(struct world *world, int64_t ms);
-/* Frees the world, and fails the test if a rule was broken in it. */
+/** Frees the world; fails the test when a rule was broken in it. */
 void world_end(struct world *world);
 
-/* A test of whole nodes: begins with a world in which all nodes are up, and ends with a look
- * whether any rule was broken. */
+/** cmocka setup and teardown of WORLD_TEST. */
 int world_open(void **state);
 int world_close(void **state);
+/** A test of whole nodes: it begins with all nodes up, and ends with world_end(). */
 #define WORLD_TEST(f) cmocka_unit_test_setup_teardown(f, world_open, world_close)
-/* The same; in the end all troubles are over, and the world settles. */
+/** The same with world_settle() before the end. */
 int world_close_settled(void **state);
 #define WORLD_TEST_SETTLED(f) cmocka_unit_test_setup_teardown(f, world_open, world_close_settled)
 
--- a/tests/support/world_net.c
+++ b/tests/support/world_net.c
@@ -222,8 +222,8 @@
         flight_answer(flight, HTTP_NOT_SENT, "");
         return;
     }
-    if (world
-            ->paused[to]) { /* it arrives once the node goes on; the sender does not wait so long */
+    /* It arrives once the node resumes; the sender does not wait that long. */
+    if (world->paused[to]) {
         struct flight *late = flight_copy(flight);
         late->process = 0;
         wait_in_inbox(late, to, WAITS_TO_ARRIVE);
