--- a/src/cloud/cloud_provider_internal.h
+++ b/src/cloud/cloud_provider_internal.h
@@ -54,6 +54,7 @@
     SCALE_IN_CONFIRMED,
 };
 
+/** The return of one machine. */
 struct scale_in_request {
     machine_id id;
     enum scale_in_phase phase;
@@ -69,6 +70,7 @@
     mono_time refilled_at;
 };
 
+/** The machine types that the cloud offers, and whether other nodes can know them. */
 struct machine_types_state {
     /** Array of struct machine_type; NULL before the first response. */
     GArray *types;
@@ -95,6 +97,7 @@
     mono_time read_at;
 };
 
+/** The state of the client. Calls and requests belong to one generation, which a reset ends. */
 struct cloud_provider {
     struct loop *loop;
     struct http_client *http_client;
@@ -170,6 +173,7 @@
 /** Whether the budget allows a call now. */
 bool cloud_provider_may_call(struct cloud_provider *cloud);
 
+/** A context for a call of the current generation. */
 struct cloud_call *cloud_call_new(struct cloud_provider *cloud);
 
 /** Whether the state is still that in which the call was sent. */
@@ -206,6 +210,7 @@
 
 /* ---- scale_out.c ---- */
 
+/** Frees a request that is in no queue any more. */
 void scale_out_request_free(struct scale_out_request *request);
 
 /** Records the requests that can be sent soon, and sends those that may be sent. */
