--- a/src/api/api.c
+++ b/src/api/api.c
@@ -111,7 +111,7 @@
                   g_strndup(response->body, response->body_bytes));
     else
         api_reply_error(forwarded->responder, forwarded->from, HTTP_STATUS_UNAVAILABLE,
-                        "the state service does not answer");
+                        ERROR_KV_UNAVAILABLE);
     g_free(forwarded);
 }
 
--- a/src/api/api_internal.h
+++ b/src/api/api_internal.h
@@ -16,6 +16,9 @@
 /** Users wait 2 s for a response, so a request that is not settled by then is refused. */
 enum { API_RESPONSE_TIMEOUT_MS = 1500 };
 
+/** The error with HTTP_STATUS_UNAVAILABLE while requests cannot be settled. */
+#define ERROR_KV_UNAVAILABLE "the state service does not answer"
+
 struct api_request;
 
 /** Takes a request to its next step; `ok` is false when the step before it took too long. */
--- a/src/api/api_request.c
+++ b/src/api/api_request.c
@@ -15,7 +15,7 @@
 {
     if (!request->is_answered)
         api_reply_error(request->responder, request->from, HTTP_STATUS_UNAVAILABLE,
-                        "the state service does not answer");
+                        ERROR_KV_UNAVAILABLE);
     mark_answered(request);
 }
 
@@ -48,7 +48,7 @@
     if (!api->replica->is_ready)
         return "starting";
     if (kv_client_is_unavailable(api->kv))
-        return "the state service does not answer";
+        return ERROR_KV_UNAVAILABLE;
     if (api->waiting_count >= api->max_waiting)
         return "too many requests at once";
     return NULL;
--- a/src/api/api_response.c
+++ b/src/api/api_response.c
@@ -19,19 +19,18 @@
     json_object_put(object);
 }
 
-/* The protocol's word for where a job stands. */
-static const char *job_stage_name(const struct job *job)
+static enum job_stage get_stage(const struct job *job)
 {
     if (job->state == JOB_DONE)
-        return "done";
+        return JOB_STAGE_DONE;
     if (job->state == JOB_CANCELLED)
-        return "cancelled";
-    return job->run_records ? "running" : "queued";
+        return JOB_STAGE_CANCELLED;
+    return job->run_records ? JOB_STAGE_RUNNING : JOB_STAGE_QUEUED;
 }
 
 static char *encode_job_status(const struct job *job)
 {
-    return job_status_encode(job->id, job_stage_name(job), job->completed_count,
+    return job_status_encode(job->id, get_stage(job), job->completed_count,
                              job->run_records ? (long)g_hash_table_size(job->run_records) : 0);
 }
 
--- a/src/api/job_write.c
+++ b/src/api/job_write.c
@@ -38,7 +38,7 @@
     struct api_request *request = context;
     if (!request->is_answered)
         api_reply(request->responder, request->from, HTTP_STATUS_OK,
-                  job_status_encode(request->job, "cancelled", -1, 0));
+                  job_status_encode(request->job, JOB_STAGE_CANCELLED, -1, 0));
     api_request_free(request);
 }
 
@@ -50,7 +50,7 @@
                                   on_cancel_announced, request);
         return;
     }
-    const char *stage = request->is_upstream_cancelled ? "cancelled" : "queued";
+    enum job_stage stage = request->is_upstream_cancelled ? JOB_STAGE_CANCELLED : JOB_STAGE_QUEUED;
     api_reply(request->responder, request->from, HTTP_STATUS_CREATED,
               job_status_encode(request->job, stage, -1, 0));
     api_request_free(request);
--- a/src/net/http_client.c
+++ b/src/net/http_client.c
@@ -73,8 +73,8 @@
 void http_endpoint_send_queued(struct connection_pool *pool, struct http_endpoint *endpoint)
 {
     while (endpoint->queued_exchanges.head) {
-        /* An idle connection to this endpoint comes first: making room could close that very one.
-         */
+        /* An idle connection to this endpoint comes first: the one that is closed to
+         * make way for a new one could be that very one. */
         struct client_connection *connection = find_idle_connection(endpoint);
         if (!connection &&
             (int)endpoint->connections->len >= pool->limits.max_connections_per_address)
--- a/src/net/http_parser.c
+++ b/src/net/http_parser.c
@@ -140,7 +140,7 @@
 {
     const char *head_end = g_strstr_len(data, MIN(length, (size_t)MAX_HEAD_BYTES), "\r\n\r\n");
     if (!head_end) {
-        /* A peer that does not speak HTTP should not have to send 8 KiB to be told so. */
+        /* A peer that does not speak HTTP is refused before it has sent 8 KiB. */
         if (length > 0 && !g_ascii_isupper(data[0]))
             return HTTP_PARSE_MALFORMED;
         return length >= MAX_HEAD_BYTES ? HTTP_PARSE_TOO_LARGE : HTTP_PARSE_INCOMPLETE;
--- a/src/net/http_server.c
+++ b/src/net/http_server.c
@@ -150,7 +150,7 @@
     enum http_parse_result result = http_parse_chunks(body->text, received_bytes, max_bytes,
                                                       body->decoded, &body->consumed_bytes);
     if (result != HTTP_PARSE_DONE) {
-        /* Chunk sizes and extensions take room, too, but no more than the body itself. */
+        /* Chunk sizes and extensions may take as many bytes as the body itself. */
         bool is_too_large = received_bytes > max_bytes * 2;
         return is_too_large ? HTTP_PARSE_TOO_LARGE : result;
     }
@@ -245,7 +245,7 @@
         connection_close(connection);
         return;
     }
-    /* Pipelining is not supported: a peer that sends on before the response gets no more room. */
+    /* Pipelining is not supported: a peer that sends more before the response is cut off. */
     if (connection->state != CONNECTION_READING &&
         connection->input->len + received_bytes > READ_BYTES) {
         connection_close(connection);
--- a/src/wire/job_codec.c
+++ b/src/wire/job_codec.c
@@ -250,11 +250,12 @@
     return object;
 }
 
-char *job_status_encode(job_id id, const char *stage, long completed, long running)
+char *job_status_encode(job_id id, enum job_stage stage, long completed, long running)
 {
+    static const char *const stage_words[] = {"queued", "running", "done", "cancelled"};
     json_object *object = json_object_new_object();
     json_put_text(object, FIELD_ID, id.text);
-    json_put_text(object, FIELD_STAGE, stage);
+    json_put_text(object, FIELD_STAGE, stage_words[stage]);
     if (completed >= 0) {
         json_object_object_add(object, FIELD_DONE_COUNT, json_object_new_int64(completed));
         json_object_object_add(object, FIELD_RUNNING_COUNT, json_object_new_int64(running));
--- a/src/wire/job_codec.h
+++ b/src/wire/job_codec.h
@@ -76,8 +76,11 @@
  */
 void job_spec_put_dependencies(json_object *object, json_object *job_ids);
 
+/** Where a job stands, as its user sees it. */
+enum job_stage { JOB_STAGE_QUEUED, JOB_STAGE_RUNNING, JOB_STAGE_DONE, JOB_STAGE_CANCELLED };
+
 /** Encodes the answer to a user, a new text. completed < 0: without numbers of tasks. */
-char *job_status_encode(job_id id, const char *stage, long completed, long running);
+char *job_status_encode(job_id id, enum job_stage stage, long completed, long running);
 
 /** Reads JOB/INDEX. */
 bool task_name_parse(const char *text, job_id *job, uint32_t *index);
