--- a/tests/support/gang_fixtures.c
+++ b/tests/support/gang_fixtures.c
@@ -8,10 +8,10 @@
     return world;
 }
 
-void submit(struct world *world, const char *id, const char *form, const char *urgency, int tasks,
-            double cpus)
+void submit_for_team(struct world *world, const char *id, const char *form, const char *urgency,
+                     int tasks, double cpus, const char *team_name)
 {
-    char *job = world_job(id, form, tasks, "blue", cpus, "");
+    char *job = world_job(id, form, tasks, team_name, cpus, "");
     char *by = g_strdup_printf("\"Urgency\":\"%s\"", urgency);
     char *body = world_swapped(job, "\"Urgency\":\"high\"", by);
     assert_int_equal(world_ask(world, 0, "POST", "/work", body).status, 201);
@@ -20,6 +20,12 @@
     g_free(body);
 }
 
+void submit(struct world *world, const char *id, const char *form, const char *urgency, int tasks,
+            double cpus)
+{
+    submit_for_team(world, id, form, urgency, tasks, cpus, "blue");
+}
+
 void submit_in_one_zone(struct world *world, const char *id, int tasks, double cpus)
 {
     char *job = world_job(id, "gang", tasks, "blue", cpus, "");
@@ -153,3 +159,12 @@
         }
     }
 }
+
+bool is_first_start(struct world *world, const struct http_client_request *request,
+                    struct worker **first)
+{
+    if (strcmp(request->path, "/commands") != 0 || *first)
+        return false;
+    *first = g_hash_table_lookup(world->worker_addrs, request->address);
+    return true;
+}
--- a/tests/support/gang_fixtures.h
+++ b/tests/support/gang_fixtures.h
@@ -9,7 +9,10 @@
 /** Submits a job of team blue at the first node; fails unless it is accepted. */
 void submit(struct world *world, const char *id, const char *form, const char *urgency, int tasks,
             double cpus);
-/** The same for a gang that has to be in one zone. */
+/** The same for any team. */
+void submit_for_team(struct world *world, const char *id, const char *form, const char *urgency,
+                     int tasks, double cpus, const char *team_name);
+/** The same for a gang of team blue that has to be in one zone. */
 void submit_in_one_zone(struct world *world, const char *id, int tasks, double cpus);
 /** A machine that another node than the leader owns. */
 struct worker *far_machine(struct world *world, int i, const char *zone);
@@ -36,5 +39,9 @@
 /** Runs a second of a load: tasks that have run for 12 s complete, and each other one fails with
  * that probability. */
 void load_second(struct world *world, GRand *luck, double fails);
+/** For a fate: whether a request is the first start that is sent to a machine, which is kept in
+ * *first; *first is NULL until then. */
+bool is_first_start(struct world *world, const struct http_client_request *request,
+                    struct worker **first);
 
 #endif
--- a/tests/test_cluster.c
+++ b/tests/test_cluster.c
@@ -6,26 +6,11 @@
  * Messages and owners are those of version 0.4.0 (commit 2e591e3), as nodes of different versions
  * serve side by side.
  */
+#include "json_messages.h"
 #include "world.h"
 
 #include <stdlib.h>
 
-static cJSON *parse_message(const char *text)
-{
-    cJSON *message = cJSON_Parse(text);
-    assert_non_null(message);
-    return message;
-}
-
-/** Frees the message. */
-static void assert_text(cJSON *message, const char *expected)
-{
-    char *text = cJSON_PrintUnformatted(message);
-    assert_string_equal(text, expected);
-    free(text);
-    cJSON_Delete(message);
-}
-
 static struct cancel_notice make_notice(const char *job_text, uint64_t committed_at)
 {
     struct cancel_notice notice = {.committed_at = {committed_at}};
@@ -39,13 +24,13 @@
 {
     (void)state;
     const struct peer_question question = {.number = 7, .replica_revision = {15}};
-    assert_text(peer_question_encode(&question), "{\"q\":\"7\",\"at\":\"15\"}");
-    cJSON *message = parse_message("{\"q\":\"7\",\"at\":\"15\",\"from\":\"mast-0\"}");
+    assert_json_message(peer_question_encode(&question), "{\"q\":\"7\",\"at\":\"15\"}");
+    cJSON *message = json_message_parse("{\"q\":\"7\",\"at\":\"15\",\"from\":\"mast-0\"}");
     struct peer_question decoded = peer_question_decode(message);
     assert_int_equal(decoded.number, 7);
     assert_int_equal(decoded.replica_revision.value, 15);
     cJSON_Delete(message);
-    message = parse_message("{\"from\":\"mast-0\"}"); /* of an earlier version */
+    message = json_message_parse("{\"from\":\"mast-0\"}"); /* of an earlier version */
     decoded = peer_question_decode(message);
     assert_int_equal(decoded.number, 0);
     assert_int_equal(decoded.replica_revision.value, 0);
@@ -56,9 +41,9 @@
 {
     (void)state;
     const struct cancel_notice notice = make_notice("wk-1", 16);
-    assert_text(cancel_notice_encode(&notice), "{\"j\":\"wk-1\",\"r\":\"16\"}");
+    assert_json_message(cancel_notice_encode(&notice), "{\"j\":\"wk-1\",\"r\":\"16\"}");
     struct cancel_notice decoded;
-    cJSON *message = parse_message("{\"j\":\"wk-1\",\"r\":\"16\",\"from\":\"mast-0\"}");
+    cJSON *message = json_message_parse("{\"j\":\"wk-1\",\"r\":\"16\",\"from\":\"mast-0\"}");
     assert_true(cancel_notice_decode(message, &decoded));
     assert_string_equal(decoded.job.text, "wk-1");
     assert_int_equal(decoded.committed_at.value, 16);
@@ -66,7 +51,7 @@
     static const char *const malformed[] = {"{}", "{\"j\":\"wk-1\"}", "{\"j\":1,\"r\":\"16\"}",
                                             "{\"j\":\"wk-1\",\"r\":16}", "{\"r\":\"16\"}"};
     for (guint i = 0; i < G_N_ELEMENTS(malformed); i++) {
-        message = parse_message(malformed[i]);
+        message = json_message_parse(malformed[i]);
         if (cancel_notice_decode(message, &decoded))
             fail_msg("accepted: %s", malformed[i]);
         cJSON_Delete(message);
@@ -86,9 +71,9 @@
                                    .has_all_cancels = true};
     const struct cancel_notice notices[] = {make_notice("wk-1", 16), make_notice("wk-2", 0)};
     g_array_append_vals(report.cancels, notices, G_N_ELEMENTS(notices));
-    assert_text(health_report_encode(&report), text);
+    assert_json_message(health_report_encode(&report), text);
     health_report_clear(&report);
-    cJSON *message = parse_message(text);
+    cJSON *message = json_message_parse(text);
     assert_true(health_report_decode(message, &report));
     assert_false(report.is_served);
     assert_int_equal(report.question_number, 5);
@@ -114,7 +99,7 @@
                                             "{\"served\":true,\"up_ms\":\"5\"}"};
     struct health_report report;
     for (guint i = 0; i < G_N_ELEMENTS(malformed); i++) {
-        cJSON *message = parse_message(malformed[i]);
+        cJSON *message = json_message_parse(malformed[i]);
         if (health_report_decode(message, &report))
             fail_msg("accepted: %s", malformed[i]);
         cJSON_Delete(message);
@@ -139,7 +124,7 @@
     };
     for (guint i = 0; i < G_N_ELEMENTS(cases); i++) {
         char *text = g_strdup_printf("{\"served\":false,\"up_ms\":5%s}", cases[i].fields);
-        cJSON *message = parse_message(text);
+        cJSON *message = json_message_parse(text);
         struct health_report report;
         assert_true(health_report_decode(message, &report));
         assert_int_equal(report.question_number, 0); /* none has this number */
@@ -155,12 +140,12 @@
 {
     (void)state;
     struct proxy_report report = {24753};
-    assert_text(proxy_report_encode(&report), "{\"ago_ms\":24753}");
-    cJSON *message = parse_message("{\"ago_ms\":25753}");
+    assert_json_message(proxy_report_encode(&report), "{\"ago_ms\":24753}");
+    cJSON *message = json_message_parse("{\"ago_ms\":25753}");
     assert_true(proxy_report_decode(message, &report));
     assert_true(report.last_renewal_age_ms == 25753);
     cJSON_Delete(message);
-    message = parse_message("{\"ago_ms\":\"25753\"}");
+    message = json_message_parse("{\"ago_ms\":\"25753\"}");
     assert_false(proxy_report_decode(message, &report));
     cJSON_Delete(message);
     assert_false(proxy_report_decode(NULL, &report));
--- a/tests/test_gang_failures.c
+++ b/tests/test_gang_failures.c
@@ -11,9 +11,8 @@
                                         const struct http_client_request *request)
 {
     (void)node;
-    if (strcmp(request->path, "/commands") != 0 || fell_silent)
+    if (!is_first_start(world, request, &fell_silent))
         return FATE_NORMAL;
-    fell_silent = g_hash_table_lookup(world->worker_addrs, request->address);
     fell_silent->silent = true;
     return FATE_LOST;
 }
@@ -189,17 +188,6 @@
     assert_in_range(waited_ms, 6000, 20000); /* the lease is 10 s */
 }
 
-static void submit_for_red(struct world *world, const char *id, const char *urgency, int tasks)
-{
-    char *job = world_job(id, "gang", tasks, "red", 8.0, "");
-    char *by = g_strdup_printf("\"Urgency\":\"%s\"", urgency);
-    char *body = world_swapped(job, "\"Urgency\":\"high\"", by);
-    assert_int_equal(world_ask(world, 0, "POST", "/work", body).status, 201);
-    g_free(job);
-    g_free(by);
-    g_free(body);
-}
-
 /* The team's limit is 16 processors. A more urgent gang that needs all of them has machines to go
  * to, and waits until the task of 8 that hangs is proven gone. */
 static void tasks_that_are_not_proven_gone_count_against_the_limit(void **state)
@@ -208,10 +196,10 @@
     for (int i = 4; i < 8; i++)
         world_worker(world, i, i % 2 ? "a" : "b", true);
     world_run(world, 4000);
-    submit_for_red(world, "wk-1", "normal", 2);
+    submit_for_team(world, "wk-1", "gang", "normal", 2, 8.0, "red");
     world_run(world, 5000);
     uint64_t old = half_of_it_hangs(world);
-    submit_for_red(world, "wk-2", "prod", 2);
+    submit_for_team(world, "wk-2", "gang", "prod", 2, 8.0, "red");
     nothing_starts_before_proof(world, "wk-2", old);
     world_run(world, 6000);
     runs_whole(world, "wk-2", 2);
--- a/tests/test_gangs_anew.c
+++ b/tests/test_gangs_anew.c
@@ -166,9 +166,8 @@
                                     const struct http_client_request *request)
 {
     (void)node;
-    if (strcmp(request->path, "/commands") != 0 || unheard)
+    if (!is_first_start(world, request, &unheard))
         return FATE_NORMAL;
-    unheard = g_hash_table_lookup(world->worker_addrs, request->address);
     unheard->deaf = true;
     return FATE_LOST;
 }
--- a/tests/test_shard_messages.c
+++ b/tests/test_shard_messages.c
@@ -1,5 +1,6 @@
 /* The messages between the leader and the shards: their bytes, which older nodes read and write as
  * well, and what becomes of malformed ones. */
+#include "json_messages.h"
 #include "shard_messages.h"
 
 #include <setjmp.h>
@@ -15,45 +16,31 @@
     return task;
 }
 
-static void assert_json(cJSON *json, const char *expected)
-{
-    char *text = cJSON_PrintUnformatted(json);
-    assert_string_equal(text, expected);
-    free(text);
-    cJSON_Delete(json);
-}
-
-static cJSON *parsed(const char *text)
-{
-    cJSON *json = cJSON_Parse(text);
-    assert_non_null(json);
-    return json;
-}
-
 static void dispatch_items_keep_their_bytes(void **state)
 {
     (void)state;
     struct dispatch_item anywhere = {.task = a_task(3), .number = 12};
-    assert_json(dispatch_item_encode(&anywhere),
-                "{\"j\":\"render-1\",\"i\":3,\"a\":\"7\",\"n\":\"12\"}");
+    assert_json_message(dispatch_item_encode(&anywhere),
+                        "{\"j\":\"render-1\",\"i\":3,\"a\":\"7\",\"n\":\"12\"}");
     struct dispatch_item bound = {
         .task = a_task(3), .number = 12, .zone = "z1", .bound_machine = "m-1"};
-    assert_json(dispatch_item_encode(&bound),
-                "{\"j\":\"render-1\",\"i\":3,\"a\":\"7\",\"n\":\"12\",\"y\":\"z1\",\"h\":\"m-1\"}");
+    assert_json_message(
+        dispatch_item_encode(&bound),
+        "{\"j\":\"render-1\",\"i\":3,\"a\":\"7\",\"n\":\"12\",\"y\":\"z1\",\"h\":\"m-1\"}");
     struct stop_item stop = {.task = a_task(4), .machine = "m-2", .grace_s = 1.5};
-    assert_json(stop_item_encode(&stop),
-                "{\"j\":\"render-1\",\"i\":4,\"a\":\"7\",\"h\":\"m-2\",\"g\":1.5}");
-    assert_json(dispatch_message_new((epoch_no){5}, 9), "{\"e\":\"5\",\"s\":\"9\"}");
+    assert_json_message(stop_item_encode(&stop),
+                        "{\"j\":\"render-1\",\"i\":4,\"a\":\"7\",\"h\":\"m-2\",\"g\":1.5}");
+    assert_json_message(dispatch_message_new((epoch_no){5}, 9), "{\"e\":\"5\",\"s\":\"9\"}");
 }
 
 static void dispatch_messages_are_read_without_their_malformed_items(void **state)
 {
     (void)state;
-    cJSON *json =
-        parsed("{\"e\":\"5\",\"s\":\"9\",\"deal\":[{\"j\":\"render-1\",\"i\":3,\"a\":\"7\","
-               "\"y\":\"z1\"},{\"j\":\"render-1\"},4],\"halt\":[{\"j\":\"render-1\",\"i\":4,"
-               "\"a\":\"7\",\"h\":\"m-2\"},{\"j\":\"render-1\",\"i\":5,\"a\":\"7\"}],"
-               "\"gone\":[\"m-3\",1],\"close\":[]}");
+    cJSON *json = json_message_parse(
+        "{\"e\":\"5\",\"s\":\"9\",\"deal\":[{\"j\":\"render-1\",\"i\":3,\"a\":\"7\","
+        "\"y\":\"z1\"},{\"j\":\"render-1\"},4],\"halt\":[{\"j\":\"render-1\",\"i\":4,"
+        "\"a\":\"7\",\"h\":\"m-2\"},{\"j\":\"render-1\",\"i\":5,\"a\":\"7\"}],"
+        "\"gone\":[\"m-3\",1],\"close\":[]}");
     struct dispatch_message message;
     assert_true(dispatch_message_decode(json, &message));
     assert_int_equal(message.epoch.value, 5);
@@ -82,11 +69,11 @@
     (void)state;
     struct dispatch_message dispatches;
     struct status_message status;
-    cJSON *json = parsed("{\"e\":\"5\"}");
+    cJSON *json = json_message_parse("{\"e\":\"5\"}");
     assert_false(dispatch_message_decode(json, &dispatches));
     assert_false(status_message_decode(json, &status));
     cJSON_Delete(json);
-    json = parsed("{\"e\":\"5\",\"s\":\"1\"}");
+    json = json_message_parse("{\"e\":\"5\",\"s\":\"1\"}");
     assert_true(dispatch_message_decode(json, &dispatches));
     assert_null(dispatches.to_cordon);
     dispatch_message_clear(&dispatches);
@@ -116,25 +103,26 @@
     g_array_append_val(message.events, event);
     event = (struct task_event){TASK_EVENT_COMPLETED, machine.id, a_task(0).job, 2.25};
     g_array_append_val(message.events, event);
-    assert_json(status_message_encode(&message),
-                "{\"e\":\"5\",\"s\":\"2\",\"hosts\":[[\"m-1\",\"c8\",\"z1\",true,9],"
-                "[\"m-1\",\"c8\",\"z1\",true,9,[\"img\"]]],\"whole\":true,"
-                "\"back\":[{\"j\":\"render-1\",\"i\":3,\"a\":\"7\",\"n\":\"12\"}],"
-                "\"news\":[{\"h\":\"m-1\",\"j\":\"render-1\",\"c\":4},"
-                "{\"h\":\"m-1\",\"j\":\"render-1\",\"took\":2.25}],\"raise\":true}");
+    assert_json_message(status_message_encode(&message),
+                        "{\"e\":\"5\",\"s\":\"2\",\"hosts\":[[\"m-1\",\"c8\",\"z1\",true,9],"
+                        "[\"m-1\",\"c8\",\"z1\",true,9,[\"img\"]]],\"whole\":true,"
+                        "\"back\":[{\"j\":\"render-1\",\"i\":3,\"a\":\"7\",\"n\":\"12\"}],"
+                        "\"news\":[{\"h\":\"m-1\",\"j\":\"render-1\",\"c\":4},"
+                        "{\"h\":\"m-1\",\"j\":\"render-1\",\"took\":2.25}],\"raise\":true}");
     status_message_clear(&message);
 }
 
 static void a_status_is_read_without_its_malformed_items(void **state)
 {
     (void)state;
-    cJSON *json = parsed("{\"e\":\"5\",\"s\":\"2\",\"hosts\":[[\"m-1\",\"c8\",\"z1\",false,1],[\"m-"
-                         "2\",\"c8\",\"z1\",true,"
-                         "16,[\"img\",2]],[\"m-3\"],7],\"back\":[{\"j\":\"render-1\",\"i\":3,\"a\":"
-                         "\"7\"},{\"i\":3}],"
-                         "\"news\":[{\"h\":\"m-1\",\"j\":\"render-1\",\"took\":2.25},{\"h\":\"m-"
-                         "1\",\"j\":\"render-1\"},"
-                         "{\"j\":\"render-1\",\"c\":4}]}");
+    cJSON *json = json_message_parse(
+        "{\"e\":\"5\",\"s\":\"2\",\"hosts\":[[\"m-1\",\"c8\",\"z1\",false,1],[\"m-"
+        "2\",\"c8\",\"z1\",true,"
+        "16,[\"img\",2]],[\"m-3\"],7],\"back\":[{\"j\":\"render-1\",\"i\":3,\"a\":"
+        "\"7\"},{\"i\":3}],"
+        "\"news\":[{\"h\":\"m-1\",\"j\":\"render-1\",\"took\":2.25},{\"h\":\"m-"
+        "1\",\"j\":\"render-1\"},"
+        "{\"j\":\"render-1\",\"c\":4}]}");
     struct status_message message;
     assert_true(status_message_decode(json, &message));
     assert_int_equal(message.machines->len, 2);
@@ -167,8 +155,8 @@
     names = dispatch_answer_decode(cordoned);
     assert_string_equal(names->pdata[0], "m-1");
     g_ptr_array_unref(names);
-    assert_json(cordoned, "{\"closed\":[\"m-1\"]}");
-    assert_json(answer, "{\"shut\":[\"m-1\"]}");
+    assert_json_message(cordoned, "{\"closed\":[\"m-1\"]}");
+    assert_json_message(answer, "{\"shut\":[\"m-1\"]}");
     names = dispatch_answer_decode(NULL);
     assert_int_equal(names->len, 0);
     g_ptr_array_unref(names);
