--- a/src/config/feature_set.c
+++ b/src/config/feature_set.c
@@ -12,7 +12,7 @@
 
 static const double DEFAULT_DELAY_REPORT_INTERVAL_S = 60;
 
-G_DEFINE_QUARK(linenlanding - feature - set - error - quark, feature_set_error)
+G_DEFINE_QUARK(linenlanding_feature_set_error, feature_set_error)
 
 struct feature_set feature_set_default(void)
 {
--- a/src/config/policy.c
+++ b/src/config/policy.c
@@ -13,7 +13,7 @@
     struct policy_expression *settings[POLICY_SETTINGS];
 };
 
-G_DEFINE_QUARK(linenlanding - policy - error - quark, policy_error)
+G_DEFINE_QUARK(linenlanding_policy_error, policy_error)
 
 /** Parses a text; settings that it does not hold stay NULL. */
 static struct policy *parse_settings(const char *text, GError **error)
--- a/src/config/settings.c
+++ b/src/config/settings.c
@@ -36,7 +36,7 @@
 static const struct number_rule RAM_MB = {16, 1e9, false};
 static const struct number_rule OPEN_FILES = {64, 1e7, true};
 
-G_DEFINE_QUARK(linenlanding - settings - error - quark, settings_error)
+G_DEFINE_QUARK(linenlanding_settings_error, settings_error)
 
 /* ---- lifetime ---- */
 
