--- a/tests/transcript.sh
+++ b/tests/transcript.sh
@@ -8,7 +8,7 @@
 #   tests/transcript.sh compare DIR [BUILD]  plays them again and shows the first difference
 #   tests/transcript.sh check                compares with $LL_TRANSCRIPT_REFERENCE
 #
-# BUILD is "target" unless given. JOBS plays run at once (2). TESTS names the tests to play.
+# BUILD is "target" unless given; it is built first. JOBS plays run at once (2). TESTS names the tests to play.
 set -eu
 cd "$(dirname "$0")/.."
 TESTS=${TESTS:-"test_world test_scheduling test_troubles test_partitions_and_outages test_restarts
@@ -20,6 +20,7 @@
 verb=${1:-check}
 
 play() { # DIR BUILD
+    cmake --build "$2" -j"$JOBS" >/dev/null
     mkdir -p "$1"
     export LL_OUT=$1 LL_BUILD=$2
     # shellcheck disable=SC2016
@@ -43,7 +44,10 @@
     status=0
     for name in $TESTS; do
         for mode in plain roles; do
-            if ! cmp -s "$reference/$name.$mode" "$out/$name.$mode"; then
+            if [ ! -e "$reference/$name.$mode" ]; then
+                status=1
+                echo "not recorded: $name $mode"
+            elif ! cmp -s "$reference/$name.$mode" "$out/$name.$mode"; then
                 status=1
                 echo "differs: $name $mode"
                 diff "$reference/$name.$mode" "$out/$name.$mode" | head -4 | cut -c 1-600
