--- a/src/cluster/leader_election.c
+++ b/src/cluster/leader_election.c
@@ -155,15 +155,11 @@
 static void on_write_done(void *arg, const struct txn_outcome *outcome)
 {
     struct leader_election *election = arg;
-    struct replica *replica = election->setup.replica;
     if (outcome->status == TXN_LEASE_EXPIRED)
         election->setup.on_lease_refused(election->setup.ctx);
     if (outcome->status == TXN_COMMITTED)
         election->epoch_is_requested = false;
-    if (outcome->status == TXN_COMMITTED || outcome->status == TXN_CONFLICT)
-        replica_await_revision(replica, outcome->at_revision, on_write_replicated, election);
-    else
-        replica_read_barrier(replica, on_write_replicated, election);
+    replica_await_outcome(election->setup.replica, outcome, on_write_replicated, election);
 }
 
 static void write_map(struct leader_election *election, const struct candidate *self,
--- a/src/cluster/membership.c
+++ b/src/cluster/membership.c
@@ -200,11 +200,7 @@
     struct membership *membership = arg;
     if (outcome->status == TXN_LEASE_EXPIRED)
         node_lease_drop(membership->lease, LEASE_REFUSED);
-    if (outcome->status == TXN_COMMITTED || outcome->status == TXN_CONFLICT)
-        replica_await_revision(membership->replica, outcome->at_revision, on_join_replicated,
-                               membership);
-    else
-        replica_read_barrier(membership->replica, on_join_replicated, membership);
+    replica_await_outcome(membership->replica, outcome, on_join_replicated, membership);
 }
 
 static json_object *encode_node_record(const struct membership *membership)
--- a/src/replica/replica.h
+++ b/src/replica/replica.h
@@ -129,5 +129,11 @@
 /** As replica_await_revision; for revision 0, as replica_read_barrier. */
 void replica_await_revision_or_newest(struct replica *replica, revision revision_needed,
                                       replica_callback callback, void *callback_arg);
+/**
+ * Calls back once the replica shows what became of a transaction: at the revision of its outcome;
+ * without one, as replica_read_barrier.
+ */
+void replica_await_outcome(struct replica *replica, const struct txn_outcome *outcome,
+                           replica_callback callback, void *callback_arg);
 
 #endif
