--- a/src/cluster/cancel_broadcast.c
+++ b/src/cluster/cancel_broadcast.c
@@ -174,10 +174,9 @@
 bool cancel_broadcast_collect(struct cancel_broadcast *broadcast, revision replica_revision,
                               GArray *notices)
 {
-    for (GList *link = broadcast->local_cancel_order.head; link; link = link->next) {
+    for (GList *link = broadcast->local_cancel_order.head;
+         link && notices->len <= MAX_SHARED_CANCELS; link = link->next) {
         struct local_cancel *cancel = link->data;
-        if (notices->len > MAX_SHARED_CANCELS)
-            return false;
         resolve_local(broadcast, cancel);
         if (!may_be_missing_at(cancel, replica_revision))
             continue;
