--- a/src/cloud/cloud_provider.c
+++ b/src/cloud/cloud_provider.c
@@ -57,8 +57,7 @@
 
 static void on_message(struct actor *self, const struct message *message)
 {
-    struct cloud_provider *cloud =
-        (struct cloud_provider *)((char *)self - G_STRUCT_OFFSET(struct cloud_provider, actor));
+    struct cloud_provider *cloud = (struct cloud_provider *)self;
     const struct role_change *change = message->body;
     if (message->kind != MSG_ROLE_CHANGE || change->role != ROLE_AUTOSCALER)
         return;
@@ -94,6 +93,7 @@
 struct cloud_provider *cloud_provider_new(const struct cloud_provider_setup *setup)
 {
     struct cloud_provider *cloud = g_new0(struct cloud_provider, 1);
+    cloud->actor = (struct actor){"cloud_provider", on_message};
     cloud->loop = setup->loop;
     cloud->http_client = setup->http_client;
     cloud->kv = setup->kv;
@@ -104,7 +104,6 @@
     cloud->settings = setup->settings;
     cloud->features = setup->features;
     cloud->listener = setup->listener;
-    cloud->actor = (struct actor){"cloud_provider", on_message};
     cloud->machines = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
     cloud->gone_machines = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     cloud->refused_until = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
--- a/src/cloud/cloud_provider_internal.h
+++ b/src/cloud/cloud_provider_internal.h
@@ -99,6 +99,7 @@
 
 /** The state of the client. Calls and requests belong to one generation, which a reset ends. */
 struct cloud_provider {
+    struct actor actor;
     struct loop *loop;
     struct http_client *http_client;
     struct kv_client *kv;
@@ -109,7 +110,6 @@
     const struct settings *settings;
     const struct feature_set *features;
     struct actor *listener;
-    struct actor actor;
     struct intent_log *intents;
     /** No new intent is recorded, as singleton roles are to be switched off. */
     bool recording_paused;
