--- a/src/shard/shard_messages.c
+++ b/src/shard/shard_messages.c
@@ -94,6 +94,8 @@
     return json;
 }
 
+/* Each of the decoders of items below appends its item to a list, unless it is malformed. */
+
 /* ---- dispatches ---- */
 
 cJSON *dispatch_item_encode(const struct dispatch_item *item)
@@ -107,16 +109,17 @@
     return json;
 }
 
-static bool dispatch_item_decode(const cJSON *json, struct dispatch_item *out)
+static void dispatch_item_decode(const cJSON *json, GArray *dispatches)
 {
-    *out = (struct dispatch_item){0};
-    out->zone = node_rpc_get_text(json, FIELD_ZONE);
-    out->bound_machine = node_rpc_get_text(json, FIELD_MACHINE);
-    node_rpc_get_u64(json, FIELD_NUMBER, &out->number);
-    if (decode_task(json, &out->task))
-        return true;
-    LOG_ERROR("dispatch_malformed", "at=%s", out->bound_machine ? out->bound_machine : "");
-    return false;
+    struct dispatch_item item = {
+        .zone = node_rpc_get_text(json, FIELD_ZONE),
+        .bound_machine = node_rpc_get_text(json, FIELD_MACHINE),
+    };
+    node_rpc_get_u64(json, FIELD_NUMBER, &item.number);
+    if (decode_task(json, &item.task))
+        g_array_append_val(dispatches, item);
+    else
+        LOG_ERROR("dispatch_malformed", "at=%s", item.bound_machine ? item.bound_machine : "");
 }
 
 cJSON *stop_item_encode(const struct stop_item *item)
@@ -127,12 +130,13 @@
     return json;
 }
 
-static bool stop_item_decode(const cJSON *json, struct stop_item *out)
+static void stop_item_decode(const cJSON *json, GArray *stops)
 {
     const cJSON *grace_s = get(json, FIELD_GRACE_S);
-    *out = (struct stop_item){.machine = node_rpc_get_text(json, FIELD_MACHINE)};
-    out->grace_s = cJSON_IsNumber(grace_s) ? grace_s->valuedouble : 0;
-    return out->machine && decode_task(json, &out->task);
+    struct stop_item item = {.machine = node_rpc_get_text(json, FIELD_MACHINE)};
+    item.grace_s = cJSON_IsNumber(grace_s) ? grace_s->valuedouble : 0;
+    if (item.machine && decode_task(json, &item.task))
+        g_array_append_val(stops, item);
 }
 
 cJSON *dispatch_message_new(epoch_no epoch, uint64_t sequence)
@@ -150,18 +154,9 @@
     out->returned = decode_optional_strings(get(json, DISPATCH_MESSAGE_RETURNED));
     out->to_cordon = decode_strings(get(json, DISPATCH_MESSAGE_TO_CORDON));
     const cJSON *item;
-    cJSON_ArrayForEach(item, get(json, DISPATCH_MESSAGE_STOPS))
-    {
-        struct stop_item stop;
-        if (stop_item_decode(item, &stop))
-            g_array_append_val(out->stops, stop);
-    }
+    cJSON_ArrayForEach(item, get(json, DISPATCH_MESSAGE_STOPS)) stop_item_decode(item, out->stops);
     cJSON_ArrayForEach(item, get(json, DISPATCH_MESSAGE_DISPATCHES))
-    {
-        struct dispatch_item dispatch;
-        if (dispatch_item_decode(item, &dispatch))
-            g_array_append_val(out->dispatches, dispatch);
-    }
+        dispatch_item_decode(item, out->dispatches);
     return true;
 }
 
@@ -200,24 +195,24 @@
     return json;
 }
 
-static bool machine_status_decode(const cJSON *json, struct machine_status *out)
+static void machine_status_decode(const cJSON *json, GArray *machines)
 {
     const cJSON *id = cJSON_GetArrayItem(json, POSITION_ID);
     const cJSON *type_name = cJSON_GetArrayItem(json, POSITION_TYPE);
     const cJSON *zone = cJSON_GetArrayItem(json, POSITION_ZONE);
     const cJSON *spot = cJSON_GetArrayItem(json, POSITION_SPOT);
     const cJSON *flags = cJSON_GetArrayItem(json, POSITION_FLAGS);
-    *out = (struct machine_status){0};
-    if (!cJSON_IsString(id) || !machine_id_parse(&out->id, id->valuestring) ||
+    struct machine_status machine = {0};
+    if (!cJSON_IsString(id) || !machine_id_parse(&machine.id, id->valuestring) ||
         !cJSON_IsString(type_name) || !cJSON_IsString(zone) || !cJSON_IsBool(spot) ||
         !cJSON_IsNumber(flags))
-        return false;
-    out->type_name = type_name->valuestring;
-    out->zone = zone->valuestring;
-    out->is_spot = cJSON_IsTrue(spot);
-    out->flags = (int)flags->valuedouble;
-    out->images = decode_strings(cJSON_GetArrayItem(json, POSITION_IMAGES));
-    return true;
+        return;
+    machine.type_name = type_name->valuestring;
+    machine.zone = zone->valuestring;
+    machine.is_spot = cJSON_IsTrue(spot);
+    machine.flags = (int)flags->valuedouble;
+    machine.images = decode_strings(cJSON_GetArrayItem(json, POSITION_IMAGES));
+    g_array_append_val(machines, machine);
 }
 
 static void machine_status_clear(gpointer data)
@@ -233,11 +228,12 @@
     return json;
 }
 
-static bool rejected_dispatch_decode(const cJSON *json, struct rejected_dispatch *out)
+static void rejected_dispatch_decode(const cJSON *json, GArray *rejected)
 {
-    *out = (struct rejected_dispatch){0};
-    out->has_number = node_rpc_get_u64(json, FIELD_NUMBER, &out->number);
-    return decode_task(json, &out->task);
+    struct rejected_dispatch item = {0};
+    item.has_number = node_rpc_get_u64(json, FIELD_NUMBER, &item.number);
+    if (decode_task(json, &item.task))
+        g_array_append_val(rejected, item);
 }
 
 static cJSON *task_event_encode(const struct task_event *event)
@@ -250,7 +246,7 @@
     return json;
 }
 
-static bool task_event_decode(const cJSON *json, struct task_event *out)
+static void task_event_decode(const cJSON *json, GArray *events)
 {
     const char *machine = node_rpc_get_text(json, FIELD_MACHINE);
     const char *job = node_rpc_get_text(json, FIELD_JOB);
@@ -258,12 +254,12 @@
     const cJSON *run_time_s = get(json, FIELD_RUN_TIME_S);
     bool has_failed = cJSON_IsNumber(cause);
     const cJSON *value = has_failed ? cause : run_time_s;
-    *out = (struct task_event){.kind = has_failed ? TASK_EVENT_FAILED : TASK_EVENT_COMPLETED};
-    if (!machine || !machine_id_parse(&out->machine, machine) || !job ||
-        !job_id_parse(&out->job, job) || !cJSON_IsNumber(value))
-        return false;
-    out->value = value->valuedouble;
-    return true;
+    struct task_event event = {.kind = has_failed ? TASK_EVENT_FAILED : TASK_EVENT_COMPLETED};
+    if (!machine || !machine_id_parse(&event.machine, machine) || !job ||
+        !job_id_parse(&event.job, job) || !cJSON_IsNumber(value))
+        return;
+    event.value = value->valuedouble;
+    g_array_append_val(events, event);
 }
 
 void status_message_init(struct status_message *message)
@@ -316,24 +312,10 @@
     out->is_full = cJSON_IsTrue(get(json, FIELD_IS_FULL));
     out->wants_epoch_raise = cJSON_IsTrue(get(json, FIELD_WANTS_EPOCH));
     const cJSON *item;
-    cJSON_ArrayForEach(item, get(json, FIELD_MACHINES))
-    {
-        struct machine_status machine;
-        if (machine_status_decode(item, &machine))
-            g_array_append_val(out->machines, machine);
-    }
+    cJSON_ArrayForEach(item, get(json, FIELD_MACHINES)) machine_status_decode(item, out->machines);
     cJSON_ArrayForEach(item, get(json, FIELD_REJECTED))
-    {
-        struct rejected_dispatch rejected;
-        if (rejected_dispatch_decode(item, &rejected))
-            g_array_append_val(out->rejected, rejected);
-    }
-    cJSON_ArrayForEach(item, get(json, FIELD_EVENTS))
-    {
-        struct task_event event;
-        if (task_event_decode(item, &event))
-            g_array_append_val(out->events, event);
-    }
+        rejected_dispatch_decode(item, out->rejected);
+    cJSON_ArrayForEach(item, get(json, FIELD_EVENTS)) task_event_decode(item, out->events);
     return true;
 }
 
