--- a/src/shard/shard_messages.c
+++ b/src/shard/shard_messages.c
@@ -246,20 +246,26 @@
     return json;
 }
 
+/** One item may tell both how long a task took and why one failed: these are two events. */
 static void task_event_decode(const cJSON *json, GArray *events)
 {
     const char *machine = node_rpc_get_text(json, FIELD_MACHINE);
     const char *job = node_rpc_get_text(json, FIELD_JOB);
-    const cJSON *cause = get(json, FIELD_CAUSE);
     const cJSON *run_time_s = get(json, FIELD_RUN_TIME_S);
-    bool has_failed = cJSON_IsNumber(cause);
-    const cJSON *value = has_failed ? cause : run_time_s;
-    struct task_event event = {.kind = has_failed ? TASK_EVENT_FAILED : TASK_EVENT_COMPLETED};
+    const cJSON *cause = get(json, FIELD_CAUSE);
+    struct task_event event = {.kind = TASK_EVENT_COMPLETED};
     if (!machine || !machine_id_parse(&event.machine, machine) || !job ||
-        !job_id_parse(&event.job, job) || !cJSON_IsNumber(value))
+        !job_id_parse(&event.job, job))
         return;
-    event.value = value->valuedouble;
-    g_array_append_val(events, event);
+    if (cJSON_IsNumber(run_time_s)) {
+        event.value = run_time_s->valuedouble;
+        g_array_append_val(events, event);
+    }
+    if (cJSON_IsNumber(cause)) {
+        event.kind = TASK_EVENT_FAILED;
+        event.value = cause->valuedouble;
+        g_array_append_val(events, event);
+    }
 }
 
 void status_message_init(struct status_message *message)
--- a/tests/test_shard_messages.c
+++ b/tests/test_shard_messages.c
@@ -154,6 +154,24 @@
     cJSON_Delete(json);
 }
 
+static void a_run_time_and_a_cause_in_one_item_are_two_events(void **state)
+{
+    (void)state;
+    cJSON *json = parsed("{\"e\":\"5\",\"s\":\"2\",\"news\":[{\"h\":\"m-1\",\"j\":\"render-1\","
+                         "\"c\":4,\"took\":2.25}]}");
+    struct status_message message;
+    assert_true(status_message_decode(json, &message));
+    assert_int_equal(message.events->len, 2);
+    const struct task_event *event = &g_array_index(message.events, struct task_event, 0);
+    assert_int_equal(event->kind, TASK_EVENT_COMPLETED);
+    assert_true(event->value == 2.25);
+    event = &g_array_index(message.events, struct task_event, 1);
+    assert_int_equal(event->kind, TASK_EVENT_FAILED);
+    assert_true(event->value == 4);
+    status_message_clear(&message);
+    cJSON_Delete(json);
+}
+
 static void answers_name_machines(void **state)
 {
     (void)state;
@@ -182,6 +200,7 @@
         cmocka_unit_test(messages_without_a_number_are_malformed),
         cmocka_unit_test(a_status_keeps_its_bytes),
         cmocka_unit_test(a_status_is_read_without_its_malformed_items),
+        cmocka_unit_test(a_run_time_and_a_cause_in_one_item_are_two_events),
         cmocka_unit_test(answers_name_machines),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
