--- a/src/shard/dispatch_receiver.c
+++ b/src/shard/dispatch_receiver.c
@@ -84,16 +84,16 @@
 {
     struct shard *shard = ctx;
     struct dispatch_message message;
-    if (!dispatch_message_decode(json, &message))
+    if (!dispatch_message_decode_header(json, &message))
         return HTTP_STATUS_BAD_REQUEST;
-    int status = HTTP_STATUS_OK;
-    if (!is_current(shard, from, &message)) {
-        status = HTTP_STATUS_CONFLICT;
-    } else if (message.sequence > shard->last_dispatch_sequence) {
-        /* A copy that was delayed must not dispatch a task once more after it was rejected. */
-        shard->last_dispatch_sequence = message.sequence;
-        apply_message(shard, &message, answer);
-    }
+    if (!is_current(shard, from, &message))
+        return HTTP_STATUS_CONFLICT;
+    /* A copy that was delayed must not dispatch a task once more after it was rejected. */
+    if (message.sequence <= shard->last_dispatch_sequence)
+        return HTTP_STATUS_OK;
+    shard->last_dispatch_sequence = message.sequence;
+    dispatch_message_decode_lists(json, &message);
+    apply_message(shard, &message, answer);
     dispatch_message_clear(&message);
-    return status;
+    return HTTP_STATUS_OK;
 }
--- a/src/shard/shard_messages.c
+++ b/src/shard/shard_messages.c
@@ -144,11 +144,14 @@
     return encode_header(epoch, sequence);
 }
 
-bool dispatch_message_decode(const cJSON *json, struct dispatch_message *out)
+bool dispatch_message_decode_header(const cJSON *json, struct dispatch_message *out)
 {
     *out = (struct dispatch_message){0};
-    if (!decode_header(json, &out->epoch, &out->sequence))
-        return false;
+    return decode_header(json, &out->epoch, &out->sequence);
+}
+
+void dispatch_message_decode_lists(const cJSON *json, struct dispatch_message *out)
+{
     out->dispatches = g_array_new(FALSE, FALSE, sizeof(struct dispatch_item));
     out->stops = g_array_new(FALSE, FALSE, sizeof(struct stop_item));
     out->returned = decode_optional_strings(get(json, DISPATCH_MESSAGE_RETURNED));
@@ -157,7 +160,6 @@
     cJSON_ArrayForEach(item, get(json, DISPATCH_MESSAGE_STOPS)) stop_item_decode(item, out->stops);
     cJSON_ArrayForEach(item, get(json, DISPATCH_MESSAGE_DISPATCHES))
         dispatch_item_decode(item, out->dispatches);
-    return true;
 }
 
 void dispatch_message_clear(struct dispatch_message *message)
--- a/src/shard/shard_messages.h
+++ b/src/shard/shard_messages.h
@@ -71,8 +71,11 @@
     GPtrArray *to_cordon;
 };
 
-/** Whether it has a number; false: malformed, and there is nothing to clear. */
-bool dispatch_message_decode(const cJSON *json, struct dispatch_message *out);
+/** Sets the epoch and the sequence number, and no lists. Returns false if they are malformed. */
+bool dispatch_message_decode_header(const cJSON *json, struct dispatch_message *out);
+/** Sets the lists; the caller clears the message. Logs malformed dispatches, so it is to be called
+ * only for a message that is accepted. */
+void dispatch_message_decode_lists(const cJSON *json, struct dispatch_message *out);
 /** Frees the lists of a decoded message. */
 void dispatch_message_clear(struct dispatch_message *message);
 /** The answer: names of the machines on which nothing can be placed any more. */
--- a/tests/test_shard_messages.c
+++ b/tests/test_shard_messages.c
@@ -55,7 +55,8 @@
                "\"a\":\"7\",\"h\":\"m-2\"},{\"j\":\"render-1\",\"i\":5,\"a\":\"7\"}],"
                "\"gone\":[\"m-3\",1],\"close\":[]}");
     struct dispatch_message message;
-    assert_true(dispatch_message_decode(json, &message));
+    assert_true(dispatch_message_decode_header(json, &message));
+    dispatch_message_decode_lists(json, &message);
     assert_int_equal(message.epoch.value, 5);
     assert_int_equal(message.sequence, 9);
     assert_int_equal(message.dispatches->len, 1);
@@ -83,11 +84,12 @@
     struct dispatch_message dispatches;
     struct status_message status;
     cJSON *json = parsed("{\"e\":\"5\"}");
-    assert_false(dispatch_message_decode(json, &dispatches));
+    assert_false(dispatch_message_decode_header(json, &dispatches));
     assert_false(status_message_decode(json, &status));
     cJSON_Delete(json);
     json = parsed("{\"e\":\"5\",\"s\":\"1\"}");
-    assert_true(dispatch_message_decode(json, &dispatches));
+    assert_true(dispatch_message_decode_header(json, &dispatches));
+    dispatch_message_decode_lists(json, &dispatches);
     assert_null(dispatches.to_cordon);
     dispatch_message_clear(&dispatches);
     assert_true(status_message_decode(json, &status));
