--- a/src/shard/machines.c
+++ b/src/shard/machines.c
@@ -92,15 +92,10 @@
     return false;
 }
 
-static bool is_own_page(const struct shard *shard, const struct record_page *page)
-{
-    return strcmp(page->label, shard->settings->label) == 0;
-}
-
 static void run_set_page(const struct shard *shard, struct task_run *run,
                          const struct record_page *page)
 {
-    run->record.is_foreign = !is_own_page(shard, page);
+    run->record.is_foreign = !shard_is_own_page(shard, page);
     run->record.page = run->record.is_foreign ? -1 : page->number;
 }
 
@@ -138,7 +133,7 @@
 {
     for (guint i = 0; i < stored->run_records->len; i++) {
         const struct run_record *record = stored->run_records->pdata[i];
-        if (page >= 0 && (!is_own_page(shard, record->page) || record->page->number != page))
+        if (page >= 0 && (!shard_is_own_page(shard, record->page) || record->page->number != page))
             continue;
         struct task_run *run =
             shard_run_find(machine, record->job->id, record->task_index, record->attempt);
@@ -154,10 +149,8 @@
 /** Takes a run to the page that its record is on, and releases it if it has lost its record. */
 static void reconcile_run(struct shard *shard, struct machine *machine, struct task_run *run)
 {
-    struct job *job = replica_get_job(shard->replica, run->job.text);
-    const struct run_record *record = job ? job_get_run_record(job, run->index) : NULL;
-    if (record && record->attempt.value == run->attempt.value &&
-        machine_id_equal(record->machine->id, machine->id)) {
+    const struct run_record *record = shard_find_run_record(shard, machine, run);
+    if (record) {
         run_set_page(shard, run, record->page);
         return;
     }
--- a/src/shard/record_batch_adopt.c
+++ b/src/shard/record_batch_adopt.c
@@ -19,24 +19,13 @@
            !limits->rate_limit_lowered;
 }
 
-/** The replica's record of exactly this run, or NULL. */
-static struct run_record *find_record_of_run(struct shard *shard, const struct machine *machine,
-                                             const struct task_run *run)
-{
-    struct job *job = replica_get_job(shard->replica, run->job.text);
-    struct run_record *run_record = job ? job_get_run_record(job, run->index) : NULL;
-    bool is_same_run = run_record && run_record->attempt.value == run->attempt.value &&
-                       machine_id_equal(run_record->machine->id, machine->id);
-    return is_same_run ? run_record : NULL;
-}
-
 struct record_page *shard_source_page_of_run(struct shard *shard, const struct machine *machine,
                                              const struct task_run *run)
 {
     if (!run->record.is_foreign || run->phase == TASK_RUN_RELEASED)
         return NULL;
-    struct run_record *run_record = find_record_of_run(shard, machine, run);
-    bool is_foreign = run_record && strcmp(run_record->page->label, shard->settings->label) != 0;
+    struct run_record *run_record = shard_find_run_record(shard, machine, run);
+    bool is_foreign = run_record && !shard_is_own_page(shard, run_record->page);
     return is_foreign ? run_record->page : NULL;
 }
 
--- a/src/shard/run_records_internal.h
+++ b/src/shard/run_records_internal.h
@@ -65,6 +65,9 @@
  * it. */
 struct own_page *shard_get_own_page(struct shard *shard, int page_number);
 
+/** Whether a page of the replica is one of this node's. */
+bool shard_is_own_page(const struct shard *shard, const struct record_page *page);
+
 /** The same page as the replica has it, or NULL. The replica owns it. */
 struct record_page *shard_find_replica_page(struct shard *shard, int page_number);
 
@@ -74,6 +77,10 @@
 /** Whether nothing is stored on the page and nothing is reserved on it. */
 bool shard_own_page_is_empty(struct shard *shard, int page_number);
 
+/** The replica's record of exactly this run, on whichever page, or NULL. */
+struct run_record *shard_find_run_record(struct shard *shard, const struct machine *machine,
+                                         const struct task_run *run);
+
 /** The first own page that has a record of the machine; -1: none has. */
 int shard_page_of_machine(const struct machine *machine);
 
--- a/src/shard/run_records_pages.c
+++ b/src/shard/run_records_pages.c
@@ -45,6 +45,11 @@
     return pages->pdata[page_number];
 }
 
+bool shard_is_own_page(const struct shard *shard, const struct record_page *page)
+{
+    return strcmp(page->label, shard->settings->label) == 0;
+}
+
 struct record_page *shard_find_replica_page(struct shard *shard, int page_number)
 {
     char *key = key_record_page(shard->settings->label, page_number);
@@ -65,6 +70,16 @@
            !shard_find_replica_page(shard, page_number);
 }
 
+struct run_record *shard_find_run_record(struct shard *shard, const struct machine *machine,
+                                         const struct task_run *run)
+{
+    struct job *job = replica_get_job(shard->replica, run->job.text);
+    struct run_record *run_record = job ? job_get_run_record(job, run->index) : NULL;
+    bool is_same_run = run_record && run_record->attempt.value == run->attempt.value &&
+                       machine_id_equal(run_record->machine->id, machine->id);
+    return is_same_run ? run_record : NULL;
+}
+
 int shard_page_of_machine(const struct machine *machine)
 {
     for (guint i = 0; i < machine->runs->len; i++) {
--- a/src/shard/run_records_reconcile.c
+++ b/src/shard/run_records_reconcile.c
@@ -57,7 +57,7 @@
     struct record_page *page;
     g_hash_table_iter_init(&iter, shard->replica->pages);
     while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&page))
-        if (strcmp(page->label, shard->settings->label) == 0)
+        if (shard_is_own_page(shard, page))
             shard_get_own_page(shard, page->number);
     for (guint i = 0; i < shard->records.pages->len; i++)
         reconcile_page(shard, (int)i);
@@ -68,7 +68,7 @@
 void shard_handle_page_changed(struct shard *shard, const char *key)
 {
     struct record_page *page = g_hash_table_lookup(shard->replica->pages, key);
-    bool is_own = page && strcmp(page->label, shard->settings->label) == 0;
+    bool is_own = page && shard_is_own_page(shard, page);
     /* What is missed while a transaction is in flight shows as a conflict when the page is next
      * written. */
     if (shard->records.txn_in_flight || !is_own)
