--- a/src/shard/record_batch.c
+++ b/src/shard/record_batch.c
@@ -184,13 +184,6 @@
     return true;
 }
 
-/** Whether a reader will find out what the machine is, once a run of it is recorded. */
-static bool is_machine_described(struct machine *machine)
-{
-    return machine->record.mod_revision.value || machine->record.change == MACHINE_RECORD_WRITTEN ||
-           machine->record.inventory_number >= 0 || shard_machine_page_description(machine);
-}
-
 /** Records a machine's placed runs, as far as they fit. */
 static void add_placed_runs(struct record_batch *batch, struct machine *machine)
 {
@@ -203,7 +196,7 @@
         if (!job)
             continue;
         record_batch_describe_machine(batch, machine);
-        if (is_machine_described(machine) && add_job_compare(batch, job) &&
+        if (record_batch_is_machine_described(machine) && add_job_compare(batch, job) &&
             record_batch_put_run(batch, machine, run, max_bytes))
             run->record.may_be_recorded = true;
         else
--- a/src/shard/record_batch_internal.h
+++ b/src/shard/record_batch_internal.h
@@ -139,6 +139,9 @@
 
 /* ---- record_batch_machine.c: the machines' own records ---- */
 
+/** Whether a reader will find out what the machine is, once a run of it is recorded. */
+bool record_batch_is_machine_described(struct machine *machine);
+
 /** Writes the machine's own record, if it has none or has newer images, and there are writes to
  * spare. Otherwise its pages or an inventory go on describing it: one write for each of many new
  * machines would delay the starts of their tasks. */
--- a/src/shard/record_batch_machine.c
+++ b/src/shard/record_batch_machine.c
@@ -65,12 +65,10 @@
            time_ms_since(loop_now(shard->loop), record->written_at) > DESCRIBE_INTERVAL_MS;
 }
 
-/** Whether nothing else can describe the machine: no run of it can be recorded before its own
- * record is. */
-static bool requires_own_record(struct machine *machine)
+bool record_batch_is_machine_described(struct machine *machine)
 {
-    return !machine->record.mod_revision.value && machine->record.inventory_number < 0 &&
-           !shard_machine_page_description(machine);
+    return machine->record.mod_revision.value || machine->record.change == MACHINE_RECORD_WRITTEN ||
+           machine->record.inventory_number >= 0 || shard_machine_page_description(machine);
 }
 
 void record_batch_describe_machine(struct record_batch *batch, struct machine *machine)
@@ -80,7 +78,8 @@
         txn_size_bytes(batch->txn) > MAX_DESCRIPTION_BYTES)
         return;
     double budget_left = shard->records.write_budget - txn_write_count(batch->txn);
-    if (!requires_own_record(machine) && budget_left <= RESERVED_WRITES)
+    /* If nothing else describes it, no run of it can be recorded before its own record is. */
+    if (record_batch_is_machine_described(machine) && budget_left <= RESERVED_WRITES)
         return;
     gsize max_bytes = kv_client_limits(shard->kv)->max_value_bytes;
     record_txn_put_machine(batch->txn, machine, encode_machine_value(machine, max_bytes));
