--- a/src/shard/task_placement.c
+++ b/src/shard/task_placement.c
@@ -170,11 +170,11 @@
 void shard_remember_unschedulable(struct shard *shard, const struct dispatch *dispatch,
                                   const struct job_spec *spec)
 {
-    bool is_restricted = dispatch->bound_machine[0] || spec->machine_type_names || spec->zone;
-    if (is_restricted || is_known_unschedulable(shard, dispatch, spec))
-        return;
+    GArray *unschedulable = shard->placement.unschedulable;
     struct unschedulable request = unschedulable_of_job_spec(spec, dispatch->zone);
-    g_array_append_val(shard->placement.unschedulable, request);
+    bool is_restricted = dispatch->bound_machine[0] || spec->machine_type_names || spec->zone;
+    if (!is_restricted && !unschedulable_list_covers(unschedulable, &request))
+        g_array_append_val(unschedulable, request);
 }
 
 enum placement_result shard_choose_machine(struct shard *shard, const struct dispatch *dispatch,
