--- a/src/shard/agent_commands.c
+++ b/src/shard/agent_commands.c
@@ -38,6 +38,15 @@
     g_array_append_val(commands, command);
 }
 
+/** A command for a task of a heartbeat, without grace. */
+static void add_task_command(GArray *commands, const struct heartbeat_task *task,
+                             enum agent_command_verb verb)
+{
+    struct agent_command command = {
+        .verb = verb, .job = task->job, .task_index = task->task_index, .attempt = task->attempt};
+    g_array_append_val(commands, command);
+}
+
 /** The agent forgets an attempt that has exited once its record is removed. */
 static void add_clear_command(const struct machine *machine, const struct task_run *run,
                               GArray *commands)
@@ -102,18 +111,13 @@
     for (guint i = 0; i < machine->unknown_tasks->len && commands->len < MAX_COMMANDS; i++) {
         const struct heartbeat_task *task =
             &g_array_index(machine->unknown_tasks, struct heartbeat_task, i);
-        struct agent_command command = {
-            .job = task->job, .task_index = task->task_index, .attempt = task->attempt};
         if (task->state != TASK_EXITED) {
             LOG_INFO("unknown_task", "job=%s task=%u machine=%s", task->job.text, task->task_index,
                      machine->id.text);
-            command.verb = COMMAND_STOP;
+            add_task_command(commands, task, COMMAND_STOP);
         } else if (earlier_owner_fenced) {
-            command.verb = COMMAND_CLEAR;
-        } else {
-            continue; /* a run command of an earlier owner may still start it again */
-        }
-        g_array_append_val(commands, command);
+            add_task_command(commands, task, COMMAND_CLEAR);
+        } /* else a run command of an earlier owner may still start it again */
     }
 }
 
@@ -137,13 +141,8 @@
     for (guint i = 0; i < heartbeat->tasks->len && commands->len < MAX_COMMANDS; i++) {
         const struct heartbeat_task *task =
             &g_array_index(heartbeat->tasks, struct heartbeat_task, i);
-        if (task->state == TASK_EXITED || !shard_job_is_over(shard, task->job))
-            continue;
-        struct agent_command command = {.verb = COMMAND_STOP,
-                                        .job = task->job,
-                                        .task_index = task->task_index,
-                                        .attempt = task->attempt};
-        g_array_append_val(commands, command);
+        if (task->state != TASK_EXITED && shard_job_is_over(shard, task->job))
+            add_task_command(commands, task, COMMAND_STOP);
     }
     return commands;
 }
