--- a/tests/test_shard_messages.c
+++ b/tests/test_shard_messages.c
@@ -42,7 +42,8 @@
         "\"a\":\"7\",\"h\":\"m-2\"},{\"j\":\"render-1\",\"i\":5,\"a\":\"7\"}],"
         "\"gone\":[\"m-3\",1],\"close\":[]}");
     struct dispatch_message message;
-    assert_true(dispatch_message_decode(json, &message));
+    assert_true(dispatch_message_decode_header(json, &message));
+    dispatch_message_decode_lists(json, &message);
     assert_int_equal(message.epoch.value, 5);
     assert_int_equal(message.sequence, 9);
     assert_int_equal(message.dispatches->len, 1);
@@ -70,11 +71,12 @@
     struct dispatch_message dispatches;
     struct status_message status;
     cJSON *json = json_message_parse("{\"e\":\"5\"}");
-    assert_false(dispatch_message_decode(json, &dispatches));
+    assert_false(dispatch_message_decode_header(json, &dispatches));
     assert_false(status_message_decode(json, &status));
     cJSON_Delete(json);
     json = json_message_parse("{\"e\":\"5\",\"s\":\"1\"}");
-    assert_true(dispatch_message_decode(json, &dispatches));
+    assert_true(dispatch_message_decode_header(json, &dispatches));
+    dispatch_message_decode_lists(json, &dispatches);
     assert_null(dispatches.to_cordon);
     dispatch_message_clear(&dispatches);
     assert_true(status_message_decode(json, &status));
@@ -142,6 +144,25 @@
     cJSON_Delete(json);
 }
 
+static void a_run_time_and_a_cause_in_one_item_are_two_events(void **state)
+{
+    (void)state;
+    cJSON *json =
+        json_message_parse("{\"e\":\"5\",\"s\":\"2\",\"news\":[{\"h\":\"m-1\",\"j\":\"render-1\","
+                           "\"c\":4,\"took\":2.25}]}");
+    struct status_message message;
+    assert_true(status_message_decode(json, &message));
+    assert_int_equal(message.events->len, 2);
+    const struct task_event *event = &g_array_index(message.events, struct task_event, 0);
+    assert_int_equal(event->kind, TASK_EVENT_COMPLETED);
+    assert_true(event->value == 2.25);
+    event = &g_array_index(message.events, struct task_event, 1);
+    assert_int_equal(event->kind, TASK_EVENT_FAILED);
+    assert_true(event->value == 4);
+    status_message_clear(&message);
+    cJSON_Delete(json);
+}
+
 static void answers_name_machines(void **state)
 {
     (void)state;
@@ -170,6 +191,7 @@
         cmocka_unit_test(messages_without_a_number_are_malformed),
         cmocka_unit_test(a_status_keeps_its_bytes),
         cmocka_unit_test(a_status_is_read_without_its_malformed_items),
+        cmocka_unit_test(a_run_time_and_a_cause_in_one_item_are_two_events),
         cmocka_unit_test(answers_name_machines),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
