--- a/src/cluster/leader_election.c
+++ b/src/cluster/leader_election.c
@@ -7,16 +7,11 @@
 #include "json_fields.h"
 #include "log.h"
 #include "shard_map.h"
+#include "stored_fields.h"
 
 /** How much later each node becomes a candidate than the one before it, by label. */
 enum { STAGGER_MS = 30 };
 
-/** Field names in the values of the leader's key and of the map. */
-static const char FIELD_EPOCH[] = "e";
-static const char FIELD_NODES[] = "n";
-static const char FIELD_LABEL[] = "n";
-static const char FIELD_INCARNATION[] = "i";
-
 /** A node that is left out of the map. */
 struct node_exclusion {
     char *label;
@@ -101,8 +96,8 @@
 static json_object *encode_process(const char *label, lease_id incarnation)
 {
     json_object *process = json_object_new_object();
-    json_put_text(process, FIELD_LABEL, label);
-    json_put_u64(process, FIELD_INCARNATION, incarnation.value);
+    json_put_text(process, PROCESS_FIELD_LABEL, label);
+    json_put_u64(process, PROCESS_FIELD_INCARNATION, incarnation.value);
     return process;
 }
 
@@ -112,7 +107,7 @@
     const struct replica *replica = election->setup.replica;
     json_object *map = json_object_new_object();
     json_object *nodes = json_object_new_array();
-    json_put_u64(map, FIELD_EPOCH, replica->shard_map_epoch.value + 1);
+    json_put_u64(map, SHARD_MAP_FIELD_EPOCH, replica->shard_map_epoch.value + 1);
     GList *labels = g_list_sort(g_hash_table_get_keys(replica->nodes), (GCompareFunc)strcmp);
     for (GList *link = labels; link; link = link->next) {
         const struct node_record *node = g_hash_table_lookup(replica->nodes, link->data);
@@ -120,7 +115,7 @@
             json_object_array_add(nodes, encode_process(node->label, node->incarnation));
     }
     g_list_free(labels);
-    json_object_object_add(map, FIELD_NODES, nodes);
+    json_object_object_add(map, SHARD_MAP_FIELD_NODES, nodes);
     return map;
 }
 
--- a/src/cluster/membership.c
+++ b/src/cluster/membership.c
@@ -7,17 +7,12 @@
 #include "leader_election.h"
 #include "log.h"
 #include "node_lease.h"
+#include "stored_fields.h"
 #include "version_support.h"
 
 /** How often the state is examined, in addition to when the replica changes. */
 enum { TICK_MS = 200 };
 
-/** Field names in the value of a node's key, and of the key of its announced version. */
-static const char FIELD_INCARNATION[] = "i";
-static const char FIELD_RPC_ADDRESS[] = "b";
-static const char FIELD_VERSION[] = "v";
-static const char FIELD_WANTS_ROLES[] = "duties";
-
 /** How far this process has come in writing its key. */
 enum join_phase {
     JOIN_NOT_SENT,
@@ -210,11 +205,11 @@
 static json_object *encode_node_record(const struct membership *membership)
 {
     json_object *record = json_object_new_object();
-    json_put_u64(record, FIELD_INCARNATION, node_lease_get_id(membership->lease).value);
-    json_put_text(record, FIELD_RPC_ADDRESS, membership->settings->rpc_address);
-    json_put_u64(record, FIELD_VERSION, NODE_VERSION_CURRENT);
+    json_put_u64(record, NODE_FIELD_INCARNATION, node_lease_get_id(membership->lease).value);
+    json_put_text(record, NODE_FIELD_RPC_ADDRESS, membership->settings->rpc_address);
+    json_put_u64(record, NODE_FIELD_VERSION, NODE_VERSION_CURRENT);
     if (membership->wants_singleton_roles)
-        json_put_bool(record, FIELD_WANTS_ROLES, true);
+        json_put_bool(record, NODE_FIELD_SINGLETON_ROLES, true);
     return record;
 }
 
@@ -258,7 +253,7 @@
         return;
     char *key = key_version(label);
     json_object *value = json_object_new_object();
-    json_put_u64(value, FIELD_VERSION, NODE_VERSION_CURRENT);
+    json_put_u64(value, NODE_FIELD_VERSION, NODE_VERSION_CURRENT);
     txn_put(txn, key, value, (lease_id){0});
     g_free(key);
 }
--- a/src/replica/stored_fields.h
+++ b/src/replica/stored_fields.h
@@ -48,18 +48,13 @@
 /** Whether its operators have switched singleton roles on. */
 #define NODE_FIELD_SINGLETON_ROLES "duties"
 
-/* ---- ll/leader ---- */
-
-#define LEADER_FIELD_LABEL "n"
-#define LEADER_FIELD_INCARNATION "i"
-
-/* ---- ll/map ---- */
+/* ---- ll/leader and ll/map ---- */
 
+/** A process of a node: all of ll/leader, and each node in ll/map. */
+#define PROCESS_FIELD_LABEL "n"
+#define PROCESS_FIELD_INCARNATION "i"
 #define SHARD_MAP_FIELD_EPOCH "e"
-/** The nodes, each with a label and an incarnation. */
 #define SHARD_MAP_FIELD_NODES "n"
-#define SHARD_MAP_NODE_FIELD_LABEL "n"
-#define SHARD_MAP_NODE_FIELD_INCARNATION "i"
 
 /* ---- ll/features ---- */
 
