--- a/src/wire/job_codec.c
+++ b/src/wire/job_codec.c
@@ -167,9 +167,7 @@
 
 bool job_spec_names_dependencies(json_object *object)
 {
-    json_object *list = NULL;
-    return json_object_is_type(object, json_type_object) &&
-           json_object_object_get_ex(object, FIELD_DEPENDENCIES, &list) && list;
+    return !json_is_absent(object, FIELD_DEPENDENCIES);
 }
 
 void job_spec_put_dependencies(json_object *object, json_object *job_ids)
--- a/src/wire/job_codec.h
+++ b/src/wire/job_codec.h
@@ -62,12 +62,6 @@
 bool job_spec_decode_dependencies(json_object *object, struct job_spec *spec);
 /** Encodes a spec in the form of a submission; the caller owns the object. */
 json_object *job_spec_encode(const struct job_spec *spec);
-/** Whether a submission, which may be malformed, names dependencies at all. */
-bool job_spec_names_dependencies(json_object *object);
-/** Replaces the dependencies in an encoded specification. Takes the array of job ids; an empty one
- * leaves the field out. */
-void job_spec_put_dependencies(json_object *object, json_object *job_ids);
-
 /** Whether a submission, which may be malformed, names dependencies at all. */
 bool job_spec_names_dependencies(json_object *object);
 /**
