--- a/src/base/json_fields.c
+++ b/src/base/json_fields.c
@@ -6,6 +6,7 @@
 /** Nesting of a text. */
 enum { MAX_DEPTH = 16 };
 static const double MAX_AMOUNT = 1e9;
+static const double MILLI_PER_UNIT = 1000;
 /** What is less than that above a thousandth is a rounding error. */
 static const double AMOUNT_TOLERANCE_MILLI = 1e-6;
 
@@ -125,6 +126,19 @@
     json_object_object_add(object, field, json_object_new_boolean(value));
 }
 
+void json_put_amount(json_object *object, const char *field, amount value)
+{
+    json_put_number(object, field, (double)value.milli / MILLI_PER_UNIT);
+}
+
+void json_put_texts(json_object *object, const char *field, char *const *texts)
+{
+    json_object *list = json_object_new_array();
+    for (; *texts; texts++)
+        json_object_array_add(list, json_object_new_string(*texts));
+    json_object_object_add(object, field, list);
+}
+
 bool json_is_absent(json_object *object, const char *field)
 {
     return get_field(object, field) == NULL;
@@ -144,7 +158,7 @@
     double number;
     if (!json_get_number(object, field, &number) || number < 0 || number > MAX_AMOUNT)
         return false;
-    out->milli = (int64_t)ceil(number * 1000 - AMOUNT_TOLERANCE_MILLI);
+    out->milli = (int64_t)ceil(number * MILLI_PER_UNIT - AMOUNT_TOLERANCE_MILLI);
     return true;
 }
 
--- a/src/base/json_fields.h
+++ b/src/base/json_fields.h
@@ -37,6 +37,10 @@
 void json_put_u64(json_object *object, const char *field, uint64_t value);
 void json_put_number(json_object *object, const char *field, double value);
 void json_put_bool(json_object *object, const char *field, bool value);
+/** As json_get_amount reads it: CPUs or gigabytes, not thousandths. */
+void json_put_amount(json_object *object, const char *field, amount value);
+/** An array; the texts end with NULL. */
+void json_put_texts(json_object *object, const char *field, char *const *texts);
 
 /** The index of a word in an array, or -1. */
 int word_index(const char *const *words, int word_count, const char *word);
--- a/src/wire/cloud_codec.c
+++ b/src/wire/cloud_codec.c
@@ -5,8 +5,6 @@
 /** In the order of enum cloud_machine_stage. */
 static const char *const stage_words[] = {"booting", "running", "failed"};
 
-static const double MILLI = 1000;
-
 static void clear_machine_type(gpointer p)
 {
     g_strfreev(((struct machine_type *)p)->zones);
@@ -53,19 +51,17 @@
 
 static json_object *machine_type_encode(const struct machine_type *type)
 {
-    json_object *object = json_object_new_object(), *zones = json_object_new_array();
+    json_object *object = json_object_new_object();
     json_put_text(object, FIELD_TYPE_NAME, type->name);
-    json_put_number(object, FIELD_CPUS, type->cpus.milli / MILLI);
-    json_put_number(object, FIELD_GPUS, type->gpus.milli / MILLI);
-    json_put_number(object, FIELD_MEMORY_GB, type->memory.milli / MILLI);
+    json_put_amount(object, FIELD_CPUS, type->cpus);
+    json_put_amount(object, FIELD_GPUS, type->gpus);
+    json_put_amount(object, FIELD_MEMORY_GB, type->memory);
     json_put_number(object, FIELD_IMAGE_CACHE_GB, type->image_cache_gb);
     json_put_number(object, FIELD_FETCH_GB_PER_S, type->fetch_gb_per_s);
     json_put_number(object, FIELD_PRICE, type->price);
     json_put_number(object, FIELD_SPOT_PRICE, type->spot_price);
     json_put_number(object, FIELD_BOOT_TIME_S, type->boot_time_s);
-    for (char **zone = type->zones; *zone; zone++)
-        json_object_array_add(zones, json_object_new_string(*zone));
-    json_object_object_add(object, FIELD_ZONES, zones);
+    json_put_texts(object, FIELD_ZONES, type->zones);
     return object;
 }
 
--- a/src/wire/job_codec.c
+++ b/src/wire/job_codec.c
@@ -13,7 +13,6 @@
 };
 
 static const double MAX_NUMBER = 1e9;
-static const double MILLI = 1000;
 
 /** In the order of enum job_form and of enum job_priority. */
 static const char *const form_words[] = {"sweep", "gang", "daemon"};
@@ -209,14 +208,6 @@
     return list;
 }
 
-static json_object *encode_texts(char *const *texts)
-{
-    json_object *list = json_object_new_array();
-    for (; *texts; texts++)
-        json_object_array_add(list, json_object_new_string(*texts));
-    return list;
-}
-
 json_object *job_spec_encode(const struct job_spec *spec)
 {
     json_object *object = json_object_new_object();
@@ -227,12 +218,12 @@
     json_put_text(object, FIELD_FORM, form_words[spec->form]);
     json_put_text(object, FIELD_PRIORITY, priority_words[spec->priority]);
     json_put_u64(object, FIELD_TASK_COUNT, spec->task_count);
-    json_put_number(object, FIELD_CPUS, spec->cpus.milli / MILLI);
-    json_put_number(object, FIELD_GPUS, spec->gpus.milli / MILLI);
-    json_put_number(object, FIELD_MEMORY_GB, spec->memory.milli / MILLI);
+    json_put_amount(object, FIELD_CPUS, spec->cpus);
+    json_put_amount(object, FIELD_GPUS, spec->gpus);
+    json_put_amount(object, FIELD_MEMORY_GB, spec->memory);
     json_put_number(object, FIELD_IMAGE_GB, spec->image_gb);
     if (spec->machine_type_names)
-        json_object_object_add(object, FIELD_MACHINE_TYPES, encode_texts(spec->machine_type_names));
+        json_put_texts(object, FIELD_MACHINE_TYPES, spec->machine_type_names);
     if (spec->zone)
         json_put_text(object, FIELD_ZONE, spec->zone);
     json_put_bool(object, FIELD_SINGLE_ZONE, spec->needs_single_zone);
