--- a/src/base/json_fields.c
+++ b/src/base/json_fields.c
@@ -10,14 +10,6 @@
 /** What is less than that above a thousandth is a rounding error. */
 static const double AMOUNT_TOLERANCE_MILLI = 1e-6;
 
-int word_index(const char *const *words, int word_count, const char *word)
-{
-    for (int index = 0; index < word_count; index++)
-        if (strcmp(words[index], word) == 0)
-            return index;
-    return -1;
-}
-
 /** json-c accepts 'single' quotes even when it is strict. */
 static bool has_single_quoted_text(const char *text, size_t length)
 {
@@ -100,6 +92,20 @@
     return true;
 }
 
+bool json_get_word(json_object *object, const char *field, const char *const *words, int word_count,
+                   int *index)
+{
+    const char *text;
+    if (!json_get_text(object, field, &text))
+        return false;
+    for (int i = 0; i < word_count; i++)
+        if (strcmp(words[i], text) == 0) {
+            *index = i;
+            return true;
+        }
+    return false;
+}
+
 json_object *json_get_array(json_object *object, const char *field)
 {
     json_object *value = get_field(object, field);
--- a/src/base/json_fields.h
+++ b/src/base/json_fields.h
@@ -27,6 +27,12 @@
 /** Reads a finite number. */
 bool json_get_number(json_object *object, const char *field, double *out);
 bool json_get_bool(json_object *object, const char *field, bool *out);
+/** Reads a word as its index in an array; false also if it is not one of these. */
+bool json_get_word(json_object *object, const char *field, const char *const *words, int word_count,
+                   int *index);
+/** The same with an array of known length. */
+#define JSON_GET_WORD(object, field, words, index)                                                 \
+    json_get_word(object, field, words, G_N_ELEMENTS(words), index)
 /** The field's array, or NULL; it belongs to the object. */
 json_object *json_get_array(json_object *object, const char *field);
 /** Reads a number from 0 to 10^9. It is rounded up, as limits are rounded down. */
@@ -42,9 +48,4 @@
 /** An array; the texts end with NULL. */
 void json_put_texts(json_object *object, const char *field, char *const *texts);
 
-/** The index of a word in an array, or -1. */
-int word_index(const char *const *words, int word_count, const char *word);
-/** The same in an array of known length. */
-#define WORD_INDEX(words, word) word_index(words, G_N_ELEMENTS(words), word)
-
 #endif
--- a/src/wire/agent_codec.c
+++ b/src/wire/agent_codec.c
@@ -18,22 +18,17 @@
 
 static bool heartbeat_task_decode(json_object *object, struct heartbeat_task *task)
 {
-    const char *name, *state, *cause = NULL;
+    const char *name;
+    int state, cause;
     if (!json_get_text(object, FIELD_TASK, &name) ||
         !task_name_parse(name, &task->job, &task->task_index) ||
         !json_get_u64(object, FIELD_ATTEMPT, &task->attempt.value) ||
-        !json_get_text(object, FIELD_STAGE, &state))
+        !JSON_GET_WORD(object, FIELD_STAGE, state_words, &state))
         return false;
-    int state_index = WORD_INDEX(state_words, state);
-    if (state_index < 0)
-        return false;
-    task->state = state_index;
+    task->state = state;
     task->cause = CAUSE_UNKNOWN;
-    if (state_index == TASK_EXITED && json_get_text(object, FIELD_EXIT_CAUSE, &cause)) {
-        int cause_index = WORD_INDEX(cause_words, cause);
-        if (cause_index >= 0)
-            task->cause = cause_index;
-    }
+    if (state == TASK_EXITED && JSON_GET_WORD(object, FIELD_EXIT_CAUSE, cause_words, &cause))
+        task->cause = cause;
     task->has_saved_state = false;
     json_get_bool(object, FIELD_HAS_SAVED_STATE, &task->has_saved_state);
     return true;
--- a/src/wire/cloud_codec.c
+++ b/src/wire/cloud_codec.c
@@ -77,7 +77,7 @@
 
 static bool listed_machine_decode(json_object *object, struct listed_machine *machine)
 {
-    const char *stage;
+    int stage;
     char id[sizeof machine->id.text];
     memset(machine, 0, sizeof *machine);
     if (!json_copy_text(object, FIELD_ID, id, sizeof id) || !machine_id_parse(&machine->id, id) ||
@@ -85,12 +85,9 @@
                         sizeof machine->machine_type_name) ||
         !json_copy_text(object, FIELD_ZONE, machine->zone, sizeof machine->zone) ||
         !json_get_bool(object, FIELD_SPOT, &machine->is_spot) ||
-        !json_get_text(object, FIELD_STAGE, &stage))
+        !JSON_GET_WORD(object, FIELD_STAGE, stage_words, &stage))
         return false;
-    int stage_index = WORD_INDEX(stage_words, stage);
-    if (stage_index < 0)
-        return false;
-    machine->stage = stage_index;
+    machine->stage = stage;
     json_copy_text(object, FIELD_ADDRESS, machine->address, sizeof machine->address);
     json_get_number(object, FIELD_AGE_S, &machine->age_s);
     return true;
--- a/src/wire/job_codec.c
+++ b/src/wire/job_codec.c
@@ -80,16 +80,6 @@
     return ok;
 }
 
-static bool decode_word(json_object *object, const char *field, const char *const *words,
-                        int word_count, int *out)
-{
-    const char *word;
-    if (!json_get_text(object, field, &word))
-        return false;
-    *out = word_index(words, word_count, word);
-    return *out >= 0;
-}
-
 static bool decode_user_job_id(job_id *out, const char *text)
 {
     return g_str_has_prefix(text, JOB_ID_PREFIX) && text[strlen(JOB_ID_PREFIX)] &&
@@ -111,9 +101,8 @@
               decode_name(object, FIELD_JOB_CLASS, &spec->job_class) &&
               decode_name(object, FIELD_TEAM, &spec->team_name) &&
               decode_image(object, &spec->image) &&
-              decode_word(object, FIELD_FORM, form_words, G_N_ELEMENTS(form_words), &form) &&
-              decode_word(object, FIELD_PRIORITY, priority_words, G_N_ELEMENTS(priority_words),
-                          &priority) &&
+              JSON_GET_WORD(object, FIELD_FORM, form_words, &form) &&
+              JSON_GET_WORD(object, FIELD_PRIORITY, priority_words, &priority) &&
               json_get_u64(object, FIELD_TASK_COUNT, &task_count) && task_count >= 1 &&
               task_count <= MAX_TASKS;
     spec->form = form;
