--- a/src/base/event_loop.c
+++ b/src/base/event_loop.c
@@ -1,7 +1,6 @@
 /** The event loop: see event_loop.h. */
 #include "event_loop.h"
 
-#include <errno.h>
 #include <sys/epoll.h>
 #include <time.h>
 #include <unistd.h>
