--- a/src/wire/job_codec.c
+++ b/src/wire/job_codec.c
@@ -13,7 +13,6 @@
 };
 
 static const double MAX_NUMBER = 1e9;
-static const double MILLI = 1000;
 
 /** In the order of enum job_form and of enum job_priority. */
 static const char *const form_words[] = {"sweep", "gang", "daemon"};
@@ -81,16 +80,6 @@
     return ok;
 }
 
-static bool decode_word(json_object *object, const char *field, const char *const *words,
-                        int word_count, int *out)
-{
-    const char *word;
-    if (!json_get_text(object, field, &word))
-        return false;
-    *out = word_index(words, word_count, word);
-    return *out >= 0;
-}
-
 static bool decode_user_job_id(job_id *out, const char *text)
 {
     return g_str_has_prefix(text, JOB_ID_PREFIX) && text[strlen(JOB_ID_PREFIX)] &&
@@ -112,9 +101,8 @@
               decode_name(object, FIELD_JOB_CLASS, &spec->job_class) &&
               decode_name(object, FIELD_TEAM, &spec->team_name) &&
               decode_image(object, &spec->image) &&
-              decode_word(object, FIELD_FORM, form_words, G_N_ELEMENTS(form_words), &form) &&
-              decode_word(object, FIELD_PRIORITY, priority_words, G_N_ELEMENTS(priority_words),
-                          &priority) &&
+              JSON_GET_WORD(object, FIELD_FORM, form_words, &form) &&
+              JSON_GET_WORD(object, FIELD_PRIORITY, priority_words, &priority) &&
               json_get_u64(object, FIELD_TASK_COUNT, &task_count) && task_count >= 1 &&
               task_count <= MAX_TASKS;
     spec->form = form;
@@ -167,9 +155,7 @@
 
 bool job_spec_names_dependencies(json_object *object)
 {
-    json_object *list = NULL;
-    return json_object_is_type(object, json_type_object) &&
-           json_object_object_get_ex(object, FIELD_DEPENDENCIES, &list) && list;
+    return !json_is_absent(object, FIELD_DEPENDENCIES);
 }
 
 void job_spec_put_dependencies(json_object *object, json_object *job_ids)
@@ -211,14 +197,6 @@
     return list;
 }
 
-static json_object *encode_texts(char *const *texts)
-{
-    json_object *list = json_object_new_array();
-    for (; *texts; texts++)
-        json_object_array_add(list, json_object_new_string(*texts));
-    return list;
-}
-
 json_object *job_spec_encode(const struct job_spec *spec)
 {
     json_object *object = json_object_new_object();
@@ -229,12 +207,12 @@
     json_put_text(object, FIELD_FORM, form_words[spec->form]);
     json_put_text(object, FIELD_PRIORITY, priority_words[spec->priority]);
     json_put_u64(object, FIELD_TASK_COUNT, spec->task_count);
-    json_put_number(object, FIELD_CPUS, spec->cpus.milli / MILLI);
-    json_put_number(object, FIELD_GPUS, spec->gpus.milli / MILLI);
-    json_put_number(object, FIELD_MEMORY_GB, spec->memory.milli / MILLI);
+    json_put_amount(object, FIELD_CPUS, spec->cpus);
+    json_put_amount(object, FIELD_GPUS, spec->gpus);
+    json_put_amount(object, FIELD_MEMORY_GB, spec->memory);
     json_put_number(object, FIELD_IMAGE_GB, spec->image_gb);
     if (spec->machine_type_names)
-        json_object_object_add(object, FIELD_MACHINE_TYPES, encode_texts(spec->machine_type_names));
+        json_put_texts(object, FIELD_MACHINE_TYPES, spec->machine_type_names);
     if (spec->zone)
         json_put_text(object, FIELD_ZONE, spec->zone);
     json_put_bool(object, FIELD_SINGLE_ZONE, spec->needs_single_zone);
