--- a/src/api/job_write.c
+++ b/src/api/job_write.c
@@ -5,6 +5,7 @@
 #include "api_internal.h"
 #include "kv_codec.h"
 #include "log.h"
+#include "stored_fields.h"
 
 /* Attempts at a conditional write before the user is asked to come back. */
 enum { MAX_WRITE_ATTEMPTS = 4 };
@@ -12,10 +13,10 @@
 json_object *api_encode_live_job(json_object *spec, int64_t submitted_ms, bool is_cancelled)
 {
     json_object *object = json_object_new_object();
-    json_put_u64(object, "t", (uint64_t)submitted_ms);
-    json_object_object_add(object, "w", json_object_get(spec));
+    json_put_u64(object, JOB_FIELD_SUBMITTED_MS, (uint64_t)submitted_ms);
+    json_object_object_add(object, JOB_FIELD_SPEC, json_object_get(spec));
     if (is_cancelled)
-        json_object_object_add(object, "c", json_object_new_boolean(true));
+        json_object_object_add(object, JOB_FIELD_IS_CANCELLED, json_object_new_boolean(true));
     return object;
 }
 
--- a/src/shard/record_batch_machine.c
+++ b/src/shard/record_batch_machine.c
@@ -4,6 +4,7 @@
  * when there are writes to spare, and loses it when it is gone and its last run is off the records.
  */
 #include "record_batch_internal.h"
+#include "stored_fields.h"
 
 enum {
     /** A machine's record is written again for new images no sooner. */
@@ -36,14 +37,15 @@
 static json_object *encode_machine_value(const struct machine *machine, gsize max_bytes)
 {
     json_object *object = json_object_new_object(), *images = json_object_new_array();
-    json_put_text(object, "a", machine->address);
-    json_put_text(object, "b", machine->type_name);
-    json_put_text(object, "y", machine->zone);
-    json_object_object_add(object, "l", json_object_new_boolean(machine->is_spot));
+    json_put_text(object, MACHINE_FIELD_ADDRESS, machine->address);
+    json_put_text(object, MACHINE_FIELD_TYPE, machine->type_name);
+    json_put_text(object, MACHINE_FIELD_ZONE, machine->zone);
+    json_object_object_add(object, MACHINE_FIELD_IS_SPOT,
+                           json_object_new_boolean(machine->is_spot));
     guint first_image = first_image_that_fits(machine, kv_value_size_bytes(object), max_bytes);
     for (guint i = first_image; i < machine->image_cache->len; i++)
         json_object_array_add(images, json_object_new_string(machine->image_cache->pdata[i]));
-    json_object_object_add(object, "i", images);
+    json_object_object_add(object, MACHINE_FIELD_IMAGES, images);
     return object;
 }
 
