--- a/src/scheduler/autoscaler_capacity.h
+++ b/src/scheduler/autoscaler_capacity.h
@@ -29,12 +29,6 @@
     bool spot_only;
 };
 
-/** Number of CPUs, fractions included. */
-static inline double resources_cpus(struct resources resources)
-{
-    return (double)resources.cpus.milli / 1000;
-}
-
 /** Resources of so many equal tasks. */
 static inline struct resources resources_of_tasks(struct resources task, int64_t task_count)
 {
--- a/src/scheduler/placement.c
+++ b/src/scheduler/placement.c
@@ -123,7 +123,7 @@
         machine->usage.reserved = (struct resources){0};
         machine->usage.is_wanted_by_gang = false;
         if (machine->is_reported && !machine->is_spot && machine->zone_index >= 0)
-            pass->zone_cpus[machine->zone_index] += (double)machine->capacity.cpus.milli / 1000;
+            pass->zone_cpus[machine->zone_index] += resources_cpus(machine->capacity);
         if (placement_is_schedulable(leader, machine))
             g_ptr_array_add(pass->schedulable_machines, machine);
     }
--- a/src/scheduler/scheduling_policy.c
+++ b/src/scheduler/scheduling_policy.c
@@ -83,7 +83,7 @@
 {
     double sum = 0;
     for (int i = 0; i < leader->ledger.team_count; i++)
-        sum += (double)leader->ledger.teams[i].used.cpus.milli / 1000;
+        sum += resources_cpus(leader->ledger.teams[i].used);
     return sum;
 }
 
@@ -136,6 +136,6 @@
     inputs[INPUT_TYPE].text = machine->type_name;
     inputs[INPUT_ZONE].text = machine->zone;
     inputs[INPUT_SPOT].flag = machine->is_spot;
-    inputs[INPUT_CPUS].number = (double)machine->capacity.cpus.milli / 1000;
+    inputs[INPUT_CPUS].number = resources_cpus(machine->capacity);
     return policy_number(leader->policy, POLICY_IDLE_S, inputs) * 1000;
 }
--- a/src/wire/resources.h
+++ b/src/wire/resources.h
@@ -44,6 +44,12 @@
     return total;
 }
 
+/** Number of CPUs, fractions included. */
+static inline double resources_cpus(struct resources resources)
+{
+    return (double)resources.cpus.milli / 1000;
+}
+
 /** Whether a request fits into what is free. */
 static inline bool resources_fit(struct resources free, struct resources requested)
 {
