--- a/src/scheduler/autoscaler_capacity.c
+++ b/src/scheduler/autoscaler_capacity.c
@@ -130,7 +130,7 @@
     g_hash_table_iter_init(&it, leader->ledger.machines);
     while (g_hash_table_iter_next(&it, NULL, (gpointer *)&machine))
         if (machine->is_reported && (machine->flags & MACHINE_KNOWN))
-            cpus += resources_cpus(resources_remaining(machine->capacity, machine->usage.services));
+            cpus += resources_cpus(placement_capacity_without_services(machine));
     for (guint i = 0; i < pending->len; i++)
         cpus += resources_cpus(g_array_index(pending, struct pending_capacity, i).available);
     return cpus;
--- a/src/scheduler/autoscaler_services.c
+++ b/src/scheduler/autoscaler_services.c
@@ -85,7 +85,7 @@
 static int64_t count_more_service_tasks(const struct leader *leader,
                                         const struct ledger_machine *machine)
 {
-    return resources_fit_count(resources_remaining(machine->capacity, machine->usage.services),
+    return resources_fit_count(placement_capacity_without_services(machine),
                                leader->autoscaler.mean_service_request);
 }
 
