--- a/src/scheduler/placement.c
+++ b/src/scheduler/placement.c
@@ -68,9 +68,7 @@
     return task_count;
 }
 
-/** Whether the zone of a task depends on the job's other tasks. The leader decides this, and the
- * zone is part of the dispatch. */
-static bool has_zone_rule(const struct job_spec *spec)
+bool placement_has_zone_rule(const struct job_spec *spec)
 {
     return spec->needs_single_zone || spec->needs_separate_zones;
 }
@@ -79,7 +77,7 @@
                                 const struct job_spec *spec)
 {
     const GPtrArray *zones = leader->settings->zones;
-    if (!has_zone_rule(spec))
+    if (!placement_has_zone_rule(spec))
         return;
     for (guint i = 0; i < zones->len; i++)
         leader->pass.zone_task_counts[i] =
@@ -89,7 +87,7 @@
 bool placement_is_zone_allowed(struct leader *leader, const struct ledger_job *job,
                                const struct job_spec *spec, int zone_index)
 {
-    if (!has_zone_rule(spec))
+    if (!placement_has_zone_rule(spec))
         return true;
     if (zone_index < 0)
         return false;
@@ -190,6 +188,6 @@
 void placement_add_unschedulable(struct leader *leader, const struct job_spec *spec)
 {
     struct unschedulable request = unschedulable_of_job_spec(spec, "");
-    if (!has_zone_rule(spec) && !spec->machine_type_names && !spec->zone)
+    if (!placement_has_zone_rule(spec) && !spec->machine_type_names && !spec->zone)
         g_array_append_val(leader->pass.unschedulable_requests, request);
 }
--- a/src/scheduler/placement.h
+++ b/src/scheduler/placement.h
@@ -30,6 +30,9 @@
 /** Whether the machine has the job's image cached. */
 bool placement_has_image(const struct ledger_machine *machine, const struct job_spec *spec);
 
+/** Whether the zone of a task depends on the job's other tasks. The leader decides this, and the
+ * zone is part of the dispatch, to which the shard must keep. */
+bool placement_has_zone_rule(const struct job_spec *spec);
 /** The number of the job's tasks that are allocated or dispatched in a zone. */
 uint32_t placement_count_tasks_in_zone(struct leader *leader, const struct ledger_job *job,
                                        const char *zone);
--- a/src/scheduler/shard_dispatcher.c
+++ b/src/scheduler/shard_dispatcher.c
@@ -1,6 +1,7 @@
 /** The leader's message channels to the shards. */
 #include "shard_dispatcher.h"
 
+#include "placement.h"
 #include "quota_ledger.h"
 #include "shard_messages.h"
 
@@ -60,12 +61,10 @@
 {
     const struct pending_dispatch *dispatch = quota_ledger_find_dispatch(job, index);
     const struct job_spec *spec = replica_get_job(leader->replica, job->id.text)->spec;
-    /* Zone rules are the leader's to decide, so that the shard must keep to the zone. */
-    bool has_zone_rule = spec->needs_single_zone || spec->needs_separate_zones;
     struct dispatch_item item = {
         .task = {job->id, index, dispatch->attempt},
         .number = dispatch->number,
-        .zone = has_zone_rule ? dispatch->zone : NULL,
+        .zone = placement_has_zone_rule(spec) ? dispatch->zone : NULL,
         .bound_machine = is_bound ? dispatch->machine->id.text : NULL,
     };
     struct shard_channel *channel =
