--- a/src/scheduler/service_relocation.c
+++ b/src/scheduler/service_relocation.c
@@ -31,13 +31,14 @@
 }
 
 /** The allocation of a replica that may be stopped to make place for a task of the requester on
- * its machine; NULL when it may not, or when that would not free enough. */
+ * its machine; NULL when it may not, or when that would not free enough. service: the replica's
+ * job; NULL when the ledger does not have it. */
 static struct allocation *find_relocatable(struct leader *leader,
                                            const struct ledger_machine *machine,
                                            const struct run_record *run_record,
+                                           const struct ledger_job *service,
                                            const struct ledger_job *requester)
 {
-    const struct ledger_job *service = quota_ledger_find_job(leader, run_record->job->id.text);
     if (!service || !service->is_service || service == requester || !run_record->job->spec)
         return NULL;
     struct allocation *allocation = quota_ledger_find_allocation(service, run_record->task_index);
@@ -60,11 +61,12 @@
         loop_add_work(leader->loop, 1);
         if (g_hash_table_contains(immovable_jobs, run_record->job))
             continue;
-        struct allocation *allocation = find_relocatable(leader, machine, run_record, requester);
+        const struct ledger_job *service = quota_ledger_find_job(leader, run_record->job->id.text);
+        struct allocation *allocation =
+            find_relocatable(leader, machine, run_record, service, requester);
         if (!allocation)
             continue;
         const struct job_spec *spec = run_record->job->spec;
-        struct ledger_job *service = quota_ledger_find_job(leader, run_record->job->id.text);
         if (!could_leave_zone(leader, service, spec, machine->zone_index)) {
             g_hash_table_add(immovable_jobs, run_record->job);
             continue;
