--- a/src/scheduler/scheduling_policy.c
+++ b/src/scheduler/scheduling_policy.c
@@ -51,11 +51,12 @@
     return default_s;
 }
 
-/** The shortest wait that an objective of the job's class allows and a new machine can meet. */
-static double class_patience_s(struct leader *leader, const struct job_spec *spec)
+/** The shortest wait that an objective of the job's class allows and a new machine can meet, which
+ * boots in `quickest_s` at best. */
+static double class_patience_s(const struct leader *leader, const struct job_spec *spec,
+                               double quickest_s)
 {
     double patience_s = DEFAULT_PATIENCE_S;
-    double quickest_s = quickest_boot_s(leader);
     const GArray *objectives = leader->settings->objectives;
     for (guint i = 0; i < objectives->len; i++) {
         const struct objective *objective = &g_array_index(objectives, struct objective, i);
@@ -71,12 +72,13 @@
 double scheduling_policy_patience_s(struct leader *leader, const struct job *job_record)
 {
     const struct job_spec *spec = job_record->spec;
-    double patience_s = class_patience_s(leader, spec);
+    double quickest_s = quickest_boot_s(leader);
+    double patience_s = class_patience_s(leader, spec, quickest_s);
     if (spec->deadline_s >= 0 || job_record->inherited_deadline.ms == NO_DEADLINE.ms)
         return patience_s;
     /* Jobs that depend on this one have deadlines: it has to leave them enough time. */
     double due_s = (double)(job_record->inherited_deadline.ms - job_record->eligible_at.ms) / 1000;
-    return MIN(patience_s, MAX(due_s - spec->expected_run_s, quickest_boot_s(leader)));
+    return MIN(patience_s, MAX(due_s - spec->expected_run_s, quickest_s));
 }
 
 double scheduling_policy_used_cpus(struct leader *leader)
