--- a/src/scheduler/ledger_job.h
+++ b/src/scheduler/ledger_job.h
@@ -111,9 +111,9 @@
     enum job_priority priority;
     /** How long the job may wait without missing the objective of its class. */
     double patience_s;
-    /** quota_ledger_task_key(index) to struct allocation. */
+    /** Task to struct allocation; quota_ledger_task_index() gives a key's task. */
     GHashTable *allocations;
-    /** quota_ledger_task_key(index) to struct pending_dispatch. */
+    /** Task to struct pending_dispatch; keys of the same kind. */
     GHashTable *dispatches;
     /** No task with a lower index is waiting. */
     uint32_t first_waiting_index;
