--- a/src/scheduler/quota_ledger.c
+++ b/src/scheduler/quota_ledger.c
@@ -212,10 +212,12 @@
 /** The machine, added from its record in the replica if necessary; NULL when there is none. */
 static struct ledger_machine *ensure_recorded_machine(struct leader *leader, machine_id id)
 {
-    const struct machine_record *record = replica_get_machine(leader->replica, id.text);
     struct ledger_machine *machine = quota_ledger_find_machine(leader, id.text);
-    if (machine || !record)
+    if (machine)
         return machine;
+    const struct machine_record *record = replica_get_machine(leader->replica, id.text);
+    if (!record)
+        return NULL;
     return quota_ledger_ensure_machine(leader, id, record->machine_type_name, record->zone,
                                        record->is_spot);
 }
