--- a/src/scheduler/feature_switch.c
+++ b/src/scheduler/feature_switch.c
@@ -2,9 +2,7 @@
 #include "feature_switch.h"
 
 #include "log.h"
-
-/** The field of ll/features that turns singleton roles on. */
-static const char FIELD_SINGLETON_ROLES[] = "duties";
+#include "stored_fields.h"
 
 static void on_switch_written(void *arg, const struct txn_outcome *outcome)
 {
@@ -32,7 +30,7 @@
 {
     struct txn *txn = new_switch_txn(leader);
     json_object *value = json_object_new_object();
-    json_put_bool(value, FIELD_SINGLETON_ROLES, true);
+    json_put_bool(value, FEATURES_FIELD_SINGLETON_ROLES, true);
     txn_put(txn, KEY_FEATURES, value, (lease_id){0});
     LOG_INFO("singleton_roles_enabled", "nodes=%u", g_hash_table_size(leader->replica->nodes));
     submit_switch(leader, txn);
