--- a/src/scheduler/job_completion.c
+++ b/src/scheduler/job_completion.c
@@ -32,11 +32,7 @@
 static void on_end_written(void *arg, const struct txn_outcome *outcome)
 {
     struct job_end_write *pending = arg;
-    struct replica *replica = pending->leader->replica;
-    if (outcome->status == TXN_COMMITTED || outcome->status == TXN_CONFLICT)
-        replica_await_revision(replica, outcome->at_revision, on_end_visible, pending);
-    else
-        replica_read_barrier(replica, on_end_visible, pending);
+    replica_await_outcome(pending->leader->replica, outcome, on_end_visible, pending);
 }
 
 /** Records the end of a job, on condition that neither the job nor the leader has changed. */
