--- a/daemon/main.c
+++ b/daemon/main.c
@@ -8,13 +8,13 @@
 
 enum {
     EXIT_USAGE = 2,
-    KEPT_FDS = 24, /* files that are no connections */
-    PER_ADDRESS = 8,
+    RESERVED_FDS = 24, /* files that are no connections */
+    CONNECTIONS_PER_ADDRESS = 8,
 };
 
 struct options {
     char *config, *policy, *check_policy, *features, *check_features;
-    gboolean version, check;
+    gboolean version, check_config;
 };
 
 static int usage_error(const char *message)
@@ -23,7 +23,7 @@
     return EXIT_USAGE;
 }
 
-static bool parse(int argc, char **argv, struct options *o, GError **error)
+static bool parse_options(int argc, char **argv, struct options *o, GError **error)
 {
     const GOptionEntry entries[] = {
         {"config", 'c', 0, G_OPTION_ARG_FILENAME, &o->config, "Settings of this node (TOML)",
@@ -35,7 +35,8 @@
          "FILE"},
         {"check-features", 0, 0, G_OPTION_ARG_FILENAME, &o->check_features,
          "Check such a file and exit", "FILE"},
-        {"check-config", 0, 0, G_OPTION_ARG_NONE, &o->check, "Check the settings and exit", NULL},
+        {"check-config", 0, 0, G_OPTION_ARG_NONE, &o->check_config, "Check the settings and exit",
+         NULL},
         {"version", 'V', 0, G_OPTION_ARG_NONE, &o->version, "Print the version and exit", NULL},
         {0},
     };
@@ -51,37 +52,39 @@
     return ok;
 }
 
-static int run(const struct settings *settings, const struct policy *policy,
-               const struct feature_set *features)
+static int run_node(const struct settings *settings, const struct policy *policy,
+                    const struct feature_set *features)
 {
     struct loop *loop = loop_new();
     /* Workers and users come in, and any worker may have to be reached: all of them, when this is
      * the last node. Beyond the limits the connection that idles longest makes room. */
-    int fds = settings->fd_limit - KEPT_FDS;
-    int kept = PER_ADDRESS * (settings->size + 1); /* to nodes, state service and cloud */
-    struct http_client_limits client = {.connections = MAX(fds * 3 / 8 - kept, 8),
-                                        .per_address = PER_ADDRESS,
-                                        .queue = MAX(fds, REMEMBERED_MACHINES),
-                                        .answer_size = settings_answer_bytes(settings),
-                                        .connect_ms = 1500,
-                                        .idle_ms = 20000};
-    struct net *net = http_client_new(loop, client);
-    http_client_keep(net, settings->state_addr);
-    http_client_keep(net, settings->cloud_addr);
+    int fds = settings->max_open_files - RESERVED_FDS;
+    int kept = CONNECTIONS_PER_ADDRESS *
+               (settings->node_count + 1); /* to nodes, state service and cloud */
+    struct http_client_limits client = {.max_connections = MAX(fds * 3 / 8 - kept, 8),
+                                        .max_connections_per_address = CONNECTIONS_PER_ADDRESS,
+                                        .max_queued_requests = MAX(fds, MAX_TRACKED_MACHINES),
+                                        .max_response_bytes = settings_max_response_bytes(settings),
+                                        .connect_timeout_ms = 1500,
+                                        .idle_timeout_ms = 20000};
+    struct http_client *http_client = http_client_new(loop, client);
+    http_client_exempt_address(http_client, settings->kv_address);
+    http_client_exempt_address(http_client, settings->cloud_address);
     for (guint i = 0; i < settings->siblings->len; i++)
-        http_client_keep(net, g_array_index(settings->siblings, struct sibling, i).endpoint);
-    struct node *node = node_new(loop, net, settings, policy, features);
-    struct http_limits api = {fds * 9 / 16, 64 << 10, 90000, 10000};
-    struct http_limits back = {MAX(fds / 16, 4 * settings->size), settings_answer_bytes(settings),
-                               90000, 10000};
+        http_client_exempt_address(http_client,
+                                   g_array_index(settings->siblings, struct sibling, i).endpoint);
+    struct node *node = node_new(loop, http_client, settings, policy, features);
+    struct http_server_limits api = {fds * 9 / 16, 64 << 10, 90000, 10000};
+    struct http_server_limits back = {MAX(fds / 16, 4 * settings->node_count),
+                                      settings_max_response_bytes(settings), 90000, 10000};
     char *error = NULL;
-    if (!http_server_new(loop, settings->api_addr, api, frontend_serve, node->frontend, &error) ||
-        !http_server_new(loop, settings->back_addr, back, bus_serve, node->bus, &error)) {
+    if (!http_server_new(loop, settings->api_address, api, api_serve, node->api, &error) ||
+        !http_server_new(loop, settings->rpc_address, back, node_rpc_serve, node->rpc, &error)) {
         LOG_ERROR("listen", "%s", error);
         return 1;
     }
-    LOG_INFO("start", "version=%s api=%s back=%s", LL_VERSION, settings->api_addr,
-             settings->back_addr);
+    LOG_INFO("start", "version=%s api=%s back=%s", LL_VERSION, settings->api_address,
+             settings->rpc_address);
     node_start(node);
     loop_run(loop);
     return 0;
@@ -115,7 +118,7 @@
 }
 
 /* Reads all that a node needs, and runs it unless it was only to be checked. */
-static int start(const struct options *options)
+static int load_and_run(const struct options *options)
 {
     char *error = NULL;
     struct settings *settings = settings_load(options->config, &error);
@@ -131,10 +134,10 @@
         rc = usage_error(error);
     else if (!log_setup(level && *level ? level : "info", settings->label))
         rc = usage_error("LOG_LEVEL: must be error, info or debug");
-    else if (options->check)
+    else if (options->check_config)
         rc = printf("%s: fine\n", options->config) < 0;
     else
-        rc = run(settings, policy, &features);
+        rc = run_node(settings, policy, &features);
     g_free(error);
     if (policy)
         policy_free(policy);
@@ -148,7 +151,7 @@
     struct options options = {0};
     GError *problem = NULL;
     int rc = 0;
-    if (!parse(argc, argv, &options, &problem)) {
+    if (!parse_options(argc, argv, &options, &problem)) {
         rc = usage_error(problem->message);
         g_error_free(problem);
     } else if (options.version) {
@@ -160,7 +163,7 @@
     } else if (!options.config) {
         rc = usage_error("--config FILE is missing");
     } else {
-        rc = start(&options);
+        rc = load_and_run(&options);
     }
     g_free(options.config);
     g_free(options.policy);
--- a/src/api/api.c
+++ b/src/api/api.c
@@ -1,60 +1,61 @@
 #include "api_internal.h"
 
 enum {
-    FEW_WAITING = 400, /* requests that may always wait for the state service */
-    STALE_READY_MS = 8000,
-    RELAY_MS = 1500,
+    MIN_WAITING_LIMIT = 400, /* requests that may always wait for the state service */
+    MAX_READY_STALENESS_MS = 8000,
+    FORWARD_TIMEOUT_MS = 1500,
 };
 
-static void serve_here(void *ctx, struct http_replier *replier, conn_ref from,
-                       const struct http_request *request);
+static void serve_locally(void *ctx, struct http_responder *responder, connection_ref from,
+                          const struct http_request *request);
 
-struct frontend *frontend_new(const struct frontend_setup *setup)
+struct api *api_new(const struct frontend_setup *setup)
 {
-    struct frontend *frontend = g_new0(struct frontend, 1);
-    *frontend = (struct frontend){.loop = setup->loop,
-                                  .store = setup->store,
-                                  .view = setup->view,
-                                  .settings = setup->settings,
-                                  .shard = setup->shard,
-                                  .bus = setup->bus,
-                                  .peers = setup->peers,
-                                  .members = setup->members,
-                                  .most_waiting = MAX(FEW_WAITING, setup->settings->fd_limit / 4)};
-    g_queue_init(&frontend->asks);
-    timer_init(&frontend->sweep, frontend_sweep, frontend);
-    bus_on_relay(setup->bus, serve_here, frontend);
-    return frontend;
+    struct api *api = g_new0(struct api, 1);
+    *api = (struct api){.loop = setup->loop,
+                        .kv = setup->store,
+                        .replica = setup->view,
+                        .settings = setup->settings,
+                        .shard = setup->shard,
+                        .rpc = setup->bus,
+                        .peers = setup->peers,
+                        .membership = setup->members,
+                        .max_waiting = MAX(MIN_WAITING_LIMIT, setup->settings->max_open_files / 4)};
+    g_queue_init(&api->unanswered);
+    timer_init(&api->timeout_timer, api_expire_requests, api);
+    node_rpc_set_forward_handler(setup->bus, serve_locally, api);
+    return api;
 }
 
-void frontend_free(struct frontend *frontend)
+void api_free(struct api *api)
 {
-    timer_stop(frontend->loop, &frontend->sweep);
-    g_free(frontend);
+    timer_stop(api->loop, &api->timeout_timer);
+    g_free(api);
 }
 
 /* Ready as long as requests can be answered, by a peer if need be. An outage of the state service
  * that hits all nodes alike is no reason to take them all out, which would only prolong it. */
-static bool is_ready(struct frontend *frontend)
+static bool is_ready(struct api *api)
 {
-    if (!frontend->view->ready || !frontend->view->types || peers_alone(frontend->peers))
+    if (!api->replica->is_ready || !api->replica->machine_types ||
+        failure_detector_is_isolated(api->peers))
         return false;
-    mono_time now = loop_now(frontend->loop), quiet = peers_quiet_until(frontend->peers);
-    return peers_served(frontend->peers) ||
-           (quiet.us && time_ms_since(now, quiet) < STALE_READY_MS / 2) ||
-           time_ms_since(now, frontend->view->fresh) < STALE_READY_MS;
+    mono_time now = loop_now(api->loop), quiet = cancel_broadcast_known_until(api->peers);
+    return failure_detector_find_served_node(api->peers) ||
+           (quiet.us && time_ms_since(now, quiet) < MAX_READY_STALENESS_MS / 2) ||
+           time_ms_since(now, api->replica->fresh_at) < MAX_READY_STALENESS_MS;
 }
 
-static void route_work(struct frontend *frontend, struct http_replier *replier, conn_ref from,
-                       const struct http_request *request)
+static void route_job_request(struct api *api, struct http_responder *responder,
+                              connection_ref from, const struct http_request *request)
 {
     bool post = strcmp(request->method, "POST") == 0, get = strcmp(request->method, "GET") == 0;
     const char *rest = request->path + strlen("/work");
     if (!*rest) {
         if (post)
-            frontend_submit(frontend, replier, from, request);
+            api_submit(api, responder, from, request);
         else
-            frontend_reply_error(replier, from, 405, "method not allowed");
+            api_reply_error(responder, from, 405, "method not allowed");
         return;
     }
     char *id = g_strdup(rest + 1);
@@ -62,45 +63,46 @@
     if (slash)
         *slash++ = 0;
     if (!slash && get)
-        frontend_get_or_cancel(frontend, replier, from, ACTION_POLL, id);
+        api_poll_or_cancel(api, responder, from, API_ACTION_POLL, id);
     else if (slash && strcmp(slash, "abort") == 0 && post)
-        frontend_get_or_cancel(frontend, replier, from, ACTION_CANCEL, id);
+        api_poll_or_cancel(api, responder, from, API_ACTION_CANCEL, id);
     else if (!slash || strcmp(slash, "abort") == 0)
-        frontend_reply_error(replier, from, 405, "method not allowed");
+        api_reply_error(responder, from, 405, "method not allowed");
     else
-        frontend_reply_error(replier, from, 404, "not found");
+        api_reply_error(responder, from, 404, "not found");
     g_free(id);
 }
 
-struct relay {
-    struct frontend *frontend;
-    struct http_replier *replier;
-    conn_ref from;
+struct forwarded_request {
+    struct api *api;
+    struct http_responder *replier;
+    connection_ref from;
 };
 
-static void relay_answered(void *arg, const struct net_answer *answer)
+static void on_forward_response(void *arg, const struct http_response *response)
 {
-    struct relay *relay = arg;
-    relay->frontend->waiting--;
-    if (answer->status > 0)
-        frontend_reply(relay->replier, relay->from, answer->status,
-                       g_strndup(answer->body, answer->len));
+    struct forwarded_request *forwarded = arg;
+    forwarded->api->waiting_count--;
+    if (response->status > 0)
+        api_reply(forwarded->replier, forwarded->from, response->status,
+                  g_strndup(response->body, response->body_bytes));
     else
-        frontend_reply_error(relay->replier, relay->from, 503, "the state service does not answer");
-    g_free(relay);
+        api_reply_error(forwarded->replier, forwarded->from, 503,
+                        "the state service does not answer");
+    g_free(forwarded);
 }
 
-static bool is_work(const char *path)
+static bool is_job_path(const char *path)
 {
     return strcmp(path, "/work") == 0 || g_str_has_prefix(path, "/work/");
 }
 
 /* A node of an earlier version would take such a submission for one that needs nothing. */
-static bool names_others(const struct http_request *request)
+static bool names_dependencies(const struct http_request *request)
 {
-    if (strcmp(request->path, "/work") != 0 || !request->body_len)
+    if (strcmp(request->path, "/work") != 0 || !request->body_bytes)
         return false;
-    json_object *object = json_read(request->body, request->body_len), *list = NULL;
+    json_object *object = json_parse(request->body, request->body_bytes), *list = NULL;
     bool any = json_object_is_type(object, json_type_object) &&
                json_object_object_get_ex(object, "Awaits", &list) && list;
     json_object_put(object);
@@ -108,47 +110,47 @@
 }
 
 /* While the state service answers other nodes and not this one, they answer for it. */
-static bool hand_on(struct frontend *frontend, struct http_replier *replier, conn_ref from,
-                    const struct http_request *request)
+static bool forward_to_peer(struct api *api, struct http_responder *responder, connection_ref from,
+                            const struct http_request *request)
 {
-    const char *peer = peers_served(frontend->peers);
-    if (!peer || !is_work(request->path) || frontend->waiting >= frontend->most_waiting ||
-        (!membership_all_understand(frontend->members, NODE_VERSION_PIPELINES) &&
-         names_others(request)))
+    const char *peer = failure_detector_find_served_node(api->peers);
+    if (!peer || !is_job_path(request->path) || api->waiting_count >= api->max_waiting ||
+        (!membership_all_nodes_support(api->membership, NODE_VERSION_JOB_DAG) &&
+         names_dependencies(request)))
         return false;
-    struct relay *relay = g_new(struct relay, 1);
-    *relay = (struct relay){frontend, replier, from};
-    frontend->waiting++;
-    bus_relay(frontend->bus, peer, request, RELAY_MS, relay_answered, relay);
+    struct forwarded_request *forwarded = g_new(struct forwarded_request, 1);
+    *forwarded = (struct forwarded_request){api, responder, from};
+    api->waiting_count++;
+    node_rpc_forward(api->rpc, peer, request, FORWARD_TIMEOUT_MS, on_forward_response, forwarded);
     return true;
 }
 
-static void serve_here(void *ctx, struct http_replier *replier, conn_ref from,
-                       const struct http_request *request)
+static void serve_locally(void *ctx, struct http_responder *responder, connection_ref from,
+                          const struct http_request *request)
 {
-    struct frontend *frontend = ctx;
-    if (is_work(request->path)) {
-        route_work(frontend, replier, from, request);
+    struct api *api = ctx;
+    if (is_job_path(request->path)) {
+        route_job_request(api, responder, from, request);
     } else if (strcmp(request->path, "/agent/beat") == 0) {
         if (strcmp(request->method, "POST") == 0)
-            shard_report(frontend->shard, replier, from, request);
+            shard_handle_heartbeat(api->shard, responder, from, request);
         else
-            frontend_reply_error(replier, from, 405, "method not allowed");
+            api_reply_error(responder, from, 405, "method not allowed");
     } else if (strcmp(request->path, "/ready") == 0) {
         if (strcmp(request->method, "GET") != 0)
-            frontend_reply_error(replier, from, 405, "method not allowed");
-        else if (is_ready(frontend))
-            frontend_reply(replier, from, 200, g_strdup("{}"));
+            api_reply_error(responder, from, 405, "method not allowed");
+        else if (is_ready(api))
+            api_reply(responder, from, 200, g_strdup("{}"));
         else
-            frontend_reply_error(replier, from, 503, "not ready");
+            api_reply_error(responder, from, 503, "not ready");
     } else {
-        frontend_reply_error(replier, from, 404, "not found");
+        api_reply_error(responder, from, 404, "not found");
     }
 }
 
-void frontend_serve(void *ctx, struct http_replier *replier, conn_ref from,
-                    const struct http_request *request)
+void api_serve(void *ctx, struct http_responder *responder, connection_ref from,
+               const struct http_request *request)
 {
-    if (!hand_on(ctx, replier, from, request))
-        serve_here(ctx, replier, from, request);
+    if (!forward_to_peer(ctx, responder, from, request))
+        serve_locally(ctx, responder, from, request);
 }
--- a/src/api/api.h
+++ b/src/api/api.h
@@ -5,24 +5,24 @@
 #include "peers.h"
 #include "shard.h"
 
-struct frontend;
+struct api;
 
 /* What it works with; all of it outlives the frontend. */
 struct frontend_setup {
     struct loop *loop;
-    struct store *store;
-    struct view *view;
+    struct kv_client *store;
+    struct replica *view;
     struct membership *members;
-    struct bus *bus;
+    struct node_rpc *bus;
     struct peers *peers;
     struct shard *shard;
     const struct settings *settings;
 };
 
-struct frontend *frontend_new(const struct frontend_setup *setup);
-void frontend_free(struct frontend *frontend);
+struct api *api_new(const struct frontend_setup *setup);
+void api_free(struct api *api);
 /* For the server on the API's address. */
-void frontend_serve(void *frontend, struct http_replier *replier, conn_ref from,
-                    const struct http_request *request);
+void api_serve(void *frontend, struct http_responder *responder, connection_ref from,
+               const struct http_request *request);
 
 #endif
--- a/src/api/api_request.c
+++ b/src/api/api_request.c
@@ -3,90 +3,91 @@
 #include "log.h"
 
 enum {
-    WRITE_ROUNDS = 4, /* tries of a conditional write before the user is told to come back */
+    MAX_WRITE_ATTEMPTS = 4, /* tries of a conditional write before the user is told to come back */
     SWEEP_MS = 50,
 };
 
-static void ask_answered(struct ask *ask)
+static void mark_answered(struct api_request *request)
 {
-    if (!ask->answered)
-        g_queue_unlink(&ask->frontend->asks, &ask->place);
-    ask->answered = true;
+    if (!request->is_answered)
+        g_queue_unlink(&request->api->unanswered, &request->link);
+    request->is_answered = true;
 }
 
-void request_refuse(struct ask *ask)
+void api_request_refuse(struct api_request *request)
 {
-    if (!ask->answered)
-        frontend_reply_error(ask->replier, ask->from, 503, "the state service does not answer");
-    ask_answered(ask);
+    if (!request->is_answered)
+        api_reply_error(request->replier, request->from, 503, "the state service does not answer");
+    mark_answered(request);
 }
 
-void request_end(struct ask *ask)
+void api_request_free(struct api_request *request)
 {
-    ask_answered(ask);
-    ask->frontend->waiting--;
-    json_object_put(ask->spec);
-    g_free(ask->awaits);
-    g_free(ask);
+    mark_answered(request);
+    request->api->waiting_count--;
+    json_object_put(request->job_spec);
+    g_free(request->depends_on);
+    g_free(request);
 }
 
 /* What cannot be told in time gets its answer while it is still of use, and at once when the state
  * service answers nobody here. */
-void frontend_sweep(void *arg)
+void api_expire_requests(void *arg)
 {
-    struct frontend *frontend = arg;
-    mono_time now = loop_now(frontend->loop);
-    bool troubled = store_troubled(frontend->store);
-    struct ask *ask;
-    while ((ask = g_queue_peek_head(&frontend->asks)) &&
-           (troubled || time_ms_since(now, ask->came) > ANSWER_MS))
-        request_refuse(ask);
-    if (frontend->asks.head)
-        timer_start(frontend->loop, &frontend->sweep, SWEEP_MS);
+    struct api *api = arg;
+    mono_time now = loop_now(api->loop);
+    bool troubled = kv_client_is_unavailable(api->kv);
+    struct api_request *request;
+    while ((request = g_queue_peek_head(&api->unanswered)) &&
+           (troubled || time_ms_since(now, request->received_at) > ANSWER_MS))
+        api_request_refuse(request);
+    if (api->unanswered.head)
+        timer_start(api->loop, &api->timeout_timer, SWEEP_MS);
 }
 
 /* The other nodes know of the cancellation, too. */
-static void cancel_announced(void *arg)
+static void on_cancel_announced(void *arg)
 {
-    struct ask *ask = arg;
-    if (!ask->answered)
-        frontend_reply(ask->replier, ask->from, 200,
-                       codec_job_answer(ask->job, "cancelled", -1, 0));
-    request_end(ask);
+    struct api_request *request = arg;
+    if (!request->is_answered)
+        api_reply(request->replier, request->from, 200,
+                  job_status_encode(request->job, "cancelled", -1, 0));
+    api_request_free(request);
 }
 
-static void written(void *arg, const struct txn_outcome *outcome)
+static void on_job_written(void *arg, const struct txn_outcome *outcome)
 {
-    struct ask *ask = arg;
-    struct frontend *frontend = ask->frontend;
-    if (ask->action == ACTION_CANCEL) {
+    struct api_request *request = arg;
+    struct api *api = request->api;
+    if (request->action == API_ACTION_CANCEL) {
         /* Its user may hear of it from now on, from whichever node. */
-        peers_cancel_over(frontend->peers, ask->job, outcome);
+        cancel_broadcast_finish(api->peers, request->job, outcome);
     }
-    if (ask->answered) {
-        request_end(ask); /* its user asks again */
-    } else if (outcome->result == TXN_DONE) {
+    if (request->is_answered) {
+        api_request_free(request); /* its user asks again */
+    } else if (outcome->status == TXN_COMMITTED) {
         /* It is on record, so this may be said from now on. */
-        LOG_DEBUG("answered", "job=%s action=%d", ask->job.s, ask->action);
-        if (ask->action == ACTION_CANCEL) {
-            peers_announce_cancel(frontend->peers, ask->job, outcome->at, cancel_announced, ask);
+        LOG_DEBUG("answered", "job=%s action=%d", request->job.text, request->action);
+        if (request->action == API_ACTION_CANCEL) {
+            cancel_broadcast_announce(api->peers, request->job, outcome->at_revision,
+                                      on_cancel_announced, request);
             return;
         }
-        frontend_reply(
-            ask->replier, ask->from, 201,
-            codec_job_answer(ask->job, ask->upstream_cancelled ? "cancelled" : "queued", -1, 0));
-        request_end(ask);
-    } else if (outcome->result == TXN_CONFLICT && ++ask->rounds < WRITE_ROUNDS) {
-        view_await(frontend->view, outcome->at, request_step, ask);
-    } else if (outcome->result == TXN_UNKNOWN && ++ask->rounds < WRITE_ROUNDS) {
-        view_barrier(frontend->view, request_step, ask);
+        api_reply(request->replier, request->from, 201,
+                  job_status_encode(request->job,
+                                    request->upstream_cancelled ? "cancelled" : "queued", -1, 0));
+        api_request_free(request);
+    } else if (outcome->status == TXN_CONFLICT && ++request->write_attempts < MAX_WRITE_ATTEMPTS) {
+        replica_await_revision(api->replica, outcome->at_revision, api_request_step, request);
+    } else if (outcome->status == TXN_UNKNOWN && ++request->write_attempts < MAX_WRITE_ATTEMPTS) {
+        replica_read_barrier(api->replica, api_request_step, request);
     } else {
-        request_refuse(ask);
-        request_end(ask);
+        api_request_refuse(request);
+        api_request_free(request);
     }
 }
 
-json_object *request_job_value(json_object *spec, int64_t submitted_ms, bool cancelled)
+json_object *api_encode_live_job(json_object *spec, int64_t submitted_ms, bool cancelled)
 {
     json_object *object = json_object_new_object();
     json_put_u64(object, "t", (uint64_t)submitted_ms);
@@ -96,109 +97,112 @@
     return object;
 }
 
-void request_write_job(struct ask *ask, revision stamp, json_object *value)
+void api_request_write_job(struct api_request *request, revision mod_revision, json_object *value)
 {
     struct txn *txn = txn_new();
-    char *key = key_job(ask->job);
-    txn_when(txn, key, stamp);
-    txn_set(txn, key, value, (lease_id){0});
+    char *key = key_job(request->job);
+    txn_compare(txn, key, mod_revision);
+    txn_put(txn, key, value, (lease_id){0});
     g_free(key);
-    store_txn(ask->frontend->store, LANE_URGENT, txn, written, ask);
+    kv_client_commit(request->api->kv, KV_LANE_URGENT, txn, on_job_written, request);
 }
 
 /* Whether the key that was read is of a job that is over, and what became of it. */
-bool request_answer_is_final(const struct net_answer *answer, struct job *job)
+bool api_decode_final_job(const struct http_response *response, struct job *job)
 {
-    json_object *object = answer->status > 0 ? json_read(answer->body, answer->len) : NULL, *value;
-    bool over = answer->status == 200 && codec_state_read_key(object, &value, &job->stamp) &&
-                job_read_final(job, value);
-    job->cancelled_at = job->stamp;
+    json_object *object =
+                    response->status > 0 ? json_parse(response->body, response->body_bytes) : NULL,
+                *value;
+    bool over = response->status == 200 && kv_decode_value(object, &value, &job->mod_revision) &&
+                job_decode_final(job, value);
+    job->cancelled_at = job->mod_revision;
     json_object_put(object);
     return over;
 }
 
-static void key_answered(void *arg, const struct net_answer *answer)
+static void on_key_response(void *arg, const struct http_response *response)
 {
-    struct ask *ask = arg;
-    struct job job = {.id = ask->job};
-    bool over = request_answer_is_final(answer, &job);
-    if (answer->status == 404) {
-        ask->read = true;
-        request_step(ask, true);
+    struct api_request *request = arg;
+    struct job job = {.id = request->job};
+    bool over = api_decode_final_job(response, &job);
+    if (response->status == 404) {
+        request->key_is_absent = true;
+        api_request_step(request, true);
         return;
     }
-    if (over && !ask->answered)
-        frontend_reply_job(ask->frontend, ask->replier, ask->from, &job);
+    if (over && !request->is_answered)
+        api_reply_job(request->api, request->replier, request->from, &job);
     else
-        request_refuse(ask);
-    request_end(ask);
+        api_request_refuse(request);
+    api_request_free(request);
 }
 
 /* A job that the view does not hold may have been over for so long that it is not kept in memory. A
  * submission that is new is found out by its write, without reading. */
-static bool read_key(struct ask *ask)
+static bool read_key(struct api_request *request)
 {
-    struct frontend *frontend = ask->frontend;
-    if (!frontend->view->forgot || ask->read ||
-        (ask->action == ACTION_SUBMIT && !ask->rounds && !ask->refusal))
+    struct api *api = request->api;
+    if (!api->replica->has_evicted_jobs || request->key_is_absent ||
+        (request->action == API_ACTION_SUBMIT && !request->write_attempts &&
+         !request->error_status))
         return false;
-    char *key = key_job(ask->job);
-    store_read(frontend->store, LANE_URGENT, key, ANSWER_MS, ANSWER_MS, key_answered, ask);
+    char *key = key_job(request->job);
+    kv_client_get(api->kv, KV_LANE_URGENT, key, ANSWER_MS, ANSWER_MS, on_key_response, request);
     g_free(key);
     return true;
 }
 
 /* The view is now at a moment after the request came: what it shows may be told. */
-void request_step(void *arg, bool ok)
+void api_request_step(void *arg, bool ok)
 {
-    struct ask *ask = arg;
-    struct frontend *frontend = ask->frontend;
-    struct job *job = frontend_known_job(frontend, ask->job);
-    if (ask->answered) {
-        request_end(ask);
+    struct api_request *request = arg;
+    struct api *api = request->api;
+    struct job *job = api_find_job(api, request->job);
+    if (request->is_answered) {
+        api_request_free(request);
         return;
     }
-    if (ok && !job && read_key(ask))
+    if (ok && !job && read_key(request))
         return;
     if (!ok) {
-        request_refuse(ask);
-    } else if (ask->action == ACTION_SUBMIT && !job && ask->refusal) {
-        frontend_reply_error(ask->replier, ask->from, ask->refusal,
-                             ask->refusal == 400 ? "malformed" : "can never run");
-    } else if (ask->action == ACTION_SUBMIT && !job) {
-        if (request_awaits_known(ask))
-            request_write_job(ask, (revision){0}, request_new_value(ask));
+        api_request_refuse(request);
+    } else if (request->action == API_ACTION_SUBMIT && !job && request->error_status) {
+        api_reply_error(request->replier, request->from, request->error_status,
+                        request->error_status == 400 ? "malformed" : "can never run");
+    } else if (request->action == API_ACTION_SUBMIT && !job) {
+        if (api_request_check_dependencies(request))
+            api_request_write_job(request, (revision){0}, api_request_encode_job(request));
         return;
     } else if (!job) {
-        frontend_reply_error(ask->replier, ask->from, 404, "no such job");
-    } else if (ask->action == ACTION_CANCEL && job->state == JOB_LIVE) {
-        request_write_cancel(ask, job);
+        api_reply_error(request->replier, request->from, 404, "no such job");
+    } else if (request->action == API_ACTION_CANCEL && job->state == JOB_ACTIVE) {
+        api_request_write_cancel(request, job);
         return;
     } else {
-        frontend_reply_job(frontend, ask->replier, ask->from, job);
+        api_reply_job(api, request->replier, request->from, job);
     }
-    request_end(ask);
+    api_request_free(request);
 }
 
-struct ask *request_new(struct frontend *frontend, struct http_replier *replier, conn_ref from,
-                        enum action action, job_id job)
+struct api_request *api_request_new(struct api *api, struct http_responder *responder,
+                                    connection_ref from, enum api_action action, job_id job)
 {
-    const char *why = !frontend->view->ready            ? "starting"
-                      : store_troubled(frontend->store) ? "the state service does not answer"
-                      : frontend->waiting >= frontend->most_waiting ? "too many requests at once"
-                                                                    : NULL;
+    const char *why = !api->replica->is_ready                  ? "starting"
+                      : kv_client_is_unavailable(api->kv)      ? "the state service does not answer"
+                      : api->waiting_count >= api->max_waiting ? "too many requests at once"
+                                                               : NULL;
     if (why) {
-        frontend_reply_error(replier, from, 503, why);
+        api_reply_error(responder, from, 503, why);
         return NULL;
     }
-    frontend->waiting++;
-    struct ask *ask = g_new0(struct ask, 1);
-    *ask = (struct ask){
-        .frontend = frontend, .replier = replier, .from = from, .action = action, .job = job};
-    ask->came = loop_now(frontend->loop);
-    ask->place.data = ask;
-    g_queue_push_tail_link(&frontend->asks, &ask->place);
-    if (!frontend->sweep.place)
-        timer_start(frontend->loop, &frontend->sweep, SWEEP_MS);
-    return ask;
+    api->waiting_count++;
+    struct api_request *request = g_new0(struct api_request, 1);
+    *request = (struct api_request){
+        .api = api, .replier = responder, .from = from, .action = action, .job = job};
+    request->received_at = loop_now(api->loop);
+    request->link.data = request;
+    g_queue_push_tail_link(&api->unanswered, &request->link);
+    if (!api->timeout_timer.queue_position)
+        timer_start(api->loop, &api->timeout_timer, SWEEP_MS);
+    return request;
 }
--- a/src/api/api_response.c
+++ b/src/api/api_response.c
@@ -1,46 +1,47 @@
 #include "api_internal.h"
 
-void frontend_reply(struct http_replier *replier, conn_ref to, int status, char *text)
+void api_reply(struct http_responder *responder, connection_ref to, int status, char *text)
 {
-    replier->reply(replier, to, status, status == 503 ? "Retry-After: 1\r\n" : NULL, text,
-                   strlen(text));
+    responder->respond(responder, to, status, status == 503 ? "Retry-After: 1\r\n" : NULL, text,
+                       strlen(text));
     g_free(text);
 }
 
-void frontend_reply_error(struct http_replier *replier, conn_ref to, int status, const char *error)
+void api_reply_error(struct http_responder *responder, connection_ref to, int status,
+                     const char *error)
 {
     json_object *object = json_object_new_object();
     json_put_text(object, "error", error);
-    frontend_reply(replier, to, status,
-                   g_strdup(json_object_to_json_string_ext(object, JSON_C_TO_STRING_PLAIN)));
+    api_reply(responder, to, status,
+              g_strdup(json_object_to_json_string_ext(object, JSON_C_TO_STRING_PLAIN)));
     json_object_put(object);
 }
 
-static const char *stage_of(const struct job *job)
+static const char *job_stage_name(const struct job *job)
 {
     if (job->state == JOB_DONE)
         return "done";
     if (job->state == JOB_CANCELLED)
         return "cancelled";
-    return job->placed ? "running" : "queued";
+    return job->run_records ? "running" : "queued";
 }
 
-static char *job_text(const struct job *job)
+static char *encode_job_status(const struct job *job)
 {
-    return codec_job_answer(job->id, stage_of(job), job->n_done,
-                            job->placed ? (long)g_hash_table_size(job->placed) : 0);
+    return job_status_encode(job->id, job_stage_name(job), job->completed_count,
+                             job->run_records ? (long)g_hash_table_size(job->run_records) : 0);
 }
 
-void frontend_reply_job(struct frontend *frontend, struct http_replier *replier, conn_ref to,
-                        const struct job *job)
+void api_reply_job(struct api *api, struct http_responder *responder, connection_ref to,
+                   const struct job *job)
 {
     if (job->state == JOB_CANCELLED)
-        peers_told_cancel(frontend->peers, job->id, job->cancelled_at);
-    frontend_reply(replier, to, 200, job_text(job));
+        cancel_broadcast_confirm(api->peers, job->id, job->cancelled_at);
+    api_reply(responder, to, 200, encode_job_status(job));
 }
 
-struct job *frontend_known_job(struct frontend *frontend, job_id id)
+struct job *api_find_job(struct api *api, job_id id)
 {
-    struct job *job = view_job(frontend->view, id.s);
-    return job && job->known ? job : NULL;
+    struct job *job = replica_get_job(api->replica, id.text);
+    return job && job->is_known ? job : NULL;
 }
--- a/src/api/cancel.c
+++ b/src/api/cancel.c
@@ -4,22 +4,22 @@
  * of a job that was stored when more was allowed the rest is left out, as nothing of it starts
  * again.
  */
-void request_write_cancel(struct ask *ask, struct job *job)
+void api_request_write_cancel(struct api_request *request, struct job *job)
 {
-    json_object *spec = codec_spec_write(job->spec);
-    json_object *value = request_job_value(spec, job->submitted.ms, true);
+    json_object *spec = job_spec_encode(job->spec);
+    json_object *value = api_encode_live_job(spec, job->submitted_at.ms, true);
     json_object_put(spec);
-    if (value_size(value) > store_limits(ask->frontend->store)->value_bytes) {
-        struct spec s = *job->spec;
+    if (kv_value_size_bytes(value) > kv_client_limits(request->api->kv)->max_value_bytes) {
+        struct job_spec s = *job->spec;
         s.job_class = s.image = "-";
-        s.type_names = NULL;
+        s.machine_type_names = NULL;
         s.zone = NULL;
-        s.n_awaits = 0;
+        s.dependency_count = 0;
         json_object_put(value);
-        spec = codec_spec_write(&s);
-        value = request_job_value(spec, job->submitted.ms, true);
+        spec = job_spec_encode(&s);
+        value = api_encode_live_job(spec, job->submitted_at.ms, true);
         json_object_put(spec);
     }
-    peers_cancel_sent(ask->frontend->peers, ask->job);
-    request_write_job(ask, job->stamp, value);
+    cancel_broadcast_begin(request->api->peers, request->job);
+    api_request_write_job(request, job->mod_revision, value);
 }
--- a/src/api/query.c
+++ b/src/api/query.c
@@ -1,23 +1,23 @@
 #include "api_internal.h"
 
-void frontend_get_or_cancel(struct frontend *frontend, struct http_replier *replier, conn_ref from,
-                            enum action action, const char *id)
+void api_poll_or_cancel(struct api *api, struct http_responder *responder, connection_ref from,
+                        enum api_action action, const char *id)
 {
     job_id job;
-    if (!job_id_from(&job, id)) {
-        frontend_reply_error(replier, from, 404, "no such job");
+    if (!job_id_parse(&job, id)) {
+        api_reply_error(responder, from, 404, "no such job");
         return;
     }
-    struct job *j = frontend->view->ready ? frontend_known_job(frontend, job) : NULL;
-    if (j && j->state != JOB_LIVE) { /* final: nothing newer can be told */
-        frontend_reply_job(frontend, replier, from, j);
+    struct job *job_record = api->replica->is_ready ? api_find_job(api, job) : NULL;
+    if (job_record && job_record->state != JOB_ACTIVE) { /* final: nothing newer can be told */
+        api_reply_job(api, responder, from, job_record);
         return;
     }
-    struct ask *ask = request_new(frontend, replier, from, action, job);
-    if (!ask)
+    struct api_request *request = api_request_new(api, responder, from, action, job);
+    if (!request)
         return;
-    if (action == ACTION_CANCEL && j)
-        request_step(ask, true); /* the write is conditioned on what is seen here */
+    if (action == API_ACTION_CANCEL && job_record)
+        api_request_step(request, true); /* the write is conditioned on what is seen here */
     else
-        view_barrier(frontend->view, request_step, ask);
+        replica_read_barrier(api->replica, api_request_step, request);
 }
--- a/src/api/submit.c
+++ b/src/api/submit.c
@@ -1,51 +1,53 @@
 #include "api_internal.h"
 #include "resources.h"
 
-static void await_answered(void *arg, const struct net_answer *answer)
+static void on_dependency_response(void *arg, const struct http_response *response)
 {
-    struct ask *ask = arg;
+    struct api_request *request = arg;
     struct job job = {0};
-    bool over = request_answer_is_final(answer, &job);
+    bool over = api_decode_final_job(response, &job);
     if (over) {
-        ask->upstream_cancelled = ask->upstream_cancelled || job.state == JOB_CANCELLED;
-        ask->checked++;
-        request_step(ask, true);
+        request->upstream_cancelled = request->upstream_cancelled || job.state == JOB_CANCELLED;
+        request->depends_on_checked++;
+        api_request_step(request, true);
         return;
     }
-    if (ask->answered)
+    if (request->is_answered)
         ;
-    else if (answer->status == 404)
-        frontend_reply_error(ask->replier, ask->from, 422, "needs a job that was never accepted");
+    else if (response->status == 404)
+        api_reply_error(request->replier, request->from, 422,
+                        "needs a job that was never accepted");
     else /* it cannot be read now, or is not over and will be in the view in a moment */
-        request_refuse(ask);
-    request_end(ask);
+        api_request_refuse(request);
+    api_request_free(request);
 }
 
 /* Whether all jobs that it needs were accepted; if not, or not known yet, the request is settled by
  * this or goes on later. A job that was accepted stays so: what the view shows needs no barrier.
  * One that the view does not show was never accepted, or has been over for long. */
-bool request_awaits_known(struct ask *ask)
+bool api_request_check_dependencies(struct api_request *request)
 {
-    struct frontend *frontend = ask->frontend;
-    for (; ask->checked < ask->n_awaits; ask->checked++) {
-        job_id id = ask->awaits[ask->checked];
-        struct job *job = frontend_known_job(frontend, id);
+    struct api *api = request->api;
+    for (; request->depends_on_checked < request->depends_on_count; request->depends_on_checked++) {
+        job_id id = request->depends_on[request->depends_on_checked];
+        struct job *job = api_find_job(api, id);
         if (job) {
-            ask->upstream_cancelled = ask->upstream_cancelled || job->state == JOB_CANCELLED;
+            request->upstream_cancelled =
+                request->upstream_cancelled || job->state == JOB_CANCELLED;
             continue;
         }
-        if (!ask->behind) {
-            ask->behind = true;
-            view_barrier(frontend->view, request_step, ask);
-        } else if (frontend->view->forgot) {
+        if (!request->passed_barrier) {
+            request->passed_barrier = true;
+            replica_read_barrier(api->replica, api_request_step, request);
+        } else if (api->replica->has_evicted_jobs) {
             char *key = key_job(id);
-            store_read(frontend->store, LANE_URGENT, key, ANSWER_MS, ANSWER_MS, await_answered,
-                       ask);
+            kv_client_get(api->kv, KV_LANE_URGENT, key, ANSWER_MS, ANSWER_MS,
+                          on_dependency_response, request);
             g_free(key);
         } else {
-            frontend_reply_error(ask->replier, ask->from, 422,
-                                 "needs a job that was never accepted");
-            request_end(ask);
+            api_reply_error(request->replier, request->from, 422,
+                            "needs a job that was never accepted");
+            api_request_free(request);
         }
         return false;
     }
@@ -54,92 +56,94 @@
 
 /* Jobs that are done are needed no more: they are not kept with the new one, so that nobody has to
  * remember them for its sake. One that needs a cancelled job is accepted, and is over at once. */
-json_object *request_new_value(struct ask *ask)
+json_object *api_request_encode_job(struct api_request *request)
 {
-    struct frontend *frontend = ask->frontend;
-    if (ask->upstream_cancelled)
-        return job_final_value(JOB_CANCELLED, ask->tasks, loop_wall(frontend->loop));
+    struct api *api = request->api;
+    if (request->upstream_cancelled)
+        return job_encode_final(JOB_CANCELLED, request->task_count, loop_wall_time(api->loop));
     json_object *spec = NULL, *left = json_object_new_array();
-    for (guint i = 0; i < ask->n_awaits; i++) {
-        struct job *job = frontend_known_job(frontend, ask->awaits[i]);
+    for (guint i = 0; i < request->depends_on_count; i++) {
+        struct job *job = api_find_job(api, request->depends_on[i]);
         if (job && job->state != JOB_DONE)
-            json_object_array_add(left, json_object_new_string(job->id.s));
+            json_object_array_add(left, json_object_new_string(job->id.text));
     }
-    json_object_deep_copy(ask->spec, &spec, NULL);
+    json_object_deep_copy(request->job_spec, &spec, NULL);
     json_object_object_add(spec, "Awaits", left);
     if (!json_object_array_length(left))
         json_object_object_del(spec, "Awaits");
-    json_object *value = request_job_value(spec, loop_wall(frontend->loop).ms, false);
+    json_object *value = api_encode_live_job(spec, loop_wall_time(api->loop).ms, false);
     json_object_put(spec);
     return value;
 }
 
 /* Whether the job can ever run: its team is known, a machine type fits, the limit suffices. */
-static bool can_run(struct frontend *frontend, const struct spec *spec)
+static bool can_run(struct api *api, const struct job_spec *spec)
 {
-    int team = settings_team(frontend->settings, spec->team_name);
-    if (team < 0 || !type_smallest(frontend->view->types, spec))
+    int team = settings_find_team(api->settings, spec->team_name);
+    if (team < 0 || !machine_type_smallest_fit(api->replica->machine_types, spec))
         return false;
-    const struct team *t = &g_array_index(frontend->settings->teams, struct team, team);
-    int64_t n = spec->form == FORM_ARRAY ? 1 : spec->tasks;
-    return spec->cpus.milli * n <= t->cpus_max.milli && spec->gpus.milli * n <= t->gpus_max.milli;
+    const struct team *limits = &g_array_index(api->settings->teams, struct team, team);
+    int64_t concurrent_tasks = spec->form == FORM_ARRAY ? 1 : spec->task_count;
+    return spec->cpus.milli * concurrent_tasks <= limits->cpus_max.milli &&
+           spec->gpus.milli * concurrent_tasks <= limits->gpus_max.milli;
 }
 
 /* Whether its record is within what the state service takes, also when it says that the job is
  * cancelled. */
-static bool can_store(struct frontend *frontend, json_object *spec)
+static bool can_store(struct api *api, json_object *spec)
 {
-    json_object *value = request_job_value(spec, INT64_MAX, true);
-    bool fits = value_size(value) <= store_limits(frontend->store)->value_bytes;
+    json_object *value = api_encode_live_job(spec, INT64_MAX, true);
+    bool fits = kv_value_size_bytes(value) <= kv_client_limits(api->kv)->max_value_bytes;
     json_object_put(value);
     return fits;
 }
 
-void frontend_submit(struct frontend *frontend, struct http_replier *replier, conn_ref from,
-                     const struct http_request *request)
+void api_submit(struct api *api, struct http_responder *responder, connection_ref from,
+                const struct http_request *http_request)
 {
-    struct spec spec;
-    json_object *object = json_read(request->body, request->body_len);
+    struct job_spec spec;
+    json_object *object = json_parse(http_request->body, http_request->body_bytes);
     job_id id;
-    bool named = codec_id_read(object, &id);
-    bool ok = codec_spec_read(object, &spec), awaits_ok = ok && codec_awaits_read(object, &spec);
+    bool has_id = job_spec_decode_id(object, &id);
+    bool ok = job_spec_decode(object, &spec),
+         dependencies_ok = ok && job_spec_decode_dependencies(object, &spec);
     json_object_put(object);
-    if (!named) {
-        frontend_reply_error(replier, from, 400, "malformed");
+    if (!has_id) {
+        api_reply_error(responder, from, 400, "malformed");
         return;
     }
-    if (!ok || !awaits_ok) {
+    if (!ok || !dependencies_ok) {
         /* Whoever repeats the submission of an accepted job is told of that job, whatever the body
          * says this time. */
-        struct ask *bad = request_new(frontend, replier, from, ACTION_SUBMIT, id);
-        spec_clear(&spec);
+        struct api_request *bad = api_request_new(api, responder, from, API_ACTION_SUBMIT, id);
+        job_spec_clear(&spec);
         if (!bad)
             return;
-        bad->refusal = ok ? 422 : 400;
-        view_barrier(frontend->view, request_step, bad);
+        bad->error_status = ok ? 422 : 400;
+        replica_read_barrier(api->replica, api_request_step, bad);
         return;
     }
-    struct job *known = frontend->view->ready ? frontend_known_job(frontend, spec.id) : NULL;
-    struct ask *ask = NULL;
-    if (!frontend->view->types && !known)
-        frontend_reply_error(replier, from, 503, "the machine types are not known yet");
-    else if (spec.n_awaits && !known &&
-             !membership_all_understand(frontend->members, NODE_VERSION_PIPELINES))
-        frontend_reply_error(replier, from, 503,
-                             "some nodes do not know yet of jobs that await others");
+    struct job *known = api->replica->is_ready ? api_find_job(api, spec.id) : NULL;
+    struct api_request *request = NULL;
+    if (!api->replica->machine_types && !known)
+        api_reply_error(responder, from, 503, "the machine types are not known yet");
+    else if (spec.dependency_count && !known &&
+             !membership_all_nodes_support(api->membership, NODE_VERSION_JOB_DAG))
+        api_reply_error(responder, from, 503,
+                        "some nodes do not know yet of jobs that await others");
     else
-        ask = request_new(frontend, replier, from, ACTION_SUBMIT, spec.id);
-    if (ask) {
-        ask->spec = codec_spec_write(&spec);
-        ask->tasks = spec.tasks;
-        ask->n_awaits = spec.n_awaits;
-        ask->awaits = g_steal_pointer(&spec.awaits);
-        if (!known && (!can_run(frontend, &spec) || !can_store(frontend, ask->spec)))
-            ask->refusal = 422;
-        if (known || ask->refusal)
-            view_barrier(frontend->view, request_step, ask);
+        request = api_request_new(api, responder, from, API_ACTION_SUBMIT, spec.id);
+    if (request) {
+        request->job_spec = job_spec_encode(&spec);
+        request->task_count = spec.task_count;
+        request->depends_on_count = spec.dependency_count;
+        request->depends_on = g_steal_pointer(&spec.dependencies);
+        if (!known && (!can_run(api, &spec) || !can_store(api, request->job_spec)))
+            request->error_status = 422;
+        if (known || request->error_status)
+            replica_read_barrier(api->replica, api_request_step, request);
         else
-            request_step(ask, true); /* the write tells if it was there */
+            api_request_step(request, true); /* the write tells if it was there */
     }
-    spec_clear(&spec);
+    job_spec_clear(&spec);
 }
--- a/src/base/event_loop.c
+++ b/src/base/event_loop.c
@@ -5,66 +5,66 @@
 #include <time.h>
 #include <unistd.h>
 
-struct letter {
+struct queued_message {
     struct actor *to;
-    struct message m;
+    struct message message;
 };
 
 struct loop {
-    int epoll;
-    bool fake, stopped;
+    int epoll_fd;
+    bool has_fake_clock, is_stopped;
     mono_time now;
-    wall_time fake_wall;
+    wall_time fake_wall_time;
     GSequence *timers;
-    uint64_t next_order;
-    GQueue mail;
-    GPtrArray *garbage;
-    uint64_t worked;
+    uint64_t next_timer_sequence;
+    GQueue mailbox;
+    GPtrArray *deferred_frees;
+    uint64_t work_count;
 };
 
-static mono_time clock_steady(void)
+static mono_time read_monotonic_clock(void)
 {
-    struct timespec timespec;
-    clock_gettime(CLOCK_MONOTONIC, &timespec);
-    return (mono_time){(int64_t)timespec.tv_sec * 1000000 + timespec.tv_nsec / 1000};
+    struct timespec now;
+    clock_gettime(CLOCK_MONOTONIC, &now);
+    return (mono_time){(int64_t)now.tv_sec * 1000000 + now.tv_nsec / 1000};
 }
 
 struct loop *loop_new(void)
 {
     struct loop *loop = g_new0(struct loop, 1);
-    loop->epoll = epoll_create1(EPOLL_CLOEXEC);
+    loop->epoll_fd = epoll_create1(EPOLL_CLOEXEC);
     loop->timers = g_sequence_new(NULL);
-    loop->garbage = g_ptr_array_new_with_free_func(g_free);
-    g_queue_init(&loop->mail);
-    loop->now = clock_steady();
+    loop->deferred_frees = g_ptr_array_new_with_free_func(g_free);
+    g_queue_init(&loop->mailbox);
+    loop->now = read_monotonic_clock();
     return loop;
 }
 
 struct loop *loop_new_fake(void)
 {
     struct loop *loop = loop_new();
-    loop->fake = true;
+    loop->has_fake_clock = true;
     loop->now.us = 1000 * 1000000LL;
-    loop->fake_wall.ms = 1700000000000LL;
+    loop->fake_wall_time.ms = 1700000000000LL;
     return loop;
 }
 
-static void drop_mail(struct loop *loop)
+static void discard_messages(struct loop *loop)
 {
-    struct letter *letter;
-    while ((letter = g_queue_pop_head(&loop->mail))) {
-        if (letter->m.free_body)
-            letter->m.free_body(letter->m.body);
-        g_free(letter);
+    struct queued_message *queued;
+    while ((queued = g_queue_pop_head(&loop->mailbox))) {
+        if (queued->message.free_body)
+            queued->message.free_body(queued->message.body);
+        g_free(queued);
     }
 }
 
 void loop_free(struct loop *loop)
 {
-    drop_mail(loop);
-    close(loop->epoll);
+    discard_messages(loop);
+    close(loop->epoll_fd);
     g_sequence_free(loop->timers);
-    g_ptr_array_unref(loop->garbage);
+    g_ptr_array_unref(loop->deferred_frees);
     g_free(loop);
 }
 
@@ -73,180 +73,181 @@
     return loop->now;
 }
 
-wall_time loop_wall(const struct loop *loop)
+wall_time loop_wall_time(const struct loop *loop)
 {
-    if (loop->fake)
-        return loop->fake_wall;
-    struct timespec timespec;
-    clock_gettime(CLOCK_REALTIME, &timespec);
-    return (wall_time){(int64_t)timespec.tv_sec * 1000 + timespec.tv_nsec / 1000000};
+    if (loop->has_fake_clock)
+        return loop->fake_wall_time;
+    struct timespec now;
+    clock_gettime(CLOCK_REALTIME, &now);
+    return (wall_time){(int64_t)now.tv_sec * 1000 + now.tv_nsec / 1000000};
 }
 
 void loop_refresh(struct loop *loop)
 {
-    if (!loop->fake)
-        loop->now = clock_steady();
+    if (!loop->has_fake_clock)
+        loop->now = read_monotonic_clock();
 }
 
-void loop_work(struct loop *loop, uint64_t looks)
+void loop_add_work(struct loop *loop, uint64_t operations)
 {
-    loop->worked += looks;
+    loop->work_count += operations;
 }
 
-uint64_t loop_worked(const struct loop *loop)
+uint64_t loop_work_count(const struct loop *loop)
 {
-    return loop->worked;
+    return loop->work_count;
 }
 
-static void control(struct loop *loop, int op, struct loop_io *io, uint32_t events)
+static void epoll_update(struct loop *loop, int operation, struct loop_io *io, uint32_t events)
 {
     struct epoll_event event = {.events = events, .data.ptr = io};
-    epoll_ctl(loop->epoll, op, io->fd, &event);
+    epoll_ctl(loop->epoll_fd, operation, io->fd, &event);
 }
 
-void loop_watch(struct loop *loop, struct loop_io *io, uint32_t events)
+void loop_add_io(struct loop *loop, struct loop_io *io, uint32_t events)
 {
-    control(loop, EPOLL_CTL_ADD, io, events);
+    epoll_update(loop, EPOLL_CTL_ADD, io, events);
 }
 
-void loop_rewatch(struct loop *loop, struct loop_io *io, uint32_t events)
+void loop_modify_io(struct loop *loop, struct loop_io *io, uint32_t events)
 {
-    control(loop, EPOLL_CTL_MOD, io, events);
+    epoll_update(loop, EPOLL_CTL_MOD, io, events);
 }
 
-void loop_unwatch(struct loop *loop, struct loop_io *io)
+void loop_remove_io(struct loop *loop, struct loop_io *io)
 {
-    control(loop, EPOLL_CTL_DEL, io, 0);
+    epoll_update(loop, EPOLL_CTL_DEL, io, 0);
     io->ready = NULL;
 }
 
-void loop_free_later(struct loop *loop, void *memory)
+void loop_defer_free(struct loop *loop, void *memory)
 {
-    g_ptr_array_add(loop->garbage, memory);
+    g_ptr_array_add(loop->deferred_frees, memory);
 }
 
-void timer_init(struct timer *timer, void (*fire)(void *arg), void *arg)
+void timer_init(struct timer *timer, void (*callback)(void *arg), void *arg)
 {
-    *timer = (struct timer){.fire = fire, .arg = arg};
+    *timer = (struct timer){.callback = callback, .arg = arg};
 }
 
-static int timer_cmp(gconstpointer a, gconstpointer b, gpointer unused)
+static int compare_timers(gconstpointer a, gconstpointer b, gpointer unused)
 {
     (void)unused;
     const struct timer *timer = a, *y = b;
-    if (timer->at.us != y->at.us)
-        return timer->at.us < y->at.us ? -1 : 1;
-    return timer->order < y->order ? -1 : timer->order > y->order;
+    if (timer->fires_at.us != y->fires_at.us)
+        return timer->fires_at.us < y->fires_at.us ? -1 : 1;
+    return timer->sequence < y->sequence ? -1 : timer->sequence > y->sequence;
 }
 
 void timer_start(struct loop *loop, struct timer *timer, int64_t ms)
 {
     timer_stop(loop, timer);
-    timer->at = time_add_ms(loop->now, ms);
-    timer->order = loop->next_order++;
-    timer->place = g_sequence_insert_sorted(loop->timers, timer, timer_cmp, NULL);
+    timer->fires_at = time_add_ms(loop->now, ms);
+    timer->sequence = loop->next_timer_sequence++;
+    timer->queue_position = g_sequence_insert_sorted(loop->timers, timer, compare_timers, NULL);
 }
 
 void timer_stop(struct loop *loop, struct timer *timer)
 {
     (void)loop;
-    if (timer->place)
-        g_sequence_remove(timer->place);
-    timer->place = NULL;
+    if (timer->queue_position)
+        g_sequence_remove(timer->queue_position);
+    timer->queue_position = NULL;
 }
 
 void actor_send(struct loop *loop, struct actor *actor, int kind, void *body,
                 GDestroyNotify free_body)
 {
-    struct letter *letter = g_new(struct letter, 1);
-    *letter = (struct letter){actor, {kind, body, free_body}};
-    g_queue_push_tail(&loop->mail, letter);
+    struct queued_message *queued = g_new(struct queued_message, 1);
+    *queued = (struct queued_message){actor, {kind, body, free_body}};
+    g_queue_push_tail(&loop->mailbox, queued);
 }
 
 /* Delivers what lies in the mailboxes now; what that sends waits for the next turn, so that mail
  * cannot starve the sockets. */
-static bool deliver(struct loop *loop)
-{
-    guint n = loop->mail.length;
-    for (guint i = 0; i < n; i++) {
-        struct letter *letter = g_queue_pop_head(&loop->mail);
-        letter->to->receive(letter->to, &letter->m);
-        if (letter->m.free_body)
-            letter->m.free_body(letter->m.body);
-        g_free(letter);
+static bool deliver_messages(struct loop *loop)
+{
+    guint pending = loop->mailbox.length;
+    for (guint i = 0; i < pending; i++) {
+        struct queued_message *queued = g_queue_pop_head(&loop->mailbox);
+        queued->to->receive(queued->to, &queued->message);
+        if (queued->message.free_body)
+            queued->message.free_body(queued->message.body);
+        g_free(queued);
     }
-    return n > 0;
+    return pending > 0;
 }
 
-static bool fire_one(struct loop *loop, mono_time until)
+static bool fire_next_timer(struct loop *loop, mono_time until)
 {
     GSequenceIter *first = g_sequence_get_begin_iter(loop->timers);
     if (g_sequence_iter_is_end(first))
         return false;
     struct timer *timer = g_sequence_get(first);
-    if (time_before(until, timer->at))
+    if (time_before(until, timer->fires_at))
         return false;
     timer_stop(loop, timer);
-    if (loop->fake && time_before(loop->now, timer->at)) {
-        loop->fake_wall.ms += (timer->at.us - loop->now.us) / 1000;
-        loop->now = timer->at;
+    if (loop->has_fake_clock && time_before(loop->now, timer->fires_at)) {
+        loop->fake_wall_time.ms += (timer->fires_at.us - loop->now.us) / 1000;
+        loop->now = timer->fires_at;
     }
-    timer->fire(timer->arg);
+    timer->callback(timer->arg);
     return true;
 }
 
-static int wait_ms(struct loop *loop)
+static int poll_timeout_ms(struct loop *loop)
 {
-    if (loop->mail.length)
+    if (loop->mailbox.length)
         return 0;
     GSequenceIter *first = g_sequence_get_begin_iter(loop->timers);
     if (g_sequence_iter_is_end(first))
         return 1000;
     struct timer *timer = g_sequence_get(first);
-    int64_t us = timer->at.us - loop->now.us;
-    if (us <= 0)
+    int64_t remaining_us = timer->fires_at.us - loop->now.us;
+    if (remaining_us <= 0)
         return 0;
-    return MIN((us + 999) / 1000, 1000);
+    return MIN((remaining_us + 999) / 1000, 1000);
 }
 
 void loop_run(struct loop *loop)
 {
-    struct epoll_event event[64];
-    while (!loop->stopped) {
-        int n = epoll_wait(loop->epoll, event, G_N_ELEMENTS(event), wait_ms(loop));
-        loop->now = clock_steady();
-        for (int i = 0; i < n; i++) {
-            struct loop_io *io = event[i].data.ptr;
+    struct epoll_event events[64];
+    while (!loop->is_stopped) {
+        int ready_count =
+            epoll_wait(loop->epoll_fd, events, G_N_ELEMENTS(events), poll_timeout_ms(loop));
+        loop->now = read_monotonic_clock();
+        for (int i = 0; i < ready_count; i++) {
+            struct loop_io *io = events[i].data.ptr;
             if (io->ready)
-                io->ready(io, event[i].events);
+                io->ready(io, events[i].events);
         }
         mono_time until = loop->now;
-        for (int i = 0; i < 64 && fire_one(loop, until); i++)
+        for (int i = 0; i < 64 && fire_next_timer(loop, until); i++)
             ;
-        deliver(loop);
-        g_ptr_array_set_size(loop->garbage, 0);
+        deliver_messages(loop);
+        g_ptr_array_set_size(loop->deferred_frees, 0);
     }
 }
 
 void loop_stop(struct loop *loop)
 {
-    loop->stopped = true;
+    loop->is_stopped = true;
 }
 
 void loop_advance(struct loop *loop, int64_t ms)
 {
     mono_time until = time_add_ms(loop->now, ms);
     do {
-        while (deliver(loop))
+        while (deliver_messages(loop))
             ;
-        g_ptr_array_set_size(loop->garbage, 0);
-    } while (fire_one(loop, until));
-    loop->fake_wall.ms += (until.us - loop->now.us) / 1000;
+        g_ptr_array_set_size(loop->deferred_frees, 0);
+    } while (fire_next_timer(loop, until));
+    loop->fake_wall_time.ms += (until.us - loop->now.us) / 1000;
     loop->now = until;
 }
 
-void loop_skip(struct loop *loop, int64_t ms)
+void loop_stall(struct loop *loop, int64_t ms)
 {
     loop->now = time_add_ms(loop->now, ms);
-    loop->fake_wall.ms += ms;
+    loop->fake_wall_time.ms += ms;
 }
--- a/src/base/event_loop.h
+++ b/src/base/event_loop.h
@@ -27,11 +27,11 @@
 };
 
 struct timer {
-    void (*fire)(void *arg);
+    void (*callback)(void *arg);
     void *arg;
-    mono_time at;
-    GSequenceIter *place; /* NULL: not running */
-    uint64_t order;
+    mono_time fires_at;
+    GSequenceIter *queue_position; /* NULL: not running */
+    uint64_t sequence;
 };
 
 struct loop *loop_new(void);
@@ -39,21 +39,21 @@
 void loop_free(struct loop *loop);
 
 mono_time loop_now(const struct loop *loop);
-wall_time loop_wall(const struct loop *loop);
+wall_time loop_wall_time(const struct loop *loop);
 /* Reads the clock again. A process may stand still for long in the middle of a turn, and what it
  * reads then may be newer than the moment the turn began: whoever reads calls this afterwards. */
 void loop_refresh(struct loop *loop);
 /* Counts looks at machines and tasks, so that tests can tell how work grows. */
-void loop_work(struct loop *loop, uint64_t looks);
-uint64_t loop_worked(const struct loop *loop);
+void loop_add_work(struct loop *loop, uint64_t operations);
+uint64_t loop_work_count(const struct loop *loop);
 
-void loop_watch(struct loop *loop, struct loop_io *io, uint32_t events);
-void loop_rewatch(struct loop *loop, struct loop_io *io, uint32_t events);
-void loop_unwatch(struct loop *loop, struct loop_io *io);
+void loop_add_io(struct loop *loop, struct loop_io *io, uint32_t events);
+void loop_modify_io(struct loop *loop, struct loop_io *io, uint32_t events);
+void loop_remove_io(struct loop *loop, struct loop_io *io);
 /* Frees once the events at hand are handled: one of them may still point to it. */
-void loop_free_later(struct loop *loop, void *memory);
+void loop_defer_free(struct loop *loop, void *memory);
 
-void timer_init(struct timer *timer, void (*fire)(void *arg), void *arg);
+void timer_init(struct timer *timer, void (*callback)(void *arg), void *arg);
 void timer_start(struct loop *loop, struct timer *timer, int64_t ms);
 void timer_stop(struct loop *loop, struct timer *timer);
 
@@ -65,6 +65,6 @@
 /* Fake clock: lets the time pass, firing timers and delivering messages in their order. */
 void loop_advance(struct loop *loop, int64_t ms);
 /* Fake clock: the process stands still for that time; what is due meanwhile fires afterwards. */
-void loop_skip(struct loop *loop, int64_t ms);
+void loop_stall(struct loop *loop, int64_t ms);
 
 #endif
--- a/src/base/log.c
+++ b/src/base/log.c
@@ -4,32 +4,32 @@
 #include <string.h>
 #include <unistd.h>
 
-static GLogLevelFlags log_lowest = G_LOG_LEVEL_MESSAGE;
+static GLogLevelFlags log_threshold = G_LOG_LEVEL_MESSAGE;
 static char log_node[64];
 static guint64 log_epoch;
 
-static GLogWriterOutput write_line(GLogLevelFlags level, const GLogField *fields, gsize n,
+static GLogWriterOutput write_line(GLogLevelFlags level, const GLogField *fields, gsize field_count,
                                    gpointer unused)
 {
     (void)unused;
     const char *event = "", *text = "";
-    for (gsize i = 0; i < n; i++) {
+    for (gsize i = 0; i < field_count; i++) {
         if (strcmp(fields[i].key, "MESSAGE") == 0)
             text = fields[i].value;
         else if (strcmp(fields[i].key, "LL_EVENT") == 0)
             event = fields[i].value;
     }
-    const char *name = level <= G_LOG_LEVEL_WARNING   ? "error"
-                       : level <= G_LOG_LEVEL_MESSAGE ? "info"
-                                                      : "debug";
+    const char *level_name = level <= G_LOG_LEVEL_WARNING   ? "error"
+                             : level <= G_LOG_LEVEL_MESSAGE ? "info"
+                                                            : "debug";
     char line[1024];
-    int len = snprintf(line, sizeof line, "%s node=%s epoch=%" G_GUINT64_FORMAT " event=%s %s\n",
-                       name, log_node, log_epoch, event, text);
-    if (len >= (int)sizeof line) {
-        len = sizeof line;
-        line[len - 1] = '\n';
+    int length = snprintf(line, sizeof line, "%s node=%s epoch=%" G_GUINT64_FORMAT " event=%s %s\n",
+                          level_name, log_node, log_epoch, event, text);
+    if (length >= (int)sizeof line) {
+        length = sizeof line;
+        line[length - 1] = '\n';
     }
-    if (write(STDERR_FILENO, line, len) < 0)
+    if (write(STDERR_FILENO, line, length) < 0)
         return G_LOG_WRITER_UNHANDLED; /* nobody reads the log: nothing to be done about it */
     return G_LOG_WRITER_HANDLED;
 }
@@ -37,11 +37,11 @@
 gboolean log_setup(const char *level, const char *node)
 {
     if (strcmp(level, "error") == 0)
-        log_lowest = G_LOG_LEVEL_WARNING;
+        log_threshold = G_LOG_LEVEL_WARNING;
     else if (strcmp(level, "info") == 0)
-        log_lowest = G_LOG_LEVEL_MESSAGE;
+        log_threshold = G_LOG_LEVEL_MESSAGE;
     else if (strcmp(level, "debug") == 0)
-        log_lowest = G_LOG_LEVEL_DEBUG;
+        log_threshold = G_LOG_LEVEL_DEBUG;
     else
         return FALSE;
     g_strlcpy(log_node, node, sizeof log_node);
@@ -57,20 +57,20 @@
     log_epoch = epoch;
 }
 
-gboolean log_debug_on(void)
+gboolean log_debug_enabled(void)
 {
-    return log_lowest == G_LOG_LEVEL_DEBUG;
+    return log_threshold == G_LOG_LEVEL_DEBUG;
 }
 
 void log_event(GLogLevelFlags level, const char *event, const char *format, ...)
 {
-    if (level > log_lowest)
+    if (level > log_threshold)
         return;
     char text[800];
-    va_list ap;
-    va_start(ap, format);
-    g_vsnprintf(text, sizeof text, format, ap);
-    va_end(ap);
+    va_list arguments;
+    va_start(arguments, format);
+    g_vsnprintf(text, sizeof text, format, arguments);
+    va_end(arguments);
     const GLogField fields[] = {{"MESSAGE", text, -1}, {"LL_EVENT", event, -1}};
     g_log_structured_array(level, fields, G_N_ELEMENTS(fields));
 }
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -8,7 +8,7 @@
 gboolean log_setup(const char *level, const char *node);
 /* The epoch is added to every line once a map is known. */
 void log_set_epoch(guint64 epoch);
-gboolean log_debug_on(void);
+gboolean log_debug_enabled(void);
 
 void log_event(GLogLevelFlags level, const char *event, const char *format, ...)
     G_GNUC_PRINTF(3, 4);
@@ -17,7 +17,7 @@
 #define LOG_INFO(event, ...) log_event(G_LOG_LEVEL_MESSAGE, event, __VA_ARGS__)
 #define LOG_DEBUG(event, ...)                                                                      \
     do {                                                                                           \
-        if (log_debug_on())                                                                        \
+        if (log_debug_enabled())                                                                   \
             log_event(G_LOG_LEVEL_DEBUG, event, __VA_ARGS__);                                      \
     } while (0)
 
--- a/src/base/types.c
+++ b/src/base/types.c
@@ -1,23 +1,23 @@
 #include "types.h"
 
-static bool id_from(char *out, size_t size, const char *text)
+static bool id_parse(char *out, size_t size, const char *text)
 {
-    size_t n = strlen(text);
-    if (n == 0 || n >= size)
+    size_t length = strlen(text);
+    if (length == 0 || length >= size)
         return false;
-    for (size_t i = 0; i < n; i++)
+    for (size_t i = 0; i < length; i++)
         if (!g_ascii_isalnum(text[i]) && !strchr("-_.", text[i]))
             return false;
-    memcpy(out, text, n + 1);
+    memcpy(out, text, length + 1);
     return true;
 }
 
-bool job_id_from(job_id *out, const char *text)
+bool job_id_parse(job_id *out, const char *text)
 {
-    return id_from(out->s, sizeof out->s, text);
+    return id_parse(out->text, sizeof out->text, text);
 }
 
-bool host_id_from(host_id *out, const char *text)
+bool machine_id_parse(machine_id *out, const char *text)
 {
-    return id_from(out->s, sizeof out->s, text);
+    return id_parse(out->text, sizeof out->text, text);
 }
--- a/src/base/types.h
+++ b/src/base/types.h
@@ -9,7 +9,7 @@
 
 /* Tables that remember something of machines hold at least so many: 4,000, and half as many again.
  * Beyond that they forget, and nothing is refused. */
-enum { REMEMBERED_MACHINES = 6000 };
+enum { MAX_TRACKED_MACHINES = 6000 };
 
 /* A moment of this machine's steady clock. */
 typedef struct {
@@ -24,33 +24,33 @@
 /* A revision of the state service; a key's version is the revision of its last change. 0: no key.
  */
 typedef struct {
-    uint64_t v;
+    uint64_t value;
 } revision;
 
 /* The map's epoch. It is the token that workers see, and only ever rises. */
 typedef struct {
-    uint64_t v;
+    uint64_t value;
 } epoch_no;
 
-/* One start of a task. Never used twice: see leader_next_attempt. */
+/* One start of a task. Never used twice: see quota_ledger_next_attempt. */
 typedef struct {
-    uint64_t v;
+    uint64_t value;
 } attempt_no;
 
 /* A lease of the state service. */
 typedef struct {
-    uint64_t v;
+    uint64_t value;
 } lease_id;
 
 /* A job's id as its user chose it. */
 typedef struct {
-    char s[48];
+    char text[48];
 } job_id;
 
 /* A machine's name as the cloud gave it. */
 typedef struct {
-    char s[48];
-} host_id;
+    char text[48];
+} machine_id;
 
 /* Processors, cards or memory, in thousandths: sums stay exact, so that a limit is never passed by
  * a rounding error. */
@@ -73,18 +73,18 @@
     return a.us < b.us;
 }
 
-static inline bool host_eq(host_id a, host_id b)
+static inline bool machine_id_equal(machine_id a, machine_id b)
 {
-    return strcmp(a.s, b.s) == 0;
+    return strcmp(a.text, b.text) == 0;
 }
 
-static inline bool job_eq(job_id a, job_id b)
+static inline bool job_id_equal(job_id a, job_id b)
 {
-    return strcmp(a.s, b.s) == 0;
+    return strcmp(a.text, b.text) == 0;
 }
 
 /* False when the text is too long for an id or holds a character that keys cannot carry. */
-bool job_id_from(job_id *out, const char *text);
-bool host_id_from(host_id *out, const char *text);
+bool job_id_parse(job_id *out, const char *text);
+bool machine_id_parse(machine_id *out, const char *text);
 
 #endif
--- a/src/cloud/cloud_provider.c
+++ b/src/cloud/cloud_provider.c
@@ -9,223 +9,228 @@
 
 /* ---- the intent log's view of the node ---- */
 
-static revision map_version(void *ctx)
+static revision get_map_revision(void *ctx)
 {
-    return ((struct fleet *)ctx)->view->map_stamp;
+    return ((struct cloud_provider *)ctx)->replica->shard_map_mod_revision;
 }
 
-static void await_view(void *ctx, revision at, duty_seen done, void *arg)
+static void await_replica_revision(void *ctx, revision at, role_await_callback done, void *arg)
 {
-    struct fleet *fleet = ctx;
-    if (at.v)
-        view_await(fleet->view, at, done, arg);
+    struct cloud_provider *cloud = ctx;
+    if (at.value)
+        replica_await_revision(cloud->replica, at, done, arg);
     else
-        view_barrier(fleet->view, done, arg);
+        replica_read_barrier(cloud->replica, done, arg);
 }
 
 /* Intents take the place of run records: all that this node writes keeps within its share. */
-static void intents_wrote(void *ctx, guint writes)
+static void on_intents_written(void *ctx, guint writes)
 {
-    shard_charge_writes(((struct fleet *)ctx)->shard, writes);
+    shard_charge_writes(((struct cloud_provider *)ctx)->shard, writes);
 }
 
-static void intents_changed(void *ctx)
+static void on_intents_changed(void *ctx)
 {
-    fleet_step(ctx);
+    cloud_provider_step(ctx);
 }
 
 /* The duty was gained: what earlier holders recorded and did not settle is done first. */
-static void take_over(struct fleet *fleet)
+static void recover_open_intents(struct cloud_provider *cloud)
 {
-    intent_log_open(fleet->intents);
-    GPtrArray *open = intent_log_all(fleet->intents);
+    intent_log_open(cloud->intents);
+    GPtrArray *open = intent_log_list_open(cloud->intents);
     for (guint i = 0; i < open->len; i++) {
         const struct intent *intent = open->pdata[i];
         LOG_INFO("intent_taken_over", "what=%s name=%s",
-                 intent->kind == INTENT_RENT ? "rent" : "return", intent->name);
-        if (intent->kind == INTENT_RENT)
-            fleet_rent_recover(fleet, intent);
+                 intent->kind == INTENT_SCALE_OUT ? "rent" : "return", intent->name);
+        if (intent->kind == INTENT_SCALE_OUT)
+            scale_out_recover(cloud, intent);
         else
-            fleet_return_recover(fleet, intent);
+            scale_in_recover(cloud, intent);
     }
     g_ptr_array_unref(open);
-    fleet_step(fleet);
+    cloud_provider_step(cloud);
 }
 
-static void receive(struct actor *self, const struct message *message)
+static void on_message(struct actor *self, const struct message *message)
 {
-    struct fleet *fleet = (struct fleet *)((char *)self - G_STRUCT_OFFSET(struct fleet, actor));
-    const struct duty_change *change = message->body;
-    if (message->kind != MSG_DUTY || change->duty != DUTY_FLEET)
+    struct cloud_provider *cloud =
+        (struct cloud_provider *)((char *)self - G_STRUCT_OFFSET(struct cloud_provider, actor));
+    const struct role_change *change = message->body;
+    if (message->kind != MSG_ROLE_CHANGE || change->role != ROLE_AUTOSCALER)
         return;
     /* What was queued under an earlier token is dropped, also if the duty has come back since. */
-    intent_log_close(fleet->intents);
-    fleet_reset(fleet);
-    if (change->gained && duties_holds(fleet->duties, DUTY_FLEET) &&
-        duties_token(fleet->duties, DUTY_FLEET).v == change->token.v)
-        take_over(fleet);
+    intent_log_close(cloud->intents);
+    cloud_provider_reset(cloud);
+    if (change->is_gained && role_manager_holds(cloud->role_manager, ROLE_AUTOSCALER) &&
+        role_manager_get_token(cloud->role_manager, ROLE_AUTOSCALER).v == change->token.v)
+        recover_open_intents(cloud);
 }
 
-struct fleet *fleet_new(const struct fleet_setup *setup)
+struct cloud_provider *cloud_provider_new(const struct fleet_setup *setup)
 {
-    struct fleet *fleet = g_new0(struct fleet, 1);
-    fleet->loop = setup->loop;
-    fleet->net = setup->net;
-    fleet->store = setup->store;
-    fleet->view = setup->view;
-    fleet->members = setup->members;
-    fleet->duties = setup->duties;
-    fleet->shard = setup->shard;
-    fleet->settings = setup->settings;
-    fleet->features = setup->features;
-    fleet->listener = setup->listener;
-    fleet->actor = (struct actor){"fleet", receive};
-    fleet->machines = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
-    fleet->gone = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    fleet->refused = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    fleet->returns = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
-    g_queue_init(&fleet->requests);
-    fleet->level = fleet->settings->cloud_rps;
-    fleet->level_at = fleet->delays_at = loop_now(fleet->loop);
-    fleet->rent_delays = delay_histogram_new();
-    fleet->return_delays = delay_histogram_new();
-    const struct intent_log_setup log_setup = {.loop = setup->loop,
-                                               .store = setup->store,
-                                               .duties = setup->duties,
-                                               .table = setup->view->duties,
-                                               .duty = DUTY_FLEET,
-                                               .condition_key = KEY_MAP,
-                                               .ctx = fleet,
-                                               .condition_stamp = map_version,
-                                               .await = await_view,
-                                               .wrote = intents_wrote,
-                                               .changed = intents_changed};
-    fleet->intents = intent_log_new(&log_setup);
-    duties_listen(setup->duties, &fleet->actor);
-    return fleet;
+    struct cloud_provider *cloud = g_new0(struct cloud_provider, 1);
+    cloud->loop = setup->loop;
+    cloud->net = setup->net;
+    cloud->kv = setup->store;
+    cloud->replica = setup->view;
+    cloud->membership = setup->members;
+    cloud->role_manager = setup->duties;
+    cloud->shard = setup->shard;
+    cloud->settings = setup->settings;
+    cloud->features = setup->features;
+    cloud->listener = setup->listener;
+    cloud->actor = (struct actor){"fleet", on_message};
+    cloud->machines = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
+    cloud->gone_machines = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    cloud->refused_until = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    cloud->scale_in_requests = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
+    g_queue_init(&cloud->scale_out_requests);
+    cloud->call_tokens = cloud->settings->cloud_requests_per_s;
+    cloud->call_tokens_at = cloud->delays_logged_at = loop_now(cloud->loop);
+    cloud->scale_out_delays = delay_histogram_new();
+    cloud->scale_in_delays = delay_histogram_new();
+    const struct intent_log_config log_setup = {.loop = setup->loop,
+                                                .kv = setup->store,
+                                                .role_manager = setup->duties,
+                                                .records = setup->view->singleton_roles,
+                                                .role = ROLE_AUTOSCALER,
+                                                .guard_key = KEY_MAP,
+                                                .ctx = cloud,
+                                                .get_guard_revision = get_map_revision,
+                                                .await_revision = await_replica_revision,
+                                                .on_write = on_intents_written,
+                                                .on_change = on_intents_changed};
+    cloud->intents = intent_log_new(&log_setup);
+    role_manager_add_listener(setup->duties, &cloud->actor);
+    return cloud;
 }
 
-void fleet_reset(struct fleet *fleet)
+void cloud_provider_reset(struct cloud_provider *cloud)
 {
-    fleet->generation++;
-    g_hash_table_remove_all(fleet->machines);
-    g_hash_table_remove_all(fleet->refused);
-    while (fleet->requests.head)
-        fleet_request_free(g_queue_pop_head(&fleet->requests));
-    g_hash_table_remove_all(fleet->returns);
-    fleet->types_at = (mono_time){0};
-    fleet->list_at = (mono_time){0};
-    fleet->listed = fleet->list_out = fleet->types_out = fleet->return_out = false;
-    g_clear_pointer(&fleet->list_from, g_free);
-    g_clear_pointer(&fleet->list_seen, g_hash_table_unref);
+    cloud->generation++;
+    g_hash_table_remove_all(cloud->machines);
+    g_hash_table_remove_all(cloud->refused_until);
+    while (cloud->scale_out_requests.head)
+        scale_out_request_free(g_queue_pop_head(&cloud->scale_out_requests));
+    g_hash_table_remove_all(cloud->scale_in_requests);
+    cloud->types_read_at = (mono_time){0};
+    cloud->list_read_at = (mono_time){0};
+    cloud->is_listed = cloud->list_call_in_flight = cloud->types_call_in_flight =
+        cloud->scale_in_call_in_flight = false;
+    g_clear_pointer(&cloud->list_cursor, g_free);
+    g_clear_pointer(&cloud->listed_ids, g_hash_table_unref);
 }
 
-void fleet_free(struct fleet *fleet)
+void cloud_provider_free(struct cloud_provider *cloud)
 {
-    fleet_reset(fleet);
-    intent_log_free(fleet->intents);
-    if (fleet->types)
-        g_array_unref(fleet->types);
-    g_hash_table_unref(fleet->machines);
-    g_hash_table_unref(fleet->gone);
-    g_hash_table_unref(fleet->refused);
-    g_hash_table_unref(fleet->returns);
-    delay_histogram_free(fleet->rent_delays);
-    delay_histogram_free(fleet->return_delays);
-    g_free(fleet);
+    cloud_provider_reset(cloud);
+    intent_log_free(cloud->intents);
+    if (cloud->types)
+        g_array_unref(cloud->types);
+    g_hash_table_unref(cloud->machines);
+    g_hash_table_unref(cloud->gone_machines);
+    g_hash_table_unref(cloud->refused_until);
+    g_hash_table_unref(cloud->scale_in_requests);
+    delay_histogram_free(cloud->scale_out_delays);
+    delay_histogram_free(cloud->scale_in_delays);
+    g_free(cloud);
 }
 
 /* ---- what is known ---- */
 
-bool fleet_listed(const struct fleet *fleet)
+bool cloud_provider_is_listed(const struct cloud_provider *cloud)
 {
-    return fleet->listed;
+    return cloud->is_listed;
 }
 
-GHashTable *fleet_machines(struct fleet *fleet)
+GHashTable *cloud_provider_get_machines(struct cloud_provider *cloud)
 {
-    return fleet->machines;
+    return cloud->machines;
 }
 
-const GArray *fleet_types(const struct fleet *fleet)
+const GArray *cloud_provider_get_types(const struct cloud_provider *cloud)
 {
-    return fleet->types;
+    return cloud->types;
 }
 
-char *fleet_offer_key(const char *type_name, const char *zone, bool spot)
+char *cloud_offer_key(const char *type_name, const char *zone, bool spot)
 {
     return g_strdup_printf("%s %s %d", type_name, zone, spot);
 }
 
-struct fleet_machine *fleet_machine_make(struct fleet *fleet, host_id id, const char *type_name,
-                                         const char *zone, bool spot)
+struct cloud_machine *cloud_machine_add(struct cloud_provider *cloud, machine_id id,
+                                        const char *type_name, const char *zone, bool spot)
 {
-    struct fleet_machine *machine = g_new0(struct fleet_machine, 1);
+    struct cloud_machine *machine = g_new0(struct cloud_machine, 1);
     machine->id = id;
     g_strlcpy(machine->type_name, type_name, sizeof machine->type_name);
     g_strlcpy(machine->zone, zone, sizeof machine->zone);
-    machine->spot = spot;
-    machine->stage = RENTAL_BOOTING;
-    machine->rented = loop_now(fleet->loop);
-    g_hash_table_replace(fleet->machines, machine->id.s, machine);
+    machine->is_spot = spot;
+    machine->stage = CLOUD_MACHINE_BOOTING;
+    machine->requested_at = loop_now(cloud->loop);
+    g_hash_table_replace(cloud->machines, machine->id.text, machine);
     return machine;
 }
 
-void fleet_tell(struct fleet *fleet)
+void cloud_provider_notify(struct cloud_provider *cloud)
 {
-    actor_send(fleet->loop, fleet->listener, MSG_FLEET, NULL, NULL);
+    actor_send(cloud->loop, cloud->listener, MSG_CLOUD_PROVIDER, NULL, NULL);
 }
 
 /* ---- the right to act ---- */
 
-bool fleet_records(const struct fleet *fleet)
+bool cloud_provider_records_intents(const struct cloud_provider *cloud)
 {
-    return fleet->view->duties_on;
+    return cloud->replica->singleton_roles_enabled;
 }
 
-bool fleet_may_act(struct fleet *fleet)
+bool cloud_provider_may_act(struct cloud_provider *cloud)
 {
-    if (!membership_leads(fleet->members))
+    if (!membership_is_leader(cloud->membership))
         return false;
-    return !fleet_records(fleet) || duties_may_act(fleet->duties, DUTY_FLEET);
+    return !cloud_provider_records_intents(cloud) ||
+           role_manager_may_act(cloud->role_manager, ROLE_AUTOSCALER);
 }
 
-void fleet_hold(struct fleet *fleet, bool hold)
+void cloud_provider_pause_recording(struct cloud_provider *cloud, bool is_paused)
 {
-    fleet->holding = hold;
+    cloud->recording_paused = is_paused;
 }
 
-bool fleet_settled(const struct fleet *fleet)
+bool cloud_provider_is_settled(const struct cloud_provider *cloud)
 {
-    return intent_log_empty(fleet->intents);
+    return intent_log_is_empty(cloud->intents);
 }
 
 /* ---- calls ---- */
 
-bool fleet_may_call(struct fleet *fleet)
+bool cloud_provider_may_call(struct cloud_provider *cloud)
 {
-    mono_time now = loop_now(fleet->loop);
-    double rate = fleet->settings->cloud_rps * RATE_SHARE;
-    fleet->level = MIN(fleet->settings->cloud_rps * BURST_S + BURST_MORE,
-                       fleet->level + rate * (double)(now.us - fleet->level_at.us) / 1e6);
-    fleet->level_at = now;
-    return fleet->level >= 1;
+    mono_time now = loop_now(cloud->loop);
+    double rate = cloud->settings->cloud_requests_per_s * RATE_SHARE;
+    cloud->call_tokens =
+        MIN(cloud->settings->cloud_requests_per_s * BURST_S + BURST_MORE,
+            cloud->call_tokens + rate * (double)(now.us - cloud->call_tokens_at.us) / 1e6);
+    cloud->call_tokens_at = now;
+    return cloud->call_tokens >= 1;
 }
 
-void fleet_call(struct fleet *fleet, const char *method, const char *path, const char *body,
-                net_done done, struct fleet_call *call)
+void cloud_call_send(struct cloud_provider *cloud, const char *method, const char *path,
+                     const char *body, http_response_callback done, struct cloud_call *call)
 {
-    fleet->level -= 1;
-    struct net_request request = {fleet->settings->cloud_addr, method,         path, body,
-                                  body ? strlen(body) : 0,     CALL_TIMEOUT_MS};
-    fleet->net->request(fleet->net, &request, done, call);
+    cloud->call_tokens -= 1;
+    struct http_client_request request = {
+        cloud->settings->cloud_address, method,         path, body,
+        body ? strlen(body) : 0,        CALL_TIMEOUT_MS};
+    cloud->net->request(cloud->net, &request, done, call);
 }
 
-struct fleet_call *fleet_call_new(struct fleet *fleet)
+struct cloud_call *cloud_call_new(struct cloud_provider *cloud)
 {
-    struct fleet_call *call = g_new0(struct fleet_call, 1);
-    call->fleet = fleet;
-    call->generation = fleet->generation;
+    struct cloud_call *call = g_new0(struct cloud_call, 1);
+    call->cloud = cloud;
+    call->generation = cloud->generation;
     return call;
 }
 
@@ -240,33 +245,37 @@
     delay_histogram_clear(delays);
 }
 
-static void report_delays(struct fleet *fleet)
+static void log_delays_when_due(struct cloud_provider *cloud)
 {
-    mono_time now = loop_now(fleet->loop);
-    if ((double)time_ms_since(now, fleet->delays_at) < fleet->features->duties.report_s * 1000)
+    mono_time now = loop_now(cloud->loop);
+    if ((double)time_ms_since(now, cloud->delays_logged_at) <
+        cloud->features->singleton_roles.delay_report_interval_s * 1000)
         return;
-    fleet->delays_at = now;
-    log_delays(fleet->rent_delays, "rent");
-    log_delays(fleet->return_delays, "return");
+    cloud->delays_logged_at = now;
+    log_delays(cloud->scale_out_delays, "rent");
+    log_delays(cloud->scale_in_delays, "return");
 }
 
-void fleet_step(struct fleet *fleet)
+void cloud_provider_step(struct cloud_provider *cloud)
 {
-    if (!fleet_may_act(fleet))
+    if (!cloud_provider_may_act(cloud))
         return;
-    fleet_return_step(fleet);
-    fleet_types_store(fleet);
-    if (!fleet->types && fleet_types_due(fleet) && !fleet->types_out && fleet_may_call(fleet))
-        fleet_types_ask(fleet);
-    if (!fleet->listed && !fleet->list_out && fleet_may_call(fleet))
-        fleet_list_ask(fleet);
-    fleet_rent_step(fleet);
-    int64_t every = (int64_t)(MAX(fleet->settings->cloud_list_lag_s, 4) * 1000);
-    mono_time now = loop_now(fleet->loop);
-    if (!fleet->list_out && (fleet->list_seen || time_ms_since(now, fleet->list_at) > every) &&
-        fleet_may_call(fleet))
-        fleet_list_ask(fleet);
-    if (fleet_types_due(fleet) && !fleet->types_out && fleet_may_call(fleet))
-        fleet_types_ask(fleet);
-    report_delays(fleet);
+    scale_in_step(cloud);
+    machine_types_store(cloud);
+    if (!cloud->types && machine_types_are_due(cloud) && !cloud->types_call_in_flight &&
+        cloud_provider_may_call(cloud))
+        machine_types_request(cloud);
+    if (!cloud->is_listed && !cloud->list_call_in_flight && cloud_provider_may_call(cloud))
+        machine_list_request(cloud);
+    scale_out_step(cloud);
+    int64_t every = (int64_t)(MAX(cloud->settings->cloud_list_lag_s, 4) * 1000);
+    mono_time now = loop_now(cloud->loop);
+    if (!cloud->list_call_in_flight &&
+        (cloud->listed_ids || time_ms_since(now, cloud->list_read_at) > every) &&
+        cloud_provider_may_call(cloud))
+        machine_list_request(cloud);
+    if (machine_types_are_due(cloud) && !cloud->types_call_in_flight &&
+        cloud_provider_may_call(cloud))
+        machine_types_request(cloud);
+    log_delays_when_due(cloud);
 }
--- a/src/cloud/cloud_provider_internal.h
+++ b/src/cloud/cloud_provider_internal.h
@@ -1,8 +1,8 @@
 /* What the modules of the fleet share; nobody else includes this.
  *
- * fleet.c owns the struct, the call budget and the order of calls; fleet_types.c asks for machine
- * types and stores them, fleet_list.c reads the list of machines, fleet_rent.c rents and
- * fleet_return.c returns. While duties are on, what is rented and returned is recorded first, in an
+ * cloud_provider.c owns the struct, the call budget and the order of calls; machine_types.c asks
+ * for machine types and stores them, machine_list.c reads the list of machines, scale_out.c rents
+ * and scale_in.c returns. While duties are on, what is rented and returned is recorded first, in an
  * intent log; see docs/duties.md. */
 #ifndef LL_FLEET_STATE_H
 #define LL_FLEET_STATE_H
@@ -11,125 +11,125 @@
 #include "delay_histogram.h"
 #include "intent_log.h"
 
-enum { FLEET_RETRY_MS = 700 };
+enum { CLOUD_RETRY_MS = 700 };
 
 /* One request to rent. It is sent again with the same name until there is an answer: a second
  * answer to one name rents nothing, while a new name after a lost answer would pay twice. */
-struct rental_request {
-    char *name;
+struct scale_out_request {
+    char *request_id;
     char type_name[48], zone[48];
-    bool spot, out;
-    bool sent; /* once, at least: the cloud may know its name */
-    int number;
-    mono_time not_before, decided;
+    bool is_spot, is_in_flight;
+    bool was_sent; /* once, at least: the cloud may know its name */
+    int machine_count;
+    mono_time not_before, decided_at;
 };
 
-/* How far the return of a machine has come. Without duties it begins with RETURN_READY. */
-enum return_phase {
-    RETURN_WANTED,    /* its owner may still place something on it */
-    RETURN_CLOSED,    /* its owner places nothing more in this epoch */
-    RETURN_RECORDING, /* queued in the intent log */
-    RETURN_READY,     /* it may be sent */
-    RETURN_CONFIRMED, /* the machine is gone; its owner is to be told before the intent is settled
-                       */
+/* How far the return of a machine has come. Without duties it begins with SCALE_IN_READY. */
+enum scale_in_phase {
+    SCALE_IN_WANTED,    /* its owner may still place something on it */
+    SCALE_IN_CORDONED,  /* its owner places nothing more in this epoch */
+    SCALE_IN_RECORDING, /* queued in the intent log */
+    SCALE_IN_READY,     /* it may be sent */
+    SCALE_IN_CONFIRMED, /* the machine is gone; its owner is to be told before the intent is settled
+                         */
 };
 
-struct machine_return {
-    host_id id;
-    enum return_phase phase;
-    epoch_no closed_in;
-    mono_time decided;
-    bool sent; /* once, at least */
-    bool out;  /* in the request under way */
+struct scale_in_request {
+    machine_id id;
+    enum scale_in_phase phase;
+    epoch_no cordoned_in;
+    mono_time decided_at;
+    bool was_sent;     /* once, at least */
+    bool is_in_flight; /* in the request under way */
 };
 
-struct fleet {
+struct cloud_provider {
     struct loop *loop;
-    struct net *net;
-    struct store *store;
-    struct view *view;
-    struct membership *members;
-    struct duties *duties;
+    struct http_client *net;
+    struct kv_client *kv;
+    struct replica *replica;
+    struct membership *membership;
+    struct role_manager *role_manager;
     struct shard *shard;
     const struct settings *settings;
     const struct feature_set *features;
     struct actor *listener;
     struct actor actor;
     struct intent_log *intents;
-    bool holding; /* nothing new is recorded: duties are to be switched off */
+    bool recording_paused; /* nothing new is recorded: duties are to be switched off */
     GArray *types;
-    mono_time types_at;
-    mono_time store_at;
-    bool types_out, types_written;
-    GHashTable *machines, *gone;
-    GHashTable *refused; /* offer -> until */
-    GQueue requests;     /* struct rental_request */
-    GHashTable *returns; /* id -> struct machine_return */
-    bool return_out;
-    uint64_t counter, generation;
-    double level; /* of calls that may be made now */
-    mono_time level_at, list_at, return_not_before;
-    bool list_out, listed;
-    char *list_from;
-    GHashTable *list_seen;
-    mono_time list_asked;
+    mono_time types_read_at;
+    mono_time types_stored_at;
+    bool types_call_in_flight, types_are_stored;
+    GHashTable *machines, *gone_machines;
+    GHashTable *refused_until;     /* offer -> until */
+    GQueue scale_out_requests;     /* struct scale_out_request */
+    GHashTable *scale_in_requests; /* id -> struct scale_in_request */
+    bool scale_in_call_in_flight;
+    uint64_t request_counter, generation;
+    double call_tokens; /* of calls that may be made now */
+    mono_time call_tokens_at, list_read_at, scale_in_not_before;
+    bool list_call_in_flight, is_listed;
+    char *list_cursor;
+    GHashTable *listed_ids;
+    mono_time list_started_at;
     /* From a decision until it is sent to the cloud. */
-    struct delay_histogram *rent_delays, *return_delays;
-    mono_time delays_at; /* when they were last logged */
+    struct delay_histogram *scale_out_delays, *scale_in_delays;
+    mono_time delays_logged_at; /* when they were last logged */
 };
 
 /* A call's context outlives a change of leader; its answer then counts for nothing. */
-struct fleet_call {
-    struct fleet *fleet;
+struct cloud_call {
+    struct cloud_provider *cloud;
     uint64_t generation;
-    struct rental_request *request;
+    struct scale_out_request *request;
     GPtrArray *ids;
 };
 
-/* ---- fleet.c ---- */
+/* ---- cloud_provider.c ---- */
 
 /* Whether this node may act for the fleet at this moment. */
-bool fleet_may_act(struct fleet *fleet);
+bool cloud_provider_may_act(struct cloud_provider *cloud);
 /* Whether acts have to be on record before they are done. */
-bool fleet_records(const struct fleet *fleet);
+bool cloud_provider_records_intents(const struct cloud_provider *cloud);
 /* Whether the call budget allows one more. */
-bool fleet_may_call(struct fleet *fleet);
-struct fleet_call *fleet_call_new(struct fleet *fleet);
+bool cloud_provider_may_call(struct cloud_provider *cloud);
+struct cloud_call *cloud_call_new(struct cloud_provider *cloud);
 /* Makes a call; takes the context. */
-void fleet_call(struct fleet *fleet, const char *method, const char *path, const char *body,
-                net_done done, struct fleet_call *call);
+void cloud_call_send(struct cloud_provider *cloud, const char *method, const char *path,
+                     const char *body, http_response_callback done, struct cloud_call *call);
 /* Tells the listener that something changed. */
-void fleet_tell(struct fleet *fleet);
+void cloud_provider_notify(struct cloud_provider *cloud);
 /* A new text: the name of an offer. */
-char *fleet_offer_key(const char *type_name, const char *zone, bool spot);
-struct fleet_machine *fleet_machine_make(struct fleet *fleet, host_id id, const char *type_name,
-                                         const char *zone, bool spot);
+char *cloud_offer_key(const char *type_name, const char *zone, bool spot);
+struct cloud_machine *cloud_machine_add(struct cloud_provider *cloud, machine_id id,
+                                        const char *type_name, const char *zone, bool spot);
 
-/* ---- fleet_types.c ---- */
+/* ---- machine_types.c ---- */
 
 /* Asks for the types; stores them for other nodes if they have changed. */
-void fleet_types_ask(struct fleet *fleet);
-void fleet_types_store(struct fleet *fleet);
-bool fleet_types_due(const struct fleet *fleet);
+void machine_types_request(struct cloud_provider *cloud);
+void machine_types_store(struct cloud_provider *cloud);
+bool machine_types_are_due(const struct cloud_provider *cloud);
 
-/* ---- fleet_list.c ---- */
+/* ---- machine_list.c ---- */
 
 /* Asks for the next page of the list. */
-void fleet_list_ask(struct fleet *fleet);
+void machine_list_request(struct cloud_provider *cloud);
 
-/* ---- fleet_rent.c ---- */
+/* ---- scale_out.c ---- */
 
-void fleet_request_free(struct rental_request *request);
+void scale_out_request_free(struct scale_out_request *request);
 /* Records requests that can be sent soon, and sends what may be sent. */
-void fleet_rent_step(struct fleet *fleet);
+void scale_out_step(struct cloud_provider *cloud);
 /* Takes over a request that an earlier holder recorded. */
-void fleet_rent_recover(struct fleet *fleet, const struct intent *intent);
+void scale_out_recover(struct cloud_provider *cloud, const struct intent *intent);
 
-/* ---- fleet_return.c ---- */
+/* ---- scale_in.c ---- */
 
 /* Records returns of closed machines, and sends those that may be sent. */
-void fleet_return_step(struct fleet *fleet);
+void scale_in_step(struct cloud_provider *cloud);
 /* Takes over a return that an earlier holder recorded. */
-void fleet_return_recover(struct fleet *fleet, const struct intent *intent);
+void scale_in_recover(struct cloud_provider *cloud, const struct intent *intent);
 
 #endif
--- a/src/cloud/machine_types.c
+++ b/src/cloud/machine_types.c
@@ -4,12 +4,12 @@
 #include "log.h"
 
 enum {
-    TYPES_MS = 60000,
+    TYPES_REFRESH_INTERVAL_MS = 60000,
     VALUE_BYTES = 32, /* of a part of the types besides these */
-    STORE_EVERY_MS = 1000,
+    TYPES_STORE_INTERVAL_MS = 1000,
 };
 
-static bool same_types(const GArray *a, const GArray *b)
+static bool types_are_equal(const GArray *a, const GArray *b)
 {
     if (!a || a->len != b->len)
         return false;
@@ -24,21 +24,21 @@
     return true;
 }
 
-static void types_stored(void *arg, const struct txn_outcome *outcome)
+static void on_types_stored(void *arg, const struct txn_outcome *outcome)
 {
-    struct fleet *fleet = arg;
-    fleet->types_written = outcome->result == TXN_DONE;
+    struct cloud_provider *cloud = arg;
+    cloud->types_are_stored = outcome->status == TXN_COMMITTED;
 }
 
 /* So many of the types, from one on, as one value takes. */
-static GArray *types_part(struct fleet *fleet, guint from)
+static GArray *take_types_part(struct cloud_provider *cloud, guint from)
 {
     GArray *part = g_array_new(FALSE, FALSE, sizeof(struct machine_type));
-    gsize most = store_limits(fleet->store)->value_bytes - VALUE_BYTES;
-    for (guint i = from; i < fleet->types->len; i++) {
-        g_array_append_val(part, g_array_index(fleet->types, struct machine_type, i));
-        json_object *value = codec_types_write(part);
-        bool fits = value_size(value) <= most;
+    gsize most = kv_client_limits(cloud->kv)->max_value_bytes - VALUE_BYTES;
+    for (guint i = from; i < cloud->types->len; i++) {
+        g_array_append_val(part, g_array_index(cloud->types, struct machine_type, i));
+        json_object *value = machine_types_encode(part);
+        bool fits = kv_value_size_bytes(value) <= most;
         json_object_put(value);
         if (!fits) {
             g_array_set_size(part, part->len - 1);
@@ -50,79 +50,83 @@
 
 /* Nodes that do not lead learn the types from the state service. A list that is too long for one
  * value is written in parts, which nodes of version 0 do not know of. */
-void fleet_types_store(struct fleet *fleet)
+void machine_types_store(struct cloud_provider *cloud)
 {
-    mono_time now = loop_now(fleet->loop);
-    if (!fleet->types || fleet->types_written || same_types(fleet->view->types, fleet->types) ||
-        !fleet_may_act(fleet) || time_ms_since(now, fleet->store_at) < STORE_EVERY_MS)
+    mono_time now = loop_now(cloud->loop);
+    if (!cloud->types || cloud->types_are_stored ||
+        types_are_equal(cloud->replica->machine_types, cloud->types) ||
+        !cloud_provider_may_act(cloud) ||
+        time_ms_since(now, cloud->types_stored_at) < TYPES_STORE_INTERVAL_MS)
         return;
-    fleet->store_at = now;
+    cloud->types_stored_at = now;
     struct txn *txn = txn_new();
-    if (fleet_records(fleet))
-        duties_guard(fleet->duties, DUTY_FLEET, txn);
+    if (cloud_provider_records_intents(cloud))
+        role_manager_add_guard(cloud->role_manager, ROLE_AUTOSCALER, txn);
     else
-        txn_when(txn, KEY_LEADER, fleet->view->leader_stamp);
+        txn_compare(txn, KEY_LEADER, cloud->replica->leader_mod_revision);
     json_object *first = NULL;
     guint parts = 0, at = 0;
     do {
-        GArray *part = types_part(fleet, at);
-        json_object *value = codec_types_write(part);
+        GArray *part = take_types_part(cloud, at);
+        json_object *value = machine_types_encode(part);
         at += part->len;
         char *key = g_strdup_printf(KEY_TYPES "/%u", parts);
         if (!parts++)
             first = value;
         else
-            txn_set(txn, key, value, (lease_id){0});
+            txn_put(txn, key, value, (lease_id){0});
         g_free(key);
         if (!part->len)
-            at = fleet->types->len + 1; /* one that no value takes */
+            at = cloud->types->len + 1; /* one that no value takes */
         g_array_unref(part);
-    } while (at < fleet->types->len);
+    } while (at < cloud->types->len);
     if (parts > 1)
         json_put_u64(first, "more", parts - 1);
-    txn_set(txn, KEY_TYPES, first, (lease_id){0});
-    if (at > fleet->types->len || (int)parts > store_limits(fleet->store)->txn_ops ||
-        (parts > 1 && !membership_all_understand(fleet->members, NODE_VERSION_PIPELINES))) {
-        LOG_INFO("types_not_stored", "types=%u parts=%u", fleet->types->len, parts);
+    txn_put(txn, KEY_TYPES, first, (lease_id){0});
+    if (at > cloud->types->len || (int)parts > kv_client_limits(cloud->kv)->max_txn_operations ||
+        (parts > 1 && !membership_all_nodes_support(cloud->membership, NODE_VERSION_JOB_DAG))) {
+        LOG_INFO("types_not_stored", "types=%u parts=%u", cloud->types->len, parts);
         txn_free(txn);
         return;
     }
-    fleet->types_written = true;
-    store_txn(fleet->store, LANE_NORMAL, txn, types_stored, fleet);
+    cloud->types_are_stored = true;
+    kv_client_commit(cloud->kv, KV_LANE_NORMAL, txn, on_types_stored, cloud);
 }
 
-static void types_answered(void *arg, const struct net_answer *answer)
+static void on_types_response(void *arg, const struct http_response *response)
 {
-    struct fleet_call *call = arg;
-    struct fleet *fleet = call->fleet;
-    bool mine = call->generation == fleet->generation;
+    struct cloud_call *call = arg;
+    struct cloud_provider *cloud = call->cloud;
+    bool mine = call->generation == cloud->generation;
     g_free(call);
     if (!mine)
         return;
-    fleet->types_out = false;
-    json_object *object = answer->status == 200 ? json_read(answer->body, answer->len) : NULL;
-    GArray *types = codec_types_read(object);
+    cloud->types_call_in_flight = false;
+    json_object *object =
+        response->status == 200 ? json_parse(response->body, response->body_bytes) : NULL;
+    GArray *types = machine_types_decode(object);
     json_object_put(object);
-    fleet->types_at = loop_now(fleet->loop);
+    cloud->types_read_at = loop_now(cloud->loop);
     if (!types) {
-        fleet->types_at.us -= (TYPES_MS - 1000) * 1000LL;
+        cloud->types_read_at.us -= (TYPES_REFRESH_INTERVAL_MS - 1000) * 1000LL;
         return;
     }
-    if (fleet->types)
-        g_array_unref(fleet->types);
-    fleet->types = types;
-    fleet->types_written = false;
-    fleet_types_store(fleet);
-    fleet_tell(fleet);
+    if (cloud->types)
+        g_array_unref(cloud->types);
+    cloud->types = types;
+    cloud->types_are_stored = false;
+    machine_types_store(cloud);
+    cloud_provider_notify(cloud);
 }
 
-bool fleet_types_due(const struct fleet *fleet)
+bool machine_types_are_due(const struct cloud_provider *cloud)
 {
-    return !fleet->types_at.us || time_ms_since(loop_now(fleet->loop), fleet->types_at) > TYPES_MS;
+    return !cloud->types_read_at.us ||
+           time_ms_since(loop_now(cloud->loop), cloud->types_read_at) > TYPES_REFRESH_INTERVAL_MS;
 }
 
-void fleet_types_ask(struct fleet *fleet)
+void machine_types_request(struct cloud_provider *cloud)
 {
-    fleet->types_out = true;
-    fleet_call(fleet, "GET", "/machine_types", NULL, types_answered, fleet_call_new(fleet));
+    cloud->types_call_in_flight = true;
+    cloud_call_send(cloud, "GET", "/machine_types", NULL, on_types_response, cloud_call_new(cloud));
 }
--- a/src/cloud/scale_in.c
+++ b/src/cloud/scale_in.c
@@ -4,228 +4,236 @@
 #include "log.h"
 
 enum {
-    MOST_RETURNED = 100, /* by one request */
-    MOST_NAMED = 500,    /* to owners at a time */
+    MAX_MACHINES_PER_SCALE_IN = 100, /* by one request */
+    MAX_MACHINES_PER_NOTICE = 500,   /* to owners at a time */
 };
 
-bool fleet_gone(const struct fleet *fleet, const char *id)
+bool cloud_provider_is_gone(const struct cloud_provider *cloud, const char *id)
 {
-    return g_hash_table_contains(fleet->gone, id);
+    return g_hash_table_contains(cloud->gone_machines, id);
 }
 
-bool fleet_returning(const struct fleet *fleet, const char *id)
+bool cloud_provider_is_scaling_in(const struct cloud_provider *cloud, const char *id)
 {
-    return (g_hash_table_size(fleet->returns) && g_hash_table_contains(fleet->returns, id)) ||
-           duty_table_returning(fleet->view->duties, id);
+    return (g_hash_table_size(cloud->scale_in_requests) &&
+            g_hash_table_contains(cloud->scale_in_requests, id)) ||
+           role_records_is_scaling_in(cloud->replica->singleton_roles, id);
 }
 
-static struct machine_return *return_make(struct fleet *fleet, host_id id, enum return_phase phase)
+static struct scale_in_request *scale_in_request_add(struct cloud_provider *cloud, machine_id id,
+                                                     enum scale_in_phase phase)
 {
-    struct machine_return *entry = g_new0(struct machine_return, 1);
+    struct scale_in_request *entry = g_new0(struct scale_in_request, 1);
     entry->id = id;
     entry->phase = phase;
-    entry->decided = loop_now(fleet->loop);
-    g_hash_table_replace(fleet->returns, entry->id.s, entry);
+    entry->decided_at = loop_now(cloud->loop);
+    g_hash_table_replace(cloud->scale_in_requests, entry->id.text, entry);
     return entry;
 }
 
-void fleet_return(struct fleet *fleet, host_id id, const char *why)
+void cloud_provider_scale_in(struct cloud_provider *cloud, machine_id id, const char *why)
 {
-    if (fleet_gone(fleet, id.s) || g_hash_table_contains(fleet->returns, id.s))
+    if (cloud_provider_is_gone(cloud, id.text) ||
+        g_hash_table_contains(cloud->scale_in_requests, id.text))
         return;
-    LOG_INFO("return", "machine=%s why=%s", id.s, why);
-    return_make(fleet, id, fleet_records(fleet) ? RETURN_WANTED : RETURN_READY);
+    LOG_INFO("return", "machine=%s why=%s", id.text, why);
+    scale_in_request_add(cloud, id,
+                         cloud_provider_records_intents(cloud) ? SCALE_IN_WANTED : SCALE_IN_READY);
 }
 
-void fleet_return_recover(struct fleet *fleet, const struct intent *intent)
+void scale_in_recover(struct cloud_provider *cloud, const struct intent *intent)
 {
-    host_id id;
-    if (host_id_from(&id, intent->name))
-        return_make(fleet, id, RETURN_READY)->sent = true; /* perhaps */
+    machine_id id;
+    if (machine_id_parse(&id, intent->name))
+        scale_in_request_add(cloud, id, SCALE_IN_READY)->was_sent = true; /* perhaps */
 }
 
 /* ---- closing ---- */
 
-static GPtrArray *names_in(struct fleet *fleet, enum return_phase phase)
+static GPtrArray *list_machines_in_phase(struct cloud_provider *cloud, enum scale_in_phase phase)
 {
     GPtrArray *names = g_ptr_array_new_with_free_func(g_free);
     GHashTableIter it;
-    struct machine_return *entry;
-    g_hash_table_iter_init(&it, fleet->returns);
-    while (names->len < MOST_NAMED && g_hash_table_iter_next(&it, NULL, (gpointer *)&entry))
+    struct scale_in_request *entry;
+    g_hash_table_iter_init(&it, cloud->scale_in_requests);
+    while (names->len < MAX_MACHINES_PER_NOTICE &&
+           g_hash_table_iter_next(&it, NULL, (gpointer *)&entry))
         if (entry->phase == phase)
-            g_ptr_array_add(names, g_strdup(entry->id.s));
+            g_ptr_array_add(names, g_strdup(entry->id.text));
     return names;
 }
 
-GPtrArray *fleet_returns_to_close(struct fleet *fleet)
+GPtrArray *cloud_provider_list_to_cordon(struct cloud_provider *cloud)
 {
     /* What was decided before the duty was gained is forgotten then. A machine that was closed for
      * it would stay closed, and never be idle. */
-    return duties_holds(fleet->duties, DUTY_FLEET) ? names_in(fleet, RETURN_WANTED)
-                                                   : g_ptr_array_new_with_free_func(g_free);
+    return role_manager_holds(cloud->role_manager, ROLE_AUTOSCALER)
+               ? list_machines_in_phase(cloud, SCALE_IN_WANTED)
+               : g_ptr_array_new_with_free_func(g_free);
 }
 
-GPtrArray *fleet_returns_to_announce(struct fleet *fleet)
+GPtrArray *cloud_provider_list_to_announce(struct cloud_provider *cloud)
 {
-    return names_in(fleet, RETURN_CONFIRMED);
+    return list_machines_in_phase(cloud, SCALE_IN_CONFIRMED);
 }
 
-void fleet_return_closed(struct fleet *fleet, const char *id, epoch_no epoch)
+void cloud_provider_note_cordoned(struct cloud_provider *cloud, const char *id, epoch_no epoch)
 {
-    struct machine_return *entry = g_hash_table_lookup(fleet->returns, id);
-    if (!entry || entry->phase != RETURN_WANTED)
+    struct scale_in_request *entry = g_hash_table_lookup(cloud->scale_in_requests, id);
+    if (!entry || entry->phase != SCALE_IN_WANTED)
         return;
-    entry->phase = RETURN_CLOSED;
-    entry->closed_in = epoch;
+    entry->phase = SCALE_IN_CORDONED;
+    entry->cordoned_in = epoch;
 }
 
 /* ---- recording ---- */
 
 /* A machine that was closed in an earlier epoch may have an owner by now who does not know of it.
  * The intent is conditioned on the map, so that it cannot be recorded later either. */
-static void record(struct fleet *fleet, struct machine_return *entry)
+static void record_scale_in(struct cloud_provider *cloud, struct scale_in_request *entry)
 {
-    struct intent intent = {.kind = INTENT_RETURN};
-    g_strlcpy(intent.name, entry->id.s, sizeof intent.name);
-    intent_log_add(fleet->intents, &intent, fleet->view->map_stamp);
-    entry->phase = RETURN_RECORDING;
+    struct intent intent = {.kind = INTENT_SCALE_IN};
+    g_strlcpy(intent.name, entry->id.text, sizeof intent.name);
+    intent_log_add(cloud->intents, &intent, cloud->replica->shard_map_mod_revision);
+    entry->phase = SCALE_IN_RECORDING;
 }
 
 /* Whether a return has to begin anew: it was sent before duties were on, its intent was dropped as
  * the map has changed, or the epoch in which it was closed is over. */
-static bool is_void(const struct fleet *fleet, const struct machine_return *entry,
+static bool is_void(const struct cloud_provider *cloud, const struct scale_in_request *entry,
                     enum intent_state state)
 {
     switch (entry->phase) {
-    case RETURN_READY:
+    case SCALE_IN_READY:
         return true;
-    case RETURN_RECORDING:
+    case SCALE_IN_RECORDING:
         return state == INTENT_UNKNOWN;
-    case RETURN_CLOSED:
-        return entry->closed_in.v != fleet->view->epoch.v;
+    case SCALE_IN_CORDONED:
+        return entry->cordoned_in.value != cloud->replica->shard_map_epoch.value;
     default:
         return false;
     }
 }
 
-static void advance(struct fleet *fleet, struct machine_return *entry)
+static void advance_scale_in(struct cloud_provider *cloud, struct scale_in_request *entry)
 {
-    if (entry->phase == RETURN_CONFIRMED)
+    if (entry->phase == SCALE_IN_CONFIRMED)
         return;
-    enum intent_state state = intent_log_state(fleet->intents, INTENT_RETURN, entry->id.s);
+    enum intent_state state = intent_log_get_state(cloud->intents, INTENT_SCALE_IN, entry->id.text);
     if (state == INTENT_RECORDED)
-        entry->phase = RETURN_READY;
-    else if (is_void(fleet, entry, state))
-        entry->phase = RETURN_WANTED;
-    else if (entry->phase == RETURN_CLOSED && !fleet->holding)
-        record(fleet, entry);
+        entry->phase = SCALE_IN_READY;
+    else if (is_void(cloud, entry, state))
+        entry->phase = SCALE_IN_WANTED;
+    else if (entry->phase == SCALE_IN_CORDONED && !cloud->recording_paused)
+        record_scale_in(cloud, entry);
 }
 
 /* ---- sending ---- */
 
-static void return_confirmed(struct fleet *fleet, const char *id, bool mine)
+static void finish_scale_in(struct cloud_provider *cloud, const char *id, bool mine)
 {
-    g_hash_table_add(fleet->gone, g_strdup(id));
+    g_hash_table_add(cloud->gone_machines, g_strdup(id));
     if (!mine)
         return;
-    struct fleet_machine *machine = g_hash_table_lookup(fleet->machines, id);
+    struct cloud_machine *machine = g_hash_table_lookup(cloud->machines, id);
     if (machine) {
         /* There is room for another of its kind. */
-        char *key = fleet_offer_key(machine->type_name, machine->zone, machine->spot);
-        g_hash_table_remove(fleet->refused, key);
+        char *key = cloud_offer_key(machine->type_name, machine->zone, machine->is_spot);
+        g_hash_table_remove(cloud->refused_until, key);
         g_free(key);
-        g_hash_table_remove(fleet->machines, id);
+        g_hash_table_remove(cloud->machines, id);
     }
-    struct machine_return *entry = g_hash_table_lookup(fleet->returns, id);
-    if (entry && fleet_records(fleet))
-        entry->phase = RETURN_CONFIRMED;
+    struct scale_in_request *entry = g_hash_table_lookup(cloud->scale_in_requests, id);
+    if (entry && cloud_provider_records_intents(cloud))
+        entry->phase = SCALE_IN_CONFIRMED;
     else
-        g_hash_table_remove(fleet->returns, id);
+        g_hash_table_remove(cloud->scale_in_requests, id);
 }
 
 /* The intent stays on record until then: the owner would go on placing tasks on a machine that is
  * no more once a new epoch has opened what was closed. */
-void fleet_return_announced(struct fleet *fleet, const char *id)
+void cloud_provider_note_announced(struct cloud_provider *cloud, const char *id)
 {
-    const struct machine_return *entry = g_hash_table_lookup(fleet->returns, id);
-    if (!entry || entry->phase != RETURN_CONFIRMED)
+    const struct scale_in_request *entry = g_hash_table_lookup(cloud->scale_in_requests, id);
+    if (!entry || entry->phase != SCALE_IN_CONFIRMED)
         return;
-    intent_log_settle(fleet->intents, INTENT_RETURN, id);
-    g_hash_table_remove(fleet->returns, id);
+    intent_log_settle(cloud->intents, INTENT_SCALE_IN, id);
+    g_hash_table_remove(cloud->scale_in_requests, id);
 }
 
-static void return_answered(void *arg, const struct net_answer *answer)
+static void on_scale_in_response(void *arg, const struct http_response *response)
 {
-    struct fleet_call *call = arg;
-    struct fleet *fleet = call->fleet;
-    bool mine = call->generation == fleet->generation, done = answer->status == 200;
+    struct cloud_call *call = arg;
+    struct cloud_provider *cloud = call->cloud;
+    bool mine = call->generation == cloud->generation, done = response->status == 200;
     for (guint i = 0; i < call->ids->len; i++) {
         const char *id = call->ids->pdata[i];
-        struct machine_return *entry = mine ? g_hash_table_lookup(fleet->returns, id) : NULL;
+        struct scale_in_request *entry =
+            mine ? g_hash_table_lookup(cloud->scale_in_requests, id) : NULL;
         if (entry)
-            entry->out = false;
+            entry->is_in_flight = false;
         if (done)
-            return_confirmed(fleet, id, mine);
+            finish_scale_in(cloud, id, mine);
     }
     if (mine) {
-        fleet->return_out = false;
-        fleet->return_not_before = time_add_ms(loop_now(fleet->loop), done ? 0 : FLEET_RETRY_MS);
-        fleet_tell(fleet);
+        cloud->scale_in_call_in_flight = false;
+        cloud->scale_in_not_before = time_add_ms(loop_now(cloud->loop), done ? 0 : CLOUD_RETRY_MS);
+        cloud_provider_notify(cloud);
     }
     g_ptr_array_unref(call->ids);
     g_free(call);
 }
 
-static void add_to_call(struct fleet *fleet, struct fleet_call *call, GArray *hosts,
-                        struct machine_return *entry)
+static void add_to_call(struct cloud_provider *cloud, struct cloud_call *call, GArray *hosts,
+                        struct scale_in_request *entry)
 {
-    mono_time now = loop_now(fleet->loop);
-    if (!entry->sent)
-        delay_histogram_add(fleet->return_delays, (double)(now.us - entry->decided.us) / 1000);
-    entry->out = entry->sent = true;
+    mono_time now = loop_now(cloud->loop);
+    if (!entry->was_sent)
+        delay_histogram_add(cloud->scale_in_delays, (double)(now.us - entry->decided_at.us) / 1000);
+    entry->is_in_flight = entry->was_sent = true;
     g_array_append_val(hosts, entry->id);
-    g_ptr_array_add(call->ids, g_strdup(entry->id.s));
+    g_ptr_array_add(call->ids, g_strdup(entry->id.text));
 }
 
-static void send(struct fleet *fleet)
+static void send_scale_in(struct cloud_provider *cloud)
 {
-    struct fleet_call *call = fleet_call_new(fleet);
+    struct cloud_call *call = cloud_call_new(cloud);
     call->ids = g_ptr_array_new_with_free_func(g_free);
-    GArray *hosts = g_array_new(FALSE, FALSE, sizeof(host_id));
+    GArray *hosts = g_array_new(FALSE, FALSE, sizeof(machine_id));
     GHashTableIter it;
-    struct machine_return *entry;
-    g_hash_table_iter_init(&it, fleet->returns);
-    while (hosts->len < MOST_RETURNED && g_hash_table_iter_next(&it, NULL, (gpointer *)&entry))
-        if (entry->phase == RETURN_READY)
-            add_to_call(fleet, call, hosts, entry);
-    char *body = codec_return_write((host_id *)hosts->data, hosts->len);
+    struct scale_in_request *entry;
+    g_hash_table_iter_init(&it, cloud->scale_in_requests);
+    while (hosts->len < MAX_MACHINES_PER_SCALE_IN &&
+           g_hash_table_iter_next(&it, NULL, (gpointer *)&entry))
+        if (entry->phase == SCALE_IN_READY)
+            add_to_call(cloud, call, hosts, entry);
+    char *body = scale_in_request_encode((machine_id *)hosts->data, hosts->len);
     g_array_unref(hosts);
-    fleet->return_out = true;
-    fleet_call(fleet, "POST", "/rentals/return", body, return_answered, call);
+    cloud->scale_in_call_in_flight = true;
+    cloud_call_send(cloud, "POST", "/rentals/return", body, on_scale_in_response, call);
     g_free(body);
 }
 
-static bool any_ready(struct fleet *fleet)
+static bool advance_all_scale_ins(struct cloud_provider *cloud)
 {
     GHashTableIter it;
-    struct machine_return *entry;
+    struct scale_in_request *entry;
     bool ready = false;
-    g_hash_table_iter_init(&it, fleet->returns);
+    g_hash_table_iter_init(&it, cloud->scale_in_requests);
     while (g_hash_table_iter_next(&it, NULL, (gpointer *)&entry)) {
-        if (fleet_records(fleet) && !entry->out)
-            advance(fleet, entry);
-        else if (!fleet_records(fleet) && entry->phase != RETURN_CONFIRMED)
-            entry->phase = RETURN_READY;
-        ready = ready || entry->phase == RETURN_READY;
+        if (cloud_provider_records_intents(cloud) && !entry->is_in_flight)
+            advance_scale_in(cloud, entry);
+        else if (!cloud_provider_records_intents(cloud) && entry->phase != SCALE_IN_CONFIRMED)
+            entry->phase = SCALE_IN_READY;
+        ready = ready || entry->phase == SCALE_IN_READY;
     }
     return ready;
 }
 
-void fleet_return_step(struct fleet *fleet)
+void scale_in_step(struct cloud_provider *cloud)
 {
-    mono_time now = loop_now(fleet->loop);
-    if (any_ready(fleet) && !fleet->return_out && !time_before(now, fleet->return_not_before) &&
-        fleet_may_call(fleet))
-        send(fleet);
+    mono_time now = loop_now(cloud->loop);
+    if (advance_all_scale_ins(cloud) && !cloud->scale_in_call_in_flight &&
+        !time_before(now, cloud->scale_in_not_before) && cloud_provider_may_call(cloud))
+        send_scale_in(cloud);
 }
--- a/src/cloud/scale_out.c
+++ b/src/cloud/scale_out.c
@@ -3,196 +3,208 @@
 
 #include "log.h"
 
-enum { REFUSED_MS = 15000 };
+enum { UNAVAILABLE_AFTER_503_MS = 15000 };
 
-void fleet_request_free(struct rental_request *request)
+void scale_out_request_free(struct scale_out_request *request)
 {
-    g_free(request->name);
+    g_free(request->request_id);
     g_free(request);
 }
 
-static struct rental_request *request_new(const char *type_name, const char *zone, bool spot,
-                                          int number)
+static struct scale_out_request *scale_out_request_new(const char *type_name, const char *zone,
+                                                       bool spot, int number)
 {
-    struct rental_request *request = g_new0(struct rental_request, 1);
+    struct scale_out_request *request = g_new0(struct scale_out_request, 1);
     g_strlcpy(request->type_name, type_name, sizeof request->type_name);
     g_strlcpy(request->zone, zone, sizeof request->zone);
-    request->spot = spot;
-    request->number = number;
+    request->is_spot = spot;
+    request->machine_count = number;
     return request;
 }
 
-void fleet_rent(struct fleet *fleet, const char *type_name, const char *zone, bool spot, int number)
+void cloud_provider_scale_out(struct cloud_provider *cloud, const char *type_name, const char *zone,
+                              bool is_spot, int machine_count)
 {
-    struct rental_request *request = request_new(type_name, zone, spot, number);
+    struct scale_out_request *request =
+        scale_out_request_new(type_name, zone, is_spot, machine_count);
     /* Names never repeat: the incarnation is a lease of the state service, which no other process
      * ever has. */
-    request->name =
-        g_strdup_printf("%s-%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT, fleet->settings->label,
-                        membership_incarnation(fleet->members).v, ++fleet->counter);
-    request->decided = loop_now(fleet->loop);
-    g_queue_push_tail(&fleet->requests, request);
+    request->request_id = g_strdup_printf(
+        "%s-%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT, cloud->settings->label,
+        membership_get_incarnation(cloud->membership).value, ++cloud->request_counter);
+    request->decided_at = loop_now(cloud->loop);
+    g_queue_push_tail(&cloud->scale_out_requests, request);
 }
 
-void fleet_rent_recover(struct fleet *fleet, const struct intent *intent)
+void scale_out_recover(struct cloud_provider *cloud, const struct intent *intent)
 {
-    struct rental_request *request =
-        request_new(intent->type_name, intent->zone, intent->spot, intent->number);
-    request->name = g_strdup(intent->name);
-    request->sent = true; /* perhaps */
-    g_queue_push_head(&fleet->requests, request);
+    struct scale_out_request *request = scale_out_request_new(
+        intent->type_name, intent->zone, intent->is_spot, intent->machine_count);
+    request->request_id = g_strdup(intent->name);
+    request->was_sent = true; /* perhaps */
+    g_queue_push_head(&cloud->scale_out_requests, request);
 }
 
-static enum intent_state recorded_state(const struct fleet *fleet,
-                                        const struct rental_request *request)
+static enum intent_state get_intent_state(const struct cloud_provider *cloud,
+                                          const struct scale_out_request *request)
 {
-    return intent_log_state(fleet->intents, INTENT_RENT, request->name);
+    return intent_log_get_state(cloud->intents, INTENT_SCALE_OUT, request->request_id);
 }
 
-int fleet_requested(struct fleet *fleet, const char *type_name, const char *zone, bool spot)
+int cloud_provider_count_requested(struct cloud_provider *cloud, const char *type_name,
+                                   const char *zone, bool is_spot)
 {
-    int n = 0;
-    for (GList *l = fleet->requests.head; l; l = l->next) {
-        struct rental_request *request = l->data;
-        if (request->spot == spot && strcmp(request->type_name, type_name) == 0 &&
+    int machine_count = 0;
+    for (GList *link = cloud->scale_out_requests.head; link; link = link->next) {
+        struct scale_out_request *request = link->data;
+        if (request->is_spot == is_spot && strcmp(request->type_name, type_name) == 0 &&
             strcmp(request->zone, zone) == 0)
-            n += request->number;
+            machine_count += request->machine_count;
     }
-    return n;
+    return machine_count;
 }
 
-void fleet_forget_unsent(struct fleet *fleet)
+void cloud_provider_drop_unsent(struct cloud_provider *cloud)
 {
-    for (GList *l = fleet->requests.head, *next; l; l = next) {
-        struct rental_request *request = l->data;
-        next = l->next;
-        if (!request->sent && recorded_state(fleet, request) == INTENT_UNKNOWN) {
-            g_queue_delete_link(&fleet->requests, l);
-            fleet_request_free(request);
+    for (GList *link = cloud->scale_out_requests.head, *next; link; link = next) {
+        struct scale_out_request *request = link->data;
+        next = link->next;
+        if (!request->was_sent && get_intent_state(cloud, request) == INTENT_UNKNOWN) {
+            g_queue_delete_link(&cloud->scale_out_requests, link);
+            scale_out_request_free(request);
         }
     }
 }
 
 /* ---- refusals ---- */
 
-bool fleet_refused(struct fleet *fleet, const char *type_name, const char *zone, bool spot)
+bool cloud_provider_is_refused(struct cloud_provider *cloud, const char *type_name,
+                               const char *zone, bool is_spot)
 {
-    char *key = fleet_offer_key(type_name, zone, spot);
-    mono_time *until = g_hash_table_lookup(fleet->refused, key);
+    char *key = cloud_offer_key(type_name, zone, is_spot);
+    mono_time *until = g_hash_table_lookup(cloud->refused_until, key);
     g_free(key);
-    return until && time_before(loop_now(fleet->loop), *until);
+    return until && time_before(loop_now(cloud->loop), *until);
 }
 
-static void refuse(struct fleet *fleet, const struct rental_request *request)
+static void mark_offer_refused(struct cloud_provider *cloud,
+                               const struct scale_out_request *request)
 {
-    mono_time until = time_add_ms(loop_now(fleet->loop), REFUSED_MS);
-    g_hash_table_replace(fleet->refused,
-                         fleet_offer_key(request->type_name, request->zone, request->spot),
+    mono_time until = time_add_ms(loop_now(cloud->loop), UNAVAILABLE_AFTER_503_MS);
+    g_hash_table_replace(cloud->refused_until,
+                         cloud_offer_key(request->type_name, request->zone, request->is_spot),
                          g_memdup2(&until, sizeof until));
 }
 
 /* ---- answers ---- */
 
-static void take_rented(struct fleet *fleet, const struct rental_request *request,
-                        const GArray *ids)
+static void add_rented_machines(struct cloud_provider *cloud,
+                                const struct scale_out_request *request, const GArray *ids)
 {
     for (guint i = 0; i < ids->len; i++) {
-        host_id id = g_array_index(ids, host_id, i);
+        machine_id id = g_array_index(ids, machine_id, i);
         /* A request that is sent again, by a later holder too, gets the first answer: what it names
          * may have been returned by now. */
-        if (!fleet_gone(fleet, id.s) && !fleet_returning(fleet, id.s))
-            fleet_machine_make(fleet, id, request->type_name, request->zone, request->spot);
+        if (!cloud_provider_is_gone(cloud, id.text) &&
+            !cloud_provider_is_scaling_in(cloud, id.text))
+            cloud_machine_add(cloud, id, request->type_name, request->zone, request->is_spot);
     }
-    LOG_INFO("rented", "request=%s number=%u of=%d", request->name, ids->len, request->number);
-    if ((int)ids->len < request->number)
-        refuse(fleet, request);
+    LOG_INFO("rented", "request=%s number=%u of=%d", request->request_id, ids->len,
+             request->machine_count);
+    if ((int)ids->len < request->machine_count)
+        mark_offer_refused(cloud, request);
 }
 
 /* The request is answered for good: it need not be known any more. */
-static void request_over(struct fleet *fleet, struct rental_request *request)
+static void finish_scale_out(struct cloud_provider *cloud, struct scale_out_request *request)
 {
-    intent_log_settle(fleet->intents, INTENT_RENT, request->name);
-    g_queue_remove(&fleet->requests, request);
-    fleet_request_free(request);
+    intent_log_settle(cloud->intents, INTENT_SCALE_OUT, request->request_id);
+    g_queue_remove(&cloud->scale_out_requests, request);
+    scale_out_request_free(request);
 }
 
-static void rent_answered(void *arg, const struct net_answer *answer)
+static void on_scale_out_response(void *arg, const struct http_response *response)
 {
-    struct fleet_call *call = arg;
-    struct fleet *fleet = call->fleet;
-    struct rental_request *request = call->request;
-    bool mine = call->generation == fleet->generation;
+    struct cloud_call *call = arg;
+    struct cloud_provider *cloud = call->cloud;
+    struct scale_out_request *request = call->request;
+    bool mine = call->generation == cloud->generation;
     g_free(call);
     if (!mine)
         return; /* its machines show up in the list */
-    request->out = false;
-    json_object *object = answer->status > 0 ? json_read(answer->body, answer->len) : NULL;
-    GArray *ids = answer->status == 200 ? codec_rented_read(object) : NULL;
+    request->is_in_flight = false;
+    json_object *object =
+        response->status > 0 ? json_parse(response->body, response->body_bytes) : NULL;
+    GArray *ids = response->status == 200 ? scale_out_response_decode(object) : NULL;
     const char *error = "";
-    json_text(object, "error", &error);
-    bool no_capacity = answer->status == 503 && strcmp(error, "no capacity") == 0;
+    json_get_text(object, "error", &error);
+    bool no_capacity = response->status == 503 && strcmp(error, "no capacity") == 0;
     if (ids) {
-        take_rented(fleet, request, ids);
+        add_rented_machines(cloud, request, ids);
         g_array_unref(ids);
     }
     if (no_capacity) {
-        LOG_INFO("rent_refused", "request=%s", request->name);
-        refuse(fleet, request);
+        LOG_INFO("rent_refused", "request=%s", request->request_id);
+        mark_offer_refused(cloud, request);
     }
-    if (answer->status == 200 || answer->status == 400 || no_capacity)
-        request_over(fleet, request);
+    if (response->status == 200 || response->status == 400 || no_capacity)
+        finish_scale_out(cloud, request);
     else
-        request->not_before = time_add_ms(loop_now(fleet->loop), FLEET_RETRY_MS);
+        request->not_before = time_add_ms(loop_now(cloud->loop), CLOUD_RETRY_MS);
     json_object_put(object);
-    fleet_tell(fleet);
+    cloud_provider_notify(cloud);
 }
 
 /* ---- sending ---- */
 
-static void send(struct fleet *fleet, struct rental_request *request)
+static void send_scale_out(struct cloud_provider *cloud, struct scale_out_request *request)
 {
-    mono_time now = loop_now(fleet->loop);
-    char *body = codec_rent_write(request->name, request->type_name, request->zone, request->spot,
-                                  request->number);
-    struct fleet_call *call = fleet_call_new(fleet);
+    mono_time now = loop_now(cloud->loop);
+    char *body = scale_out_request_encode(request->request_id, request->type_name, request->zone,
+                                          request->is_spot, request->machine_count);
+    struct cloud_call *call = cloud_call_new(cloud);
     call->request = request;
-    if (!request->sent)
-        delay_histogram_add(fleet->rent_delays, (double)(now.us - request->decided.us) / 1000);
-    request->out = request->sent = true;
+    if (!request->was_sent)
+        delay_histogram_add(cloud->scale_out_delays,
+                            (double)(now.us - request->decided_at.us) / 1000);
+    request->is_in_flight = request->was_sent = true;
     LOG_INFO("rent", "type=%s zone=%s spot=%d number=%d request=%s", request->type_name,
-             request->zone, request->spot, request->number, request->name);
-    fleet_call(fleet, "POST", "/rentals", body, rent_answered, call);
+             request->zone, request->is_spot, request->machine_count, request->request_id);
+    cloud_call_send(cloud, "POST", "/rentals", body, on_scale_out_response, call);
     g_free(body);
 }
 
-static void record(struct fleet *fleet, const struct rental_request *request)
+static void record_scale_out(struct cloud_provider *cloud, const struct scale_out_request *request)
 {
-    struct intent intent = {.kind = INTENT_RENT, .spot = request->spot, .number = request->number};
-    g_strlcpy(intent.name, request->name, sizeof intent.name);
+    struct intent intent = {.kind = INTENT_SCALE_OUT,
+                            .is_spot = request->is_spot,
+                            .machine_count = request->machine_count};
+    g_strlcpy(intent.name, request->request_id, sizeof intent.name);
     g_strlcpy(intent.type_name, request->type_name, sizeof intent.type_name);
     g_strlcpy(intent.zone, request->zone, sizeof intent.zone);
-    intent_log_add(fleet->intents, &intent, (revision){0});
+    intent_log_add(cloud->intents, &intent, (revision){0});
 }
 
 /* Requests are recorded only when they can be sent at once: what is not recorded may be taken
  * back. */
-void fleet_rent_step(struct fleet *fleet)
+void scale_out_step(struct cloud_provider *cloud)
 {
-    mono_time now = loop_now(fleet->loop);
+    mono_time now = loop_now(cloud->loop);
     double soon = 0; /* calls for requests that are recorded or about to be */
-    for (GList *l = fleet->requests.head; l && fleet_may_call(fleet); l = l->next) {
-        struct rental_request *request = l->data;
-        if (request->out || time_before(now, request->not_before))
+    for (GList *link = cloud->scale_out_requests.head; link && cloud_provider_may_call(cloud);
+         link = link->next) {
+        struct scale_out_request *request = link->data;
+        if (request->is_in_flight || time_before(now, request->not_before))
             continue;
-        enum intent_state state = recorded_state(fleet, request);
-        if (!fleet_records(fleet) || state == INTENT_RECORDED) {
-            send(fleet, request);
+        enum intent_state state = get_intent_state(cloud, request);
+        if (!cloud_provider_records_intents(cloud) || state == INTENT_RECORDED) {
+            send_scale_out(cloud, request);
             continue;
         }
         soon += 1;
-        if (soon > fleet->level)
+        if (soon > cloud->call_tokens)
             break;
-        if (state == INTENT_UNKNOWN && !fleet->holding)
-            record(fleet, request);
+        if (state == INTENT_UNKNOWN && !cloud->recording_paused)
+            record_scale_out(cloud, request);
     }
 }
--- a/src/config/feature_set.h
+++ b/src/config/feature_set.h
@@ -8,9 +8,9 @@
 
 struct feature_set {
     struct {
-        bool enabled;
-        double report_s; /* between two log lines of delays */
-    } duties;
+        bool is_enabled;
+        double delay_report_interval_s; /* between two log lines of delays */
+    } singleton_roles;
 };
 
 /* All off. */
--- a/src/kv/kv_client.h
+++ b/src/kv/kv_client.h
@@ -5,82 +5,85 @@
 #include "codec.h"
 #include "http.h"
 
-struct store;
+struct kv_client;
 
 /* What the state service may be asked for. Values and transactions keep within the tighter of the
  * limits of now and those to come; values that were stored before may be longer. */
-struct store_limits {
-    double rps, write_rps;
-    double next_write_rps; /* it may allow no more than that one day, without notice */
-    int txn_ops;
-    size_t value_bytes;
-    bool lowered; /* the state service has shown that it allows less by now */
-    size_t answer_bytes;
-    int nodes; /* that share the budgets */
+struct kv_limits {
+    double rate_limit_rps, rate_limit_write_rps;
+    double rate_limit_next_write_rps; /* it may allow no more than that one day, without notice */
+    int max_txn_operations;
+    size_t max_value_bytes;
+    bool rate_limit_lowered; /* the state service has shown that it allows less by now */
+    size_t max_response_bytes;
+    int node_count; /* that share the budgets */
 };
 
-struct store *store_new(struct loop *loop, struct net *net, const char *addr,
-                        struct store_limits limits);
-void store_free(struct store *store);
-const struct store_limits *store_limits(const struct store *store);
+struct kv_client *kv_client_new(struct loop *loop, struct http_client *http_client,
+                                const char *address, struct kv_limits limits);
+void kv_client_free(struct kv_client *kv);
+const struct kv_limits *kv_client_limits(const struct kv_client *kv);
 
 /* Whether the state service has not answered this node for a moment, or refuses it. */
-bool store_troubled(const struct store *store);
+bool kv_client_is_unavailable(const struct kv_client *kv);
 
 /* ---- plain requests ---- */
 
-enum store_lane { LANE_LEASE, LANE_URGENT, LANE_WATCH, LANE_NORMAL, LANES };
+enum kv_lane { KV_LANE_LEASE, KV_LANE_URGENT, KV_LANE_WATCH, KV_LANE_NORMAL, KV_LANE_COUNT };
 
-/* Waits for its turn within the budget. After 429 it is sent again; status NET_NOT_SENT when that
- * took longer than wait_ms. */
-void store_request(struct store *store, enum store_lane lane, const char *method, const char *path,
-                   const char *body, int timeout_ms, int wait_ms, int writes, net_done done,
-                   void *arg);
+/* Waits for its turn within the budget. After 429 it is sent again; status HTTP_NOT_SENT when that
+ * took longer than poll_timeout_ms. */
+void kv_client_request(struct kv_client *kv, enum kv_lane lane, const char *method,
+                       const char *path, const char *body, int response_timeout_ms,
+                       int queue_timeout_ms, int write_count, http_response_callback callback,
+                       void *callback_arg);
 
 /* Reads one key. */
-void store_read(struct store *store, enum store_lane lane, const char *key, int timeout_ms,
-                int wait_ms, net_done done, void *arg);
+void kv_client_get(struct kv_client *kv, enum kv_lane lane, const char *key,
+                   int response_timeout_ms, int queue_timeout_ms, http_response_callback callback,
+                   void *callback_arg);
 
 /* ---- transactions ---- */
 
 struct txn;
 
-enum txn_result {
-    TXN_DONE,
+enum txn_status {
+    TXN_COMMITTED,
     TXN_CONFLICT, /* a condition did not hold */
-    TXN_NO_LEASE,
-    TXN_REFUSED, /* surely not carried out */
-    TXN_UNKNOWN, /* it may have been carried out, or may be later */
+    TXN_LEASE_EXPIRED,
+    TXN_REJECTED, /* surely not carried out */
+    TXN_UNKNOWN,  /* it may have been carried out, or may be later */
 };
 
 struct txn_outcome {
-    enum txn_result result;
-    revision at;       /* with TXN_DONE and TXN_CONFLICT */
-    GPtrArray *failed; /* keys, with TXN_CONFLICT */
+    enum txn_status status;
+    revision at_revision;   /* with TXN_COMMITTED and TXN_CONFLICT */
+    GPtrArray *failed_keys; /* keys, with TXN_CONFLICT */
 };
 
-typedef void (*txn_done)(void *arg, const struct txn_outcome *outcome);
+typedef void (*txn_callback)(void *arg, const struct txn_outcome *outcome);
 
 struct txn *txn_new(void);
 void txn_free(struct txn *txn);
-void txn_when(struct txn *txn, const char *key, revision stamp);
+void txn_compare(struct txn *txn, const char *key, revision mod_revision);
 /* Takes the value. lease 0: not attached. */
-void txn_set(struct txn *txn, const char *key, json_object *value, lease_id lease);
-void txn_remove(struct txn *txn, const char *key);
-guint txn_writes(const struct txn *txn);
-guint txn_conditions(const struct txn *txn);
-size_t txn_bytes(const struct txn *txn);
+void txn_put(struct txn *txn, const char *key, json_object *value, lease_id lease);
+void txn_delete(struct txn *txn, const char *key);
+guint txn_write_count(const struct txn *txn);
+guint txn_compare_count(const struct txn *txn);
+size_t txn_size_bytes(const struct txn *txn);
 /* What a value takes as it is sent. */
-size_t value_size(json_object *value);
+size_t kv_value_size_bytes(json_object *value);
 /* Takes the transaction. */
-void store_txn(struct store *store, enum store_lane lane, struct txn *txn, txn_done done,
-               void *arg);
+void kv_client_commit(struct kv_client *kv, enum kv_lane lane, struct txn *txn,
+                      txn_callback callback, void *callback_arg);
 
 /* ---- read barrier ---- */
 
-typedef void (*barrier_done)(void *arg, bool ok, revision at);
+typedef void (*read_barrier_callback)(void *arg, bool ok, revision at);
 /* Tells a revision that was the newest at some moment after this call. Calls that come together
  * share one transaction without writes. */
-void store_barrier(struct store *store, barrier_done done, void *arg);
+void kv_client_read_barrier(struct kv_client *kv, read_barrier_callback callback,
+                            void *callback_arg);
 
 #endif
--- a/src/kv/kv_codec.c
+++ b/src/kv/kv_codec.c
@@ -2,109 +2,109 @@
 
 static GArray *items_new(void)
 {
-    return g_array_new(FALSE, TRUE, sizeof(struct state_item));
+    return g_array_new(FALSE, TRUE, sizeof(struct kv_item));
 }
 
-bool codec_state_read_revision(json_object *body, revision *at)
+bool kv_decode_revision(json_object *body, revision *at_revision)
 {
-    return json_u64(body, "Ledger", &at->v);
+    return json_get_u64(body, "Ledger", &at_revision->value);
 }
 
-bool codec_state_read_key(json_object *body, json_object **value, revision *stamp)
+bool kv_decode_value(json_object *body, json_object **value, revision *mod_revision)
 {
     *value = NULL;
     json_object_object_get_ex(body, "V", value);
-    return *value && json_u64(body, "Stamp", &stamp->v);
+    return *value && json_get_u64(body, "Stamp", &mod_revision->value);
 }
 
-bool codec_state_read_page(json_object *body, GArray **items, revision *at, bool *more)
+bool kv_decode_range(json_object *body, GArray **items, revision *at_revision, bool *more)
 {
-    json_object *list = json_list(body, "Items");
-    if (!list || !codec_state_read_revision(body, at) || !json_flag(body, "More", more))
+    json_object *list = json_get_array(body, "Items");
+    if (!list || !kv_decode_revision(body, at_revision) || !json_get_bool(body, "More", more))
         return false;
     *items = items_new();
     for (size_t i = 0; i < json_object_array_length(list); i++) {
         json_object *entry = json_object_array_get_idx(list, i);
-        struct state_item item = {0};
-        if (json_text(entry, "K", &item.key) &&
-            codec_state_read_key(entry, &item.value, &item.stamp))
+        struct kv_item item = {0};
+        if (json_get_text(entry, "K", &item.key) &&
+            kv_decode_value(entry, &item.value, &item.mod_revision))
             g_array_append_val(*items, item);
     }
     return true;
 }
 
-static bool read_change(json_object *change, struct state_item *item)
+static bool decode_event(json_object *event, struct kv_item *item)
 {
-    if (!json_u64(change, "Stamp", &item->stamp.v))
+    if (!json_get_u64(event, "Stamp", &item->mod_revision.value))
         return false;
-    if (!json_text(change, "Set", &item->key))
-        return json_text(change, "Remove", &item->key);
-    return json_object_object_get_ex(change, "V", &item->value) && item->value;
+    if (!json_get_text(event, "Set", &item->key))
+        return json_get_text(event, "Remove", &item->key);
+    return json_object_object_get_ex(event, "V", &item->value) && item->value;
 }
 
-bool codec_state_read_changes(json_object *body, GArray **items, revision *at)
+bool kv_decode_watch(json_object *body, GArray **items, revision *at_revision)
 {
-    json_object *list = json_list(body, "News");
-    if (!list || !codec_state_read_revision(body, at))
+    json_object *list = json_get_array(body, "News");
+    if (!list || !kv_decode_revision(body, at_revision))
         return false;
     *items = items_new();
     for (size_t i = 0; i < json_object_array_length(list); i++) {
-        struct state_item item = {0};
-        if (read_change(json_object_array_get_idx(list, i), &item))
+        struct kv_item item = {0};
+        if (decode_event(json_object_array_get_idx(list, i), &item))
             g_array_append_val(*items, item);
     }
     return true;
 }
 
-bool codec_state_read_lease(json_object *body, lease_id *lease)
+bool kv_decode_lease(json_object *body, lease_id *lease)
 {
-    return json_u64(body, "Mooring", &lease->v);
+    return json_get_u64(body, "Mooring", &lease->value);
 }
 
-GPtrArray *codec_state_read_failed(json_object *body)
+GPtrArray *kv_decode_failed_keys(json_object *body)
 {
     GPtrArray *keys = g_ptr_array_new();
-    json_object *list = json_list(body, "failed");
+    json_object *list = json_get_array(body, "failed");
     for (size_t i = 0; list && i < json_object_array_length(list); i++)
         g_ptr_array_add(keys, (char *)json_object_get_string(json_object_array_get_idx(list, i)));
     return keys;
 }
 
-bool codec_state_lease_is_over(json_object *body)
+bool kv_is_lease_expired(json_object *body)
 {
     const char *error = "";
-    return json_text(body, "error", &error) && strcmp(error, "no such lease") == 0;
+    return json_get_text(body, "error", &error) && strcmp(error, "no such lease") == 0;
 }
 
-json_object *codec_state_condition(const char *key, revision stamp)
+json_object *kv_encode_compare(const char *key, revision mod_revision)
 {
     json_object *object = json_object_new_object();
     json_put_text(object, "K", key);
-    json_put_u64(object, "Stamp", stamp.v);
+    json_put_u64(object, "Stamp", mod_revision.value);
     return object;
 }
 
-json_object *codec_state_set(const char *key, json_object *value, lease_id lease)
+json_object *kv_encode_put(const char *key, json_object *value, lease_id lease)
 {
     json_object *object = json_object_new_object();
     json_put_text(object, "Set", key);
     json_object_object_add(object, "V", value);
-    if (lease.v)
-        json_put_u64(object, "Mooring", lease.v);
+    if (lease.value)
+        json_put_u64(object, "Mooring", lease.value);
     return object;
 }
 
-json_object *codec_state_remove(const char *key)
+json_object *kv_encode_delete(const char *key)
 {
     json_object *object = json_object_new_object();
     json_put_text(object, "Remove", key);
     return object;
 }
 
-json_object *codec_state_txn(json_object *conditions, json_object *writes)
+json_object *kv_encode_txn(json_object *compares, json_object *writes)
 {
     json_object *object = json_object_new_object();
-    json_object_object_add(object, "When", json_object_get(conditions));
+    json_object_object_add(object, "When", json_object_get(compares));
     json_object_object_add(object, "Writes", json_object_get(writes));
     return object;
 }
