--- a/src/shard/task_placement.c
+++ b/src/shard/task_placement.c
@@ -5,333 +5,362 @@
 #include "placement_score.h"
 
 enum {
-    SWITCH_MS = 2000,
-    GIVE_BACK_MS = 3000,
-    PLACE_MS = 5,
-    MOST_KEPT_LOOKS = 16,
+    SWITCH_RULE_INTERVAL_MS = 2000,
+    MAX_QUEUE_TIME_MS = 3000,
+    PLACEMENT_DELAY_MS = 5,
+    MAX_BLOCKED_ATTEMPT_SEARCHES = 16,
     KEPT_MS = 1000, /* a command that was not answered by then may come late */
 };
 
-bool shard_host_open(struct shard *shard, struct host *host)
+bool shard_machine_is_available(struct shard *shard, struct machine *machine)
 {
-    return host->known && host->hears && !host->gone && !host->reclaimed &&
-           host->probe_fails == 0 && host->total.cpus.milli > 0 &&
-           time_ms_since(loop_now(shard->loop), host->heard) <
-               (int64_t)(shard->settings->report_s * 1250) + 1500 &&
-           !host->closed && !host->returning;
+    return machine->has_reported && machine->is_reachable && !machine->is_gone &&
+           !machine->is_reclaimed && machine->probe_failures == 0 &&
+           machine->capacity.cpus.milli > 0 &&
+           time_ms_since(loop_now(shard->loop), machine->last_heartbeat_at) <
+               (int64_t)(shard->settings->heartbeat_interval_s * 1250) + 1500 &&
+           !machine->is_cordoned && !machine->is_returning;
 }
 
-static double host_booked(const struct host *host)
+static double allocated_share(const struct machine *machine)
 {
-    return room_share(host->booked, host->total);
+    return resources_dominant_share(machine->allocated, machine->capacity);
 }
 
-static bool host_suits(struct shard *shard, struct host *host, const struct dealt *dealt,
-                       const struct spec *spec)
+static bool machine_fits(struct shard *shard, struct machine *machine,
+                         const struct dispatch *dispatch, const struct job_spec *spec)
 {
-    if (dealt->at[0] && strcmp(dealt->at, host->id.s) != 0)
+    if (dispatch->bound_machine[0] && strcmp(dispatch->bound_machine, machine->id.text) != 0)
         return false;
-    if (dealt->zone[0] && strcmp(dealt->zone, host->zone) != 0)
+    if (dispatch->zone[0] && strcmp(dispatch->zone, machine->zone) != 0)
         return false;
-    if (!room_holds(room_left(host->total, host->booked), room_of_spec(spec)) ||
-        !spec_allows(spec, host->type_name, host->zone, host->spot) ||
-        !shard_record_has_room(shard, host, dealt->job))
+    if (!resources_fit(resources_remaining(machine->capacity, machine->allocated),
+                       resources_of_job_spec(spec)) ||
+        !job_spec_allows_machine(spec, machine->type_name, machine->zone, machine->is_spot) ||
+        !shard_can_record_run(shard, machine, dispatch->job))
         return false;
     /* An attempt that its worker still shows would have the new one refused. */
-    for (guint i = 0; i < host->runs->len; i++) {
-        struct run *run = host->runs->pdata[i];
-        if (run->index == dealt->index && job_eq(run->job, dealt->job))
+    for (guint i = 0; i < machine->runs->len; i++) {
+        struct task_run *run = machine->runs->pdata[i];
+        if (run->index == dispatch->index && job_id_equal(run->job, dispatch->job))
             return false;
     }
-    for (guint i = 0; i < host->unknown_tasks->len; i++) {
-        struct report_task *task = &g_array_index(host->unknown_tasks, struct report_task, i);
-        if (task->index == dealt->index && job_eq(task->job, dealt->job))
+    for (guint i = 0; i < machine->unknown_tasks->len; i++) {
+        struct heartbeat_task *task =
+            &g_array_index(machine->unknown_tasks, struct heartbeat_task, i);
+        if (task->task_index == dispatch->index && job_id_equal(task->job, dispatch->job))
             return false;
     }
     return true;
 }
 
 /* A machine that would do; host NULL: none. */
-struct pick {
-    struct host *host;
+struct candidate {
+    struct machine *machine;
     double score;
 };
 
 /* The best of the machines that suit, by pool, and the best of those that have the image. */
-struct survey {
-    struct pick any[ARQ_CLASSES + 1], image;
-    bool none;
+struct candidate_set {
+    struct candidate by_pool[ARQ_CLASSES + 1], with_image;
+    bool is_empty;
 };
 
-static void pick_better(struct pick *best, struct pick other)
+static void keep_better(struct candidate *best, struct candidate other)
 {
-    if (other.host &&
-        (!best->host || other.score > best->score ||
-         (other.score == best->score && strcmp(other.host->id.s, best->host->id.s) < 0)))
+    if (other.machine && (!best->machine || other.score > best->score ||
+                          (other.score == best->score &&
+                           strcmp(other.machine->id.text, best->machine->id.text) < 0)))
         *best = other;
 }
 
-static void survey(struct shard *shard, const struct dealt *dealt, const struct spec *spec,
-                   struct survey *out)
+static void find_candidates(struct shard *shard, const struct dispatch *dispatch,
+                            const struct job_spec *spec, struct candidate_set *out)
 {
     memset(out, 0, sizeof *out);
-    out->none = true;
-    loop_work(shard->loop, shard->roomy->len);
-    for (guint i = 0; i < shard->roomy->len; i++) {
-        struct host *host = shard->roomy->pdata[i];
-        if (!host_suits(shard, host, dealt, spec))
+    out->is_empty = true;
+    loop_add_work(shard->loop, shard->available_machines->len);
+    for (guint i = 0; i < shard->available_machines->len; i++) {
+        struct machine *machine = shard->available_machines->pdata[i];
+        if (!machine_fits(shard, machine, dispatch, spec))
             continue;
-        out->none = false;
-        double booked = host_booked(host);
-        bool image = images_hold(host->images, spec->image);
-        struct score_facts facts = {image, host->spot, booked,
-                                    room_share(host->pinned, host->total), 1};
-        struct pick pick = {host, score_host(spec, &facts)};
-        pick_better(&out->any[arq_pool(booked)], pick);
+        out->is_empty = false;
+        double booked = allocated_share(machine);
+        bool image = image_cache_contains(machine->image_cache, spec->image);
+        struct placement_facts facts = {
+            image, machine->is_spot, booked,
+            resources_dominant_share(machine->service_resources, machine->capacity), 1};
+        struct candidate pick = {machine, placement_score(spec, &facts)};
+        keep_better(&out->by_pool[arq_pool(booked)], pick);
         if (image)
-            pick_better(&out->image, pick);
+            keep_better(&out->with_image, pick);
     }
 }
 
 /* The machines that take work and have any room left. While the queues are gone through, room only
  * shrinks. */
-static void find_roomy(struct shard *shard)
+static void collect_available_machines(struct shard *shard)
 {
-    GHashTableIter it;
-    struct host *host;
-    g_ptr_array_set_size(shard->roomy, 0);
-    loop_work(shard->loop, g_hash_table_size(shard->hosts));
-    g_hash_table_iter_init(&it, shard->hosts);
-    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&host))
-        if (host->booked.cpus.milli < host->total.cpus.milli && shard_host_open(shard, host))
-            g_ptr_array_add(shard->roomy, host);
+    GHashTableIter iter;
+    struct machine *machine;
+    g_ptr_array_set_size(shard->available_machines, 0);
+    loop_add_work(shard->loop, g_hash_table_size(shard->machines));
+    g_hash_table_iter_init(&iter, shard->machines);
+    while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&machine))
+        if (machine->allocated.cpus.milli < machine->capacity.cpus.milli &&
+            shard_machine_is_available(shard, machine))
+            g_ptr_array_add(shard->available_machines, machine);
 }
 
 /* The best in the pools up to one. */
-static struct host *best_below(const struct survey *survey, int high)
+static struct machine *best_up_to_pool(const struct candidate_set *candidates, int last_pool)
 {
-    struct pick best = {0};
-    for (int pool = 1; pool <= high; pool++)
-        pick_better(&best, survey->any[pool]);
-    return best.host;
+    struct candidate best = {0};
+    for (int pool = 1; pool <= last_pool; pool++)
+        keep_better(&best, candidates->by_pool[pool]);
+    return best.machine;
 }
 
-static double pool_chance(struct shard *shard, int pool, double t, double run_s)
+static double pool_free_chance(struct shard *shard, int pool, double within_s,
+                               double expected_run_s)
 {
-    GArray *ages = g_array_new(FALSE, FALSE, sizeof(double));
-    GHashTableIter it;
-    struct host *host;
+    GArray *ages_s = g_array_new(FALSE, FALSE, sizeof(double));
+    GHashTableIter iter;
+    struct machine *machine;
     mono_time now = loop_now(shard->loop);
-    g_hash_table_iter_init(&it, shard->hosts);
-    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&host)) {
-        if (!shard_host_open(shard, host) || arq_pool(host_booked(host)) != pool)
+    g_hash_table_iter_init(&iter, shard->machines);
+    while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&machine)) {
+        if (!shard_machine_is_available(shard, machine) ||
+            arq_pool(allocated_share(machine)) != pool)
             continue;
-        double oldest = -1;
-        for (guint i = 0; i < host->runs->len; i++) {
-            struct run *run = host->runs->pdata[i];
-            if (run->phase != RUN_GONE)
-                oldest = MAX(oldest, (double)time_ms_since(now, run->placed_at) / 1000);
+        double oldest_s = -1;
+        for (guint i = 0; i < machine->runs->len; i++) {
+            struct task_run *run = machine->runs->pdata[i];
+            if (run->phase != TASK_RUN_RELEASED)
+                oldest_s = MAX(oldest_s, (double)time_ms_since(now, run->placed_at) / 1000);
         }
-        if (oldest >= 0)
-            g_array_append_val(ages, oldest);
+        if (oldest_s >= 0)
+            g_array_append_val(ages_s, oldest_s);
     }
-    double c = arq_free_chance(&shard->busy[pool], (double *)ages->data, (int)ages->len, t, run_s);
-    g_array_unref(ages);
-    return c;
+    double chance = arq_free_chance(&shard->busy_history[pool], (double *)ages_s->data,
+                                    (int)ages_s->len, within_s, expected_run_s);
+    g_array_unref(ages_s);
+    return chance;
 }
 
-/* The switch rule for a task that waits, every SWITCH_MS. */
-static enum arq_move consult(struct shard *shard, struct dealt *dealt, const struct spec *spec,
-                             bool rule_time)
+/* The switch rule for a task that waits, every SWITCH_RULE_INTERVAL_MS. */
+static enum arq_move decide_move(struct shard *shard, struct dispatch *dispatch,
+                                 const struct job_spec *spec, bool is_rule_time)
 {
     mono_time now = loop_now(shard->loop);
-    double waited = (double)time_ms_since(now, dealt->since) / 1000;
-    double left = arq_patience(spec->expected_s, 0) - waited;
-    if (left <= 0)
-        return ARQ_TAKE;
-    if (!rule_time || dealt->queue >= ARQ_CLASSES)
+    double waited_s = (double)time_ms_since(now, dispatch->dispatched_at) / 1000;
+    double patience_left_s = arq_patience_s(spec->expected_run_s, 0) - waited_s;
+    if (patience_left_s <= 0)
+        return ARQ_TAKE_ANY;
+    if (!is_rule_time || dispatch->queue_class >= ARQ_CLASSES)
         return ARQ_STAY;
-    double here = (double)time_ms_since(now, dealt->queue_since) / 1000;
+    double waited_here_s = (double)time_ms_since(now, dispatch->queued_at) / 1000;
     struct arq_terms terms = {
-        .run_s = spec->expected_s,
-        .wait_own = here,
-        .wait_next = waited - here,
-        .quality_own = dealt->queue,
-        .quality_next = dealt->queue + 1,
-        .chance_own = pool_chance(shard, dealt->queue, left, spec->expected_s),
-        .chance_next = pool_chance(shard, dealt->queue + 1, left, spec->expected_s),
+        .expected_run_s = spec->expected_run_s,
+        .wait_own_s = waited_here_s,
+        .wait_next_s = waited_s - waited_here_s,
+        .quality_own = dispatch->queue_class,
+        .quality_next = dispatch->queue_class + 1,
+        .chance_own =
+            pool_free_chance(shard, dispatch->queue_class, patience_left_s, spec->expected_run_s),
+        .chance_next = pool_free_chance(shard, dispatch->queue_class + 1, patience_left_s,
+                                        spec->expected_run_s),
     };
     return arq_switch(&terms);
 }
 
 /* The order that docs/design.md gives: the own pool; one class up while nobody waits there; then
  * the busiest machine that fits, at once unless it belongs to an emptier pool. */
-static struct host *place(struct shard *shard, const struct dealt *dealt, const struct spec *spec,
-                          const struct survey *survey, enum arq_move move, int urgency)
+static struct machine *choose_machine(struct shard *shard, const struct dispatch *dispatch,
+                                      const struct job_spec *spec,
+                                      const struct candidate_set *candidates, enum arq_move move,
+                                      int urgency)
 {
-    bool at_once = spec->form == FORM_SERVICE || dealt->at[0] || move == ARQ_TAKE;
+    bool at_once = spec->form == FORM_SERVICE || dispatch->bound_machine[0] || move == ARQ_TAKE_ANY;
     /* Who is in a hurry goes where the image is, whatever the pool: a fetch takes longer than most
      * waits that the switch rule weighs. */
-    if (urgency <= URGENCY_HIGH && !dealt->at[0] && survey->image.host)
-        return survey->image.host;
+    if (urgency <= PRIORITY_HIGH && !dispatch->bound_machine[0] && candidates->with_image.machine)
+        return candidates->with_image.machine;
     if (at_once)
-        return best_below(survey, ARQ_CLASSES);
-    if (survey->any[dealt->queue].host)
-        return survey->any[dealt->queue].host;
-    if (dealt->queue < ARQ_CLASSES && g_queue_is_empty(&shard->queues[dealt->queue + 1]) &&
-        survey->any[dealt->queue + 1].host)
-        return survey->any[dealt->queue + 1].host;
-    return best_below(survey, dealt->queue);
+        return best_up_to_pool(candidates, ARQ_CLASSES);
+    if (candidates->by_pool[dispatch->queue_class].machine)
+        return candidates->by_pool[dispatch->queue_class].machine;
+    if (dispatch->queue_class < ARQ_CLASSES &&
+        g_queue_is_empty(&shard->queues[dispatch->queue_class + 1]) &&
+        candidates->by_pool[dispatch->queue_class + 1].machine)
+        return candidates->by_pool[dispatch->queue_class + 1].machine;
+    return best_up_to_pool(candidates, dispatch->queue_class);
 }
 
-static void take_host(struct shard *shard, struct dealt *dealt, struct host *host,
-                      const struct spec *spec)
+static void place_task(struct shard *shard, struct dispatch *dispatch, struct machine *machine,
+                       const struct job_spec *spec)
 {
-    int pool = arq_pool(host_booked(host));
-    shard_record_new(shard, host, dealt->job);
-    struct run *run = shard_run_add(host, dealt->job, dealt->index, dealt->attempt, spec);
-    run->phase = RUN_NEW;
-    run->deal = dealt->number;
+    int pool = arq_pool(allocated_share(machine));
+    shard_reserve_record(shard, machine, dispatch->job);
+    struct task_run *run =
+        shard_run_add(machine, dispatch->job, dispatch->index, dispatch->attempt, spec);
+    run->phase = TASK_RUN_PLACED;
+    run->dispatch_number = dispatch->number;
     run->placed_at = loop_now(shard->loop);
-    run->pool = pool;
-    LOG_DEBUG("placed", "job=%s task=%u machine=%s class=%d pool=%d image=%d", dealt->job.s,
-              dealt->index, host->id.s, dealt->class, pool, images_hold(host->images, spec->image));
+    run->placement_pool = pool;
+    LOG_DEBUG("placed", "job=%s task=%u machine=%s class=%d pool=%d image=%d", dispatch->job.text,
+              dispatch->index, machine->id.text, dispatch->task_class, pool,
+              image_cache_contains(machine->image_cache, spec->image));
 }
 
 /* An earlier attempt that its machine shows still, and that cannot be cleared while a command for
  * it may be on its way: only a new epoch ends that. */
-static bool kept_by_old(struct shard *shard, const struct dealt *dealt, const struct host *host)
+static bool blocked_by_old_attempt(struct shard *shard, const struct dispatch *dispatch,
+                                   const struct machine *machine)
 {
-    for (guint i = 0; i < host->runs->len; i++) {
-        struct run *run = host->runs->pdata[i];
-        if (run->index == dealt->index && job_eq(run->job, dealt->job) && run->phase == RUN_GONE &&
-            !shard_may_clear(host, run) &&
-            time_ms_since(loop_now(shard->loop), run->sent_at) > KEPT_MS)
+    for (guint i = 0; i < machine->runs->len; i++) {
+        struct task_run *run = machine->runs->pdata[i];
+        if (run->index == dispatch->index && job_id_equal(run->job, dispatch->job) &&
+            run->phase == TASK_RUN_RELEASED && !shard_can_clear_attempt(machine, run) &&
+            time_ms_since(loop_now(shard->loop), run->run_sent_at) > KEPT_MS)
             return true;
     }
     return false;
 }
 
 /* Where else there is no room, such an attempt would keep its task from starting for ever. */
-static void raise_if_kept(struct shard *shard, const struct dealt *dealt)
+static void request_epoch_if_blocked(struct shard *shard, const struct dispatch *dispatch)
 {
-    GHashTableIter it;
-    struct host *host;
-    if (shard->kept_looks++ >= MOST_KEPT_LOOKS) /* it is dealt again, and looked for then */
+    GHashTableIter iter;
+    struct machine *machine;
+    if (shard->blocked_attempt_searches++ >=
+        MAX_BLOCKED_ATTEMPT_SEARCHES) /* it is dealt again, and looked for then */
         return;
-    loop_work(shard->loop, g_hash_table_size(shard->hosts));
-    g_hash_table_iter_init(&it, shard->hosts);
-    while (!shard->want_raise && g_hash_table_iter_next(&it, NULL, (gpointer *)&host))
-        if (!dealt->at[0] || strcmp(dealt->at, host->id.s) == 0)
-            shard->want_raise = kept_by_old(shard, dealt, host);
+    loop_add_work(shard->loop, g_hash_table_size(shard->machines));
+    g_hash_table_iter_init(&iter, shard->machines);
+    while (!shard->wants_epoch_raise && g_hash_table_iter_next(&iter, NULL, (gpointer *)&machine))
+        if (!dispatch->bound_machine[0] || strcmp(dispatch->bound_machine, machine->id.text) == 0)
+            shard->wants_epoch_raise = blocked_by_old_attempt(shard, dispatch, machine);
 }
 
-void shard_give_back(struct shard *shard, const struct dealt *dealt)
+void shard_reject_dispatch(struct shard *shard, const struct dispatch *dispatch)
 {
-    g_array_append_val(shard->back, *dealt);
-    shard_digest_soon(shard);
+    g_array_append_val(shard->rejected_dispatches, *dispatch);
+    shard_request_status(shard);
 }
 
 /* While the queues are gone through, room only shrinks. */
-static bool finds_none(struct shard *shard, const struct dealt *dealt, const struct spec *spec)
+static bool is_known_unschedulable(struct shard *shard, const struct dispatch *dispatch,
+                                   const struct job_spec *spec)
 {
-    struct lack lack = lack_of_spec(spec, dealt->zone);
-    return lacks_cover(shard->nones, &lack);
+    struct unschedulable lack = unschedulable_of_job_spec(spec, dispatch->zone);
+    return unschedulable_list_covers(shard->unschedulable, &lack);
 }
 
-static void note_none(struct shard *shard, const struct dealt *dealt, const struct spec *spec)
+static void remember_unschedulable(struct shard *shard, const struct dispatch *dispatch,
+                                   const struct job_spec *spec)
 {
-    struct lack lack = lack_of_spec(spec, dealt->zone);
-    if (!dealt->at[0] && !spec->type_names && !spec->zone && !lacks_cover(shard->nones, &lack))
-        g_array_append_val(shard->nones, lack);
+    struct unschedulable lack = unschedulable_of_job_spec(spec, dispatch->zone);
+    if (!dispatch->bound_machine[0] && !spec->machine_type_names && !spec->zone &&
+        !unschedulable_list_covers(shard->unschedulable, &lack))
+        g_array_append_val(shard->unschedulable, lack);
 }
 
 /* Returns true when the task has left its queue. */
-static bool settle_dealt(struct shard *shard, struct dealt *dealt, bool rule_time)
+static bool process_dispatch(struct shard *shard, struct dispatch *dispatch, bool is_rule_time)
 {
-    struct job *job = shard_live_job(shard, dealt->job);
+    struct job *job = shard_find_live_job(shard, dispatch->job);
     mono_time now = loop_now(shard->loop);
-    if (!job || job->waits) {
-        struct job *any = view_job(shard->view, dealt->job.s);
-        if (!job && any && any->known) /* over */
+    if (!job || job->has_pending_dependencies) {
+        struct job *any_state_job = replica_get_job(shard->replica, dispatch->job.text);
+        if (!job && any_state_job && any_state_job->is_known) /* over */
             return true;
         /* The leader may have seen more than this node: the job, or the end of what it needs. */
-        if (time_ms_since(now, dealt->since) < GIVE_BACK_MS)
+        if (time_ms_since(now, dispatch->dispatched_at) < MAX_QUEUE_TIME_MS)
             return false;
-        shard_give_back(shard, dealt);
+        shard_reject_dispatch(shard, dispatch);
         return true;
     }
-    const struct spec *spec = job->spec;
-    if (dealt->class == 0) {
-        const struct machine_type *type = type_smallest(shard->view->types, spec);
-        dealt->class =
-            type ? arq_class(room_share(room_of_spec(spec), room_of_type(type))) : ARQ_CLASSES;
-        dealt->queue = dealt->class;
+    const struct job_spec *spec = job->spec;
+    if (dispatch->task_class == 0) {
+        const struct machine_type *type =
+            machine_type_smallest_fit(shard->replica->machine_types, spec);
+        dispatch->task_class =
+            type ? arq_class(resources_dominant_share(resources_of_job_spec(spec),
+                                                      resources_of_machine_type(type)))
+                 : ARQ_CLASSES;
+        dispatch->queue_class = dispatch->task_class;
         /* What is bound to a machine chooses first: of the others none needs just that one. */
-        if (!dealt->at[0]) {
-            g_queue_push_tail(&shard->queues[dealt->queue], g_memdup2(dealt, sizeof *dealt));
+        if (!dispatch->bound_machine[0]) {
+            g_queue_push_tail(&shard->queues[dispatch->queue_class],
+                              g_memdup2(dispatch, sizeof *dispatch));
             return true;
         }
     }
-    enum arq_move move = consult(shard, dealt, spec, rule_time);
-    struct survey v = {.none = true};
-    if (!finds_none(shard, dealt, spec))
-        survey(shard, dealt, spec, &v);
-    struct host *host = v.none ? NULL : place(shard, dealt, spec, &v, move, job->urgency);
-    if (host) {
-        take_host(shard, dealt, host, spec);
+    enum arq_move move = decide_move(shard, dispatch, spec, is_rule_time);
+    struct candidate_set candidates = {.is_empty = true};
+    if (!is_known_unschedulable(shard, dispatch, spec))
+        find_candidates(shard, dispatch, spec, &candidates);
+    struct machine *machine =
+        candidates.is_empty
+            ? NULL
+            : choose_machine(shard, dispatch, spec, &candidates, move, job->inherited_priority);
+    if (machine) {
+        place_task(shard, dispatch, machine, spec);
         return true;
     }
     if (move == ARQ_SWITCH) {
-        dealt->queue++;
-        dealt->queue_since = now;
-        g_queue_push_tail(&shard->queues[dealt->queue], g_memdup2(dealt, sizeof *dealt));
+        dispatch->queue_class++;
+        dispatch->queued_at = now;
+        g_queue_push_tail(&shard->queues[dispatch->queue_class],
+                          g_memdup2(dispatch, sizeof *dispatch));
         return true;
     }
-    if (v.none)
-        note_none(shard, dealt, spec);
-    if (v.none && (time_ms_since(now, dealt->since) > GIVE_BACK_MS || dealt->at[0])) {
-        raise_if_kept(shard, dealt);
-        shard_give_back(shard, dealt);
+    if (candidates.is_empty)
+        remember_unschedulable(shard, dispatch, spec);
+    if (candidates.is_empty && (time_ms_since(now, dispatch->dispatched_at) > MAX_QUEUE_TIME_MS ||
+                                dispatch->bound_machine[0])) {
+        request_epoch_if_blocked(shard, dispatch);
+        shard_reject_dispatch(shard, dispatch);
         return true;
     }
     return false;
 }
 
-void shard_place_soon(struct shard *shard)
+void shard_request_placement(struct shard *shard)
 {
-    if (shard->room_changed && !shard->place.place)
-        timer_start(shard->loop, &shard->place, PLACE_MS);
+    if (shard->capacity_changed && !shard->placement_timer.queue_position)
+        timer_start(shard->loop, &shard->placement_timer, PLACEMENT_DELAY_MS);
 }
 
-void shard_place_all(void *arg)
+void shard_place_tasks(void *arg)
 {
     struct shard *shard = arg;
-    if (!membership_valid(shard->members))
+    if (!membership_has_valid_lease(shard->membership))
         return;
     mono_time now = loop_now(shard->loop);
-    shard->kept_looks = 0;
-    bool rule_time = time_ms_since(now, shard->last_switch) >= SWITCH_MS;
-    if (!rule_time && !shard->room_changed)
+    shard->blocked_attempt_searches = 0;
+    bool is_rule_time = time_ms_since(now, shard->last_switch_rule_at) >= SWITCH_RULE_INTERVAL_MS;
+    if (!is_rule_time && !shard->capacity_changed)
         return;
-    shard->room_changed = false;
-    if (rule_time)
-        shard->last_switch = now;
+    shard->capacity_changed = false;
+    if (is_rule_time)
+        shard->last_switch_rule_at = now;
     guint waiting = 0;
-    for (int q = 0; q <= ARQ_CLASSES; q++)
-        waiting += shard->queues[q].length;
+    for (int queue_class = 0; queue_class <= ARQ_CLASSES; queue_class++)
+        waiting += shard->queues[queue_class].length;
     if (!waiting)
         return;
-    find_roomy(shard);
-    g_array_set_size(shard->nones, 0);
-    for (int q = 0; q <= ARQ_CLASSES; q++) {
-        guint n = shard->queues[q].length;
-        for (guint i = 0; i < n; i++) {
-            struct dealt *dealt = g_queue_pop_head(&shard->queues[q]);
-            if (settle_dealt(shard, dealt, rule_time))
-                g_free(dealt);
+    collect_available_machines(shard);
+    g_array_set_size(shard->unschedulable, 0);
+    for (int queue_class = 0; queue_class <= ARQ_CLASSES; queue_class++) {
+        guint queue_length = shard->queues[queue_class].length;
+        for (guint i = 0; i < queue_length; i++) {
+            struct dispatch *dispatch = g_queue_pop_head(&shard->queues[queue_class]);
+            if (process_dispatch(shard, dispatch, is_rule_time))
+                g_free(dispatch);
             else
-                g_queue_push_tail(&shard->queues[q], dealt);
+                g_queue_push_tail(&shard->queues[queue_class], dispatch);
         }
     }
 }
--- a/src/singleton/role_codec.c
+++ b/src/singleton/role_codec.c
@@ -2,90 +2,97 @@
 
 #include <stdlib.h>
 
-static const char *const names[DUTIES] = {"fleet", "cleanup"};
+static const char *const names[ROLE_COUNT] = {"fleet", "cleanup"};
 
 /* Of the array that describes a request to rent. */
-enum rent_field { RENT_NAME, RENT_TYPE, RENT_ZONE, RENT_SPOT, RENT_NUMBER, RENT_FIELDS };
-
-const char *duty_name(enum duty duty)
+enum scale_out_field {
+    SCALE_OUT_REQUEST_ID,
+    SCALE_OUT_MACHINE_TYPE,
+    SCALE_OUT_ZONE,
+    SCALE_OUT_IS_SPOT,
+    SCALE_OUT_MACHINE_COUNT,
+    SCALE_OUT_FIELD_COUNT
+};
+
+const char *singleton_role_name(enum singleton_role role)
 {
-    return names[duty];
+    return names[role];
 }
 
-char *key_duty(enum duty duty)
+char *key_role(enum singleton_role role)
 {
-    return g_strconcat(KEY_DUTIES, names[duty], NULL);
+    return g_strconcat(KEY_ROLE_PREFIX, names[role], NULL);
 }
 
-char *key_intents(enum duty duty, int page)
+char *key_intent_page(enum singleton_role role, int page)
 {
-    return g_strdup_printf(KEY_INTENTS "%s/%d", names[duty], page);
+    return g_strdup_printf(KEY_INTENT_PREFIX "%s/%d", names[role], page);
 }
 
-static bool duty_named(const char *name, size_t len, enum duty *duty)
+static bool find_role_by_name(const char *name, size_t len, enum singleton_role *role)
 {
-    for (int i = 0; i < DUTIES; i++)
+    for (int i = 0; i < ROLE_COUNT; i++)
         if (strlen(names[i]) == len && strncmp(names[i], name, len) == 0) {
-            *duty = (enum duty)i;
+            *role = (enum singleton_role)i;
             return true;
         }
     return false;
 }
 
-bool key_duty_read(const char *key, enum duty *duty)
+bool key_role_parse(const char *key, enum singleton_role *role)
 {
-    if (!g_str_has_prefix(key, KEY_DUTIES))
+    if (!g_str_has_prefix(key, KEY_ROLE_PREFIX))
         return false;
-    const char *name = key + strlen(KEY_DUTIES);
-    return duty_named(name, strlen(name), duty);
+    const char *name = key + strlen(KEY_ROLE_PREFIX);
+    return find_role_by_name(name, strlen(name), role);
 }
 
-bool key_intents_read(const char *key, enum duty *duty, int *page)
+bool key_intent_page_parse(const char *key, enum singleton_role *role, int *page)
 {
-    if (!g_str_has_prefix(key, KEY_INTENTS))
+    if (!g_str_has_prefix(key, KEY_INTENT_PREFIX))
         return false;
-    const char *name = key + strlen(KEY_INTENTS), *slash = strchr(name, '/');
-    if (!slash || !duty_named(name, (size_t)(slash - name), duty))
+    const char *name = key + strlen(KEY_INTENT_PREFIX), *slash = strchr(name, '/');
+    if (!slash || !find_role_by_name(name, (size_t)(slash - name), role))
         return false;
     *page = (int)strtol(slash + 1, NULL, 10);
     return *page >= 0;
 }
 
-json_object *duty_holder_write(const struct duty_holder *holder)
+json_object *role_holder_encode(const struct role_holder *holder)
 {
     json_object *value = json_object_new_object();
     json_put_text(value, "n", holder->label);
-    json_put_u64(value, "i", holder->incarnation.v);
+    json_put_u64(value, "i", holder->incarnation.value);
     return value;
 }
 
-bool duty_holder_read(json_object *value, struct duty_holder *out)
+bool role_holder_decode(json_object *value, struct role_holder *out)
 {
     return json_copy_text(value, "n", out->label, sizeof out->label) &&
-           json_u64(value, "i", &out->incarnation.v);
+           json_get_u64(value, "i", &out->incarnation.value);
 }
 
-static json_object *rent_write(const struct intent *intent)
+static json_object *encode_scale_out(const struct intent *intent)
 {
     json_object *fields = json_object_new_array();
     json_object_array_add(fields, json_object_new_string(intent->name));
     json_object_array_add(fields, json_object_new_string(intent->type_name));
     json_object_array_add(fields, json_object_new_string(intent->zone));
-    json_object_array_add(fields, json_object_new_boolean(intent->spot));
-    json_object_array_add(fields, json_object_new_int(intent->number));
+    json_object_array_add(fields, json_object_new_boolean(intent->is_spot));
+    json_object_array_add(fields, json_object_new_int(intent->machine_count));
     return fields;
 }
 
-json_object *intents_write(duty_token token, const GPtrArray *intents)
+json_object *intents_encode(fencing_token token, const GPtrArray *intents)
 {
     json_object *value = json_object_new_object();
     json_object *returns = json_object_new_array(), *rents = json_object_new_array();
     for (guint i = 0; i < intents->len; i++) {
         const struct intent *intent = intents->pdata[i];
-        if (intent->kind == INTENT_RETURN)
+        if (intent->kind == INTENT_SCALE_IN)
             json_object_array_add(returns, json_object_new_string(intent->name));
         else
-            json_object_array_add(rents, rent_write(intent));
+            json_object_array_add(rents, encode_scale_out(intent));
     }
     json_put_u64(value, "t", token.v);
     json_object_object_add(value, "return", returns);
@@ -99,37 +106,39 @@
            g_strlcpy(out, json_object_get_string(text), size) < size;
 }
 
-static bool rent_read(json_object *fields, struct intent *out)
+static bool decode_scale_out(json_object *fields, struct intent *out)
 {
     if (!json_object_is_type(fields, json_type_array) ||
-        json_object_array_length(fields) != RENT_FIELDS)
+        json_object_array_length(fields) != SCALE_OUT_FIELD_COUNT)
         return false;
-    json_object *spot = json_object_array_get_idx(fields, RENT_SPOT);
-    json_object *number = json_object_array_get_idx(fields, RENT_NUMBER);
-    out->kind = INTENT_RENT;
-    out->spot = json_object_get_boolean(spot);
-    out->number = json_object_get_int(number);
-    return copy_text(json_object_array_get_idx(fields, RENT_NAME), out->name, sizeof out->name) &&
-           copy_text(json_object_array_get_idx(fields, RENT_TYPE), out->type_name,
+    json_object *spot = json_object_array_get_idx(fields, SCALE_OUT_IS_SPOT);
+    json_object *number = json_object_array_get_idx(fields, SCALE_OUT_MACHINE_COUNT);
+    out->kind = INTENT_SCALE_OUT;
+    out->is_spot = json_object_get_boolean(spot);
+    out->machine_count = json_object_get_int(number);
+    return copy_text(json_object_array_get_idx(fields, SCALE_OUT_REQUEST_ID), out->name,
+                     sizeof out->name) &&
+           copy_text(json_object_array_get_idx(fields, SCALE_OUT_MACHINE_TYPE), out->type_name,
                      sizeof out->type_name) &&
-           copy_text(json_object_array_get_idx(fields, RENT_ZONE), out->zone, sizeof out->zone) &&
+           copy_text(json_object_array_get_idx(fields, SCALE_OUT_ZONE), out->zone,
+                     sizeof out->zone) &&
            json_object_is_type(spot, json_type_boolean) &&
-           json_object_is_type(number, json_type_int) && out->number > 0;
+           json_object_is_type(number, json_type_int) && out->machine_count > 0;
 }
 
-bool intents_read(json_object *value, duty_token *token, GPtrArray *out)
+bool intents_decode(json_object *value, fencing_token *token, GPtrArray *out)
 {
-    json_object *returns = json_list(value, "return"), *rents = json_list(value, "rent");
-    bool ok = returns && rents && json_u64(value, "t", &token->v);
+    json_object *returns = json_get_array(value, "return"), *rents = json_get_array(value, "rent");
+    bool ok = returns && rents && json_get_u64(value, "t", &token->v);
     for (size_t i = 0; ok && i < json_object_array_length(returns); i++) {
-        struct intent intent = {.kind = INTENT_RETURN};
+        struct intent intent = {.kind = INTENT_SCALE_IN};
         ok = copy_text(json_object_array_get_idx(returns, i), intent.name, sizeof intent.name);
         if (ok)
             g_ptr_array_add(out, g_memdup2(&intent, sizeof intent));
     }
     for (size_t i = 0; ok && i < json_object_array_length(rents); i++) {
         struct intent intent = {0};
-        ok = rent_read(json_object_array_get_idx(rents, i), &intent);
+        ok = decode_scale_out(json_object_array_get_idx(rents, i), &intent);
         if (ok)
             g_ptr_array_add(out, g_memdup2(&intent, sizeof intent));
     }
--- a/src/singleton/role_codec.h
+++ b/src/singleton/role_codec.h
@@ -9,26 +9,26 @@
 #include "json_fields.h"
 #include "role_types.h"
 
-#define KEY_DUTIES "ll/duty/"
-#define KEY_INTENTS "ll/pending/"
+#define KEY_ROLE_PREFIX "ll/duty/"
+#define KEY_INTENT_PREFIX "ll/pending/"
 
 /* The word for a duty in keys and logs. */
-const char *duty_name(enum duty duty);
+const char *singleton_role_name(enum singleton_role role);
 
 /* A new text each. */
-char *key_duty(enum duty duty);
-char *key_intents(enum duty duty, int page);
+char *key_role(enum singleton_role role);
+char *key_intent_page(enum singleton_role role, int page);
 /* Read the parts of such keys; false: it is none of a known duty. */
-bool key_duty_read(const char *key, enum duty *duty);
-bool key_intents_read(const char *key, enum duty *duty, int *page);
+bool key_role_parse(const char *key, enum singleton_role *role);
+bool key_intent_page_parse(const char *key, enum singleton_role *role, int *page);
 
 /* The value of a duty's record. */
-json_object *duty_holder_write(const struct duty_holder *holder);
-bool duty_holder_read(json_object *value, struct duty_holder *out);
+json_object *role_holder_encode(const struct role_holder *holder);
+bool role_holder_decode(json_object *value, struct role_holder *out);
 
 /* The value of a page: the token under which it is written, and its intents (struct intent *). */
-json_object *intents_write(duty_token token, const GPtrArray *intents);
+json_object *intents_encode(fencing_token token, const GPtrArray *intents);
 /* Adds the intents of a page, new ones; false if any of it is malformed. */
-bool intents_read(json_object *value, duty_token *token, GPtrArray *out);
+bool intents_decode(json_object *value, fencing_token *token, GPtrArray *out);
 
 #endif
--- a/src/singleton/role_manager.c
+++ b/src/singleton/role_manager.c
@@ -4,273 +4,276 @@
 
 enum { CLAIM_RETRY_MS = 150 };
 
-enum duty_phase {
-    PHASE_FREE,     /* not held by this process */
-    PHASE_CLAIMING, /* a claim is on its way */
-    PHASE_HELD,
-    PHASE_LEAVING, /* a release or a hand-over is on its way */
+enum role_phase {
+    ROLE_NOT_HELD, /* not held by this process */
+    ROLE_CLAIMING, /* a claim is on its way */
+    ROLE_HELD,
+    ROLE_RELEASING, /* a release or a hand-over is on its way */
 };
 
 /* One duty, as this node sees it. */
-struct standing {
-    struct duties *duties;
-    enum duty duty;
-    enum duty_phase phase;
-    bool wanted;
-    duty_token token;     /* with PHASE_HELD and PHASE_LEAVING */
-    mono_time not_before; /* the next claim */
-    revision settled_at;  /* the replica has to be there to tell what became of a transaction */
-    bool unsettled;       /* it was not within the time allowed, and is waited for again */
+struct role_state {
+    struct role_manager *manager;
+    enum singleton_role role;
+    enum role_phase phase;
+    bool is_wanted;
+    fencing_token token;      /* with ROLE_HELD and ROLE_RELEASING */
+    mono_time next_claim_at;  /* the next claim */
+    revision settle_revision; /* the replica has to be there to tell what became of a transaction */
+    bool settle_timed_out;    /* it was not within the time allowed, and is waited for again */
 };
 
-struct duties {
-    struct duties_setup setup;
-    struct standing standings[DUTIES];
+struct role_manager {
+    struct role_manager_config config;
+    struct role_state states[ROLE_COUNT];
     GPtrArray *listeners;
-    struct timer retry;
+    struct timer retry_timer;
 };
 
-static void await_settled(struct standing *standing);
+static void await_settled(struct role_state *state);
 
-static void retry(void *arg)
+static void on_retry_timer(void *arg)
 {
-    struct duties *duties = arg;
-    for (int i = 0; i < DUTIES; i++)
-        if (duties->standings[i].unsettled)
-            await_settled(&duties->standings[i]);
-    duties_consider(duties);
+    struct role_manager *manager = arg;
+    for (int i = 0; i < ROLE_COUNT; i++)
+        if (manager->states[i].settle_timed_out)
+            await_settled(&manager->states[i]);
+    role_manager_reconcile(manager);
 }
 
-struct duties *duties_new(const struct duties_setup *setup)
+struct role_manager *role_manager_new(const struct role_manager_config *setup)
 {
-    struct duties *duties = g_new0(struct duties, 1);
-    duties->setup = *setup;
-    duties->listeners = g_ptr_array_new();
-    for (int i = 0; i < DUTIES; i++)
-        duties->standings[i] = (struct standing){.duties = duties, .duty = (enum duty)i};
-    timer_init(&duties->retry, retry, duties);
-    return duties;
+    struct role_manager *manager = g_new0(struct role_manager, 1);
+    manager->config = *setup;
+    manager->listeners = g_ptr_array_new();
+    for (int i = 0; i < ROLE_COUNT; i++)
+        manager->states[i] =
+            (struct role_state){.manager = manager, .role = (enum singleton_role)i};
+    timer_init(&manager->retry_timer, on_retry_timer, manager);
+    return manager;
 }
 
-void duties_free(struct duties *duties)
+void role_manager_free(struct role_manager *manager)
 {
-    timer_stop(duties->setup.loop, &duties->retry);
-    g_ptr_array_unref(duties->listeners);
-    g_free(duties);
+    timer_stop(manager->config.loop, &manager->retry_timer);
+    g_ptr_array_unref(manager->listeners);
+    g_free(manager);
 }
 
-void duties_listen(struct duties *duties, struct actor *listener)
+void role_manager_add_listener(struct role_manager *manager, struct actor *listener)
 {
-    g_ptr_array_add(duties->listeners, listener);
+    g_ptr_array_add(manager->listeners, listener);
 }
 
-static void tell(const struct standing *standing, bool gained)
+static void notify_listeners(const struct role_state *state, bool gained)
 {
-    const struct duties *duties = standing->duties;
-    struct duty_change change = {standing->duty, gained, standing->token};
+    const struct role_manager *manager = state->manager;
+    struct role_change change = {state->role, gained, state->token};
     LOG_INFO(gained ? "duty_gained" : "duty_lost", "duty=%s token=%" G_GUINT64_FORMAT,
-             duty_name(standing->duty), standing->token.v);
-    for (guint i = 0; i < duties->listeners->len; i++)
-        actor_send(duties->setup.loop, duties->listeners->pdata[i], MSG_DUTY,
+             singleton_role_name(state->role), state->token.v);
+    for (guint i = 0; i < manager->listeners->len; i++)
+        actor_send(manager->config.loop, manager->listeners->pdata[i], MSG_ROLE_CHANGE,
                    g_memdup2(&change, sizeof change), g_free);
 }
 
-static lease_id own_lease(const struct duties *duties)
+static lease_id get_own_lease(const struct role_manager *manager)
 {
-    return duties->setup.lease(duties->setup.ctx);
+    return manager->config.get_lease(manager->config.ctx);
 }
 
 /* Whether the record names this process. */
-static bool record_is_own(const struct duties *duties, enum duty duty)
+static bool record_is_own(const struct role_manager *manager, enum singleton_role role)
 {
-    const struct duty_record *record = duty_table_record(duties->setup.table, duty);
-    lease_id lease = own_lease(duties);
-    return record->token.v && lease.v && record->holder.incarnation.v == lease.v &&
-           strcmp(record->holder.label, duties->setup.label) == 0;
+    const struct role_record *record = role_records_get(manager->config.records, role);
+    lease_id lease = get_own_lease(manager);
+    return record->token.v && lease.value && record->holder.incarnation.value == lease.value &&
+           strcmp(record->holder.label, manager->config.label) == 0;
 }
 
-static void schedule(struct duties *duties)
+static void schedule_retry(struct role_manager *manager)
 {
-    if (!duties->retry.place)
-        timer_start(duties->setup.loop, &duties->retry, CLAIM_RETRY_MS);
+    if (!manager->retry_timer.queue_position)
+        timer_start(manager->config.loop, &manager->retry_timer, CLAIM_RETRY_MS);
 }
 
 /* The transaction of a claim, a release or a hand-over is settled: the records tell what holds.
  * One whose answer was lost may still be carried out later; then the record changes once more. */
-static void settled(void *arg, bool ok)
+static void on_settled(void *arg, bool ok)
 {
-    struct standing *standing = arg;
-    standing->unsettled = !ok;
+    struct role_state *state = arg;
+    state->settle_timed_out = !ok;
     if (!ok) {
-        schedule(standing->duties);
+        schedule_retry(state->manager);
         return;
     }
-    standing->phase = PHASE_FREE;
-    standing->not_before = time_add_ms(loop_now(standing->duties->setup.loop), CLAIM_RETRY_MS);
-    duties_consider(standing->duties);
+    state->phase = ROLE_NOT_HELD;
+    state->next_claim_at = time_add_ms(loop_now(state->manager->config.loop), CLAIM_RETRY_MS);
+    role_manager_reconcile(state->manager);
 }
 
-static void await_settled(struct standing *standing)
+static void await_settled(struct role_state *state)
 {
-    const struct duties_setup *setup = &standing->duties->setup;
-    standing->unsettled = false;
-    setup->await(setup->ctx, standing->settled_at, settled, standing);
+    const struct role_manager_config *setup = &state->manager->config;
+    state->settle_timed_out = false;
+    setup->await_revision(setup->ctx, state->settle_revision, on_settled, state);
 }
 
-static void txn_answered(void *arg, const struct txn_outcome *outcome)
+static void on_txn_done(void *arg, const struct txn_outcome *outcome)
 {
-    struct standing *standing = arg;
-    bool known = outcome->result == TXN_DONE || outcome->result == TXN_CONFLICT;
-    standing->settled_at = known ? outcome->at : (revision){0};
-    await_settled(standing);
+    struct role_state *state = arg;
+    bool known = outcome->status == TXN_COMMITTED || outcome->status == TXN_CONFLICT;
+    state->settle_revision = known ? outcome->at_revision : (revision){0};
+    await_settled(state);
 }
 
-static struct txn *guarded(const struct standing *standing)
+static struct txn *new_guarded_txn(const struct role_state *state)
 {
     struct txn *txn = txn_new();
-    char *key = key_duty(standing->duty);
-    txn_when(txn, key, (revision){standing->token.v});
+    char *key = key_role(state->role);
+    txn_compare(txn, key, (revision){state->token.v});
     g_free(key);
     return txn;
 }
 
-static void send(struct standing *standing, struct txn *txn)
+static void send_txn(struct role_state *state, struct txn *txn)
 {
-    store_txn(standing->duties->setup.store, LANE_URGENT, txn, txn_answered, standing);
+    kv_client_commit(state->manager->config.kv, KV_LANE_URGENT, txn, on_txn_done, state);
 }
 
-static void claim(struct standing *standing)
+static void send_claim(struct role_state *state)
 {
-    const struct duties_setup *setup = &standing->duties->setup;
-    struct duty_holder self = {.incarnation = own_lease(standing->duties)};
+    const struct role_manager_config *setup = &state->manager->config;
+    struct role_holder self = {.incarnation = get_own_lease(state->manager)};
     g_strlcpy(self.label, setup->label, sizeof self.label);
-    standing->phase = PHASE_CLAIMING;
-    standing->token.v = 0;
-    struct txn *txn = guarded(standing);
-    if (setup->claim_conditions)
-        setup->claim_conditions(setup->ctx, standing->duty, txn);
-    char *key = key_duty(standing->duty);
-    txn_set(txn, key, duty_holder_write(&self), self.incarnation);
+    state->phase = ROLE_CLAIMING;
+    state->token.v = 0;
+    struct txn *txn = new_guarded_txn(state);
+    if (setup->add_claim_compares)
+        setup->add_claim_compares(setup->ctx, state->role, txn);
+    char *key = key_role(state->role);
+    txn_put(txn, key, role_holder_encode(&self), self.incarnation);
     g_free(key);
-    send(standing, txn);
+    send_txn(state, txn);
 }
 
 /* The duty is given up at once; the record follows. */
-static void leave(struct standing *standing)
+static void begin_release(struct role_state *state)
 {
-    standing->phase = PHASE_LEAVING;
-    tell(standing, false);
+    state->phase = ROLE_RELEASING;
+    notify_listeners(state, false);
 }
 
-static void give_up(struct standing *standing)
+static void send_release(struct role_state *state)
 {
-    leave(standing);
-    struct txn *txn = guarded(standing);
-    char *key = key_duty(standing->duty);
-    txn_remove(txn, key);
+    begin_release(state);
+    struct txn *txn = new_guarded_txn(state);
+    char *key = key_role(state->role);
+    txn_delete(txn, key);
     g_free(key);
-    send(standing, txn);
+    send_txn(state, txn);
 }
 
-static void lose(struct standing *standing)
+static void mark_lost(struct role_state *state)
 {
-    standing->phase = PHASE_FREE;
-    tell(standing, false);
-    standing->token.v = 0;
+    state->phase = ROLE_NOT_HELD;
+    notify_listeners(state, false);
+    state->token.v = 0;
 }
 
 /* The record says that this process holds it: by its claim, by one whose answer was lost, or by
  * another's hand-over. The replica then holds all that earlier holders recorded, as their writes
  * were conditioned on their tokens. */
-static void gain(struct standing *standing)
+static void mark_gained(struct role_state *state)
 {
-    standing->phase = PHASE_HELD;
-    standing->token = duty_table_record(standing->duties->setup.table, standing->duty)->token;
-    tell(standing, true);
+    state->phase = ROLE_HELD;
+    state->token = role_records_get(state->manager->config.records, state->role)->token;
+    notify_listeners(state, true);
 }
 
-static void consider_one(struct standing *standing)
+static void reconcile_role(struct role_state *state)
 {
-    struct duties *duties = standing->duties;
-    const struct duty_record *record = duty_table_record(duties->setup.table, standing->duty);
-    bool own = record_is_own(duties, standing->duty);
-    if (standing->phase == PHASE_HELD && (!own || record->token.v != standing->token.v))
-        lose(standing);
-    if (standing->phase == PHASE_FREE && own)
-        gain(standing);
-    if (standing->phase == PHASE_HELD && !standing->wanted)
-        give_up(standing);
-    if (standing->phase != PHASE_FREE || !standing->wanted || record->token.v)
+    struct role_manager *manager = state->manager;
+    const struct role_record *record = role_records_get(manager->config.records, state->role);
+    bool own = record_is_own(manager, state->role);
+    if (state->phase == ROLE_HELD && (!own || record->token.v != state->token.v))
+        mark_lost(state);
+    if (state->phase == ROLE_NOT_HELD && own)
+        mark_gained(state);
+    if (state->phase == ROLE_HELD && !state->is_wanted)
+        send_release(state);
+    if (state->phase != ROLE_NOT_HELD || !state->is_wanted || record->token.v)
         return;
-    if (!duties->setup.lease_holds(duties->setup.ctx))
+    if (!manager->config.lease_is_valid(manager->config.ctx))
         return;
-    if (time_before(loop_now(duties->setup.loop), standing->not_before))
-        schedule(duties);
+    if (time_before(loop_now(manager->config.loop), state->next_claim_at))
+        schedule_retry(manager);
     else
-        claim(standing);
+        send_claim(state);
 }
 
-void duties_consider(struct duties *duties)
+void role_manager_reconcile(struct role_manager *manager)
 {
-    for (int i = 0; i < DUTIES; i++)
-        consider_one(&duties->standings[i]);
+    for (int i = 0; i < ROLE_COUNT; i++)
+        reconcile_role(&manager->states[i]);
 }
 
-void duties_claim(struct duties *duties, enum duty duty)
+void role_manager_claim(struct role_manager *manager, enum singleton_role role)
 {
-    struct standing *standing = &duties->standings[duty];
-    if (standing->wanted && standing->phase != PHASE_FREE)
+    struct role_state *state = &manager->states[role];
+    if (state->is_wanted && state->phase != ROLE_NOT_HELD)
         return;
-    standing->wanted = true;
-    consider_one(standing);
+    state->is_wanted = true;
+    reconcile_role(state);
 }
 
-void duties_release(struct duties *duties, enum duty duty)
+void role_manager_release(struct role_manager *manager, enum singleton_role role)
 {
-    struct standing *standing = &duties->standings[duty];
-    if (!standing->wanted && standing->phase == PHASE_FREE)
+    struct role_state *state = &manager->states[role];
+    if (!state->is_wanted && state->phase == ROLE_NOT_HELD)
         return;
-    standing->wanted = false;
-    consider_one(standing);
+    state->is_wanted = false;
+    reconcile_role(state);
 }
 
-bool duties_hand_over(struct duties *duties, enum duty duty, const struct duty_holder *successor)
+bool role_manager_hand_over(struct role_manager *manager, enum singleton_role role,
+                            const struct role_holder *successor)
 {
-    struct standing *standing = &duties->standings[duty];
-    if (standing->phase != PHASE_HELD)
+    struct role_state *state = &manager->states[role];
+    if (state->phase != ROLE_HELD)
         return false;
-    standing->wanted = false;
-    leave(standing);
-    struct txn *txn = guarded(standing);
-    char *key = key_duty(duty);
+    state->is_wanted = false;
+    begin_release(state);
+    struct txn *txn = new_guarded_txn(state);
+    char *key = key_role(role);
     /* On the successor's lease: if that is over, the transaction is refused. */
-    txn_set(txn, key, duty_holder_write(successor), successor->incarnation);
+    txn_put(txn, key, role_holder_encode(successor), successor->incarnation);
     g_free(key);
-    send(standing, txn);
+    send_txn(state, txn);
     return true;
 }
 
-bool duties_holds(const struct duties *duties, enum duty duty)
+bool role_manager_holds(const struct role_manager *manager, enum singleton_role role)
 {
-    const struct standing *standing = &duties->standings[duty];
-    return standing->phase == PHASE_HELD && record_is_own(duties, duty) &&
-           duty_table_record(duties->setup.table, duty)->token.v == standing->token.v;
+    const struct role_state *state = &manager->states[role];
+    return state->phase == ROLE_HELD && record_is_own(manager, role) &&
+           role_records_get(manager->config.records, role)->token.v == state->token.v;
 }
 
-bool duties_may_act(struct duties *duties, enum duty duty)
+bool role_manager_may_act(struct role_manager *manager, enum singleton_role role)
 {
-    loop_refresh(duties->setup.loop);
-    return duties_holds(duties, duty) && duties->setup.lease_holds(duties->setup.ctx);
+    loop_refresh(manager->config.loop);
+    return role_manager_holds(manager, role) && manager->config.lease_is_valid(manager->config.ctx);
 }
 
-duty_token duties_token(const struct duties *duties, enum duty duty)
+fencing_token role_manager_get_token(const struct role_manager *manager, enum singleton_role role)
 {
-    return duties->standings[duty].token;
+    return manager->states[role].token;
 }
 
-void duties_guard(const struct duties *duties, enum duty duty, struct txn *txn)
+void role_manager_add_guard(const struct role_manager *manager, enum singleton_role role,
+                            struct txn *txn)
 {
-    char *key = key_duty(duty);
-    txn_when(txn, key, (revision){duties_token(duties, duty).v});
+    char *key = key_role(role);
+    txn_compare(txn, key, (revision){role_manager_get_token(manager, role).v});
     g_free(key);
 }
--- a/src/singleton/role_records.h
+++ b/src/singleton/role_records.h
@@ -6,29 +6,30 @@
 
 /* A page of intents as it stands in the state service. */
 struct intent_page {
-    enum duty duty;
+    enum singleton_role role;
     int number;
-    revision stamp;
+    revision mod_revision;
     GPtrArray *intents; /* struct intent */
 };
 
-struct duty_table;
+struct role_records;
 
-struct duty_table *duty_table_new(void);
-void duty_table_free(struct duty_table *table);
+struct role_records *role_records_new(void);
+void role_records_free(struct role_records *records);
 
 /* Takes the value of one of the package's keys (NULL: it was removed); false: it is another key.
  * Machines whose return was recorded, or is not any more, are added to changed (char *). */
-bool duty_table_apply(struct duty_table *table, const char *key, json_object *value, revision stamp,
-                      GPtrArray *changed);
+bool role_records_apply(struct role_records *records, const char *key, json_object *value,
+                        revision mod_revision, GPtrArray *changed_machines);
 
-const struct duty_record *duty_table_record(const struct duty_table *table, enum duty duty);
+const struct role_record *role_records_get(const struct role_records *records,
+                                           enum singleton_role role);
 /* The page, or NULL. */
-const struct intent_page *duty_table_page(const struct duty_table *table, enum duty duty,
-                                          int number);
+const struct intent_page *role_records_get_page(const struct role_records *records,
+                                                enum singleton_role role, int number);
 /* All pages of a duty (const struct intent_page *), in no order: a new array. */
-GPtrArray *duty_table_pages(const struct duty_table *table, enum duty duty);
+GPtrArray *role_records_list_pages(const struct role_records *records, enum singleton_role role);
 /* Whether it is on record that the machine is to be returned: nothing may be placed on it. */
-bool duty_table_returning(const struct duty_table *table, const char *machine);
+bool role_records_is_scaling_in(const struct role_records *records, const char *machine);
 
 #endif
--- a/src/singleton/role_types.h
+++ b/src/singleton/role_types.h
@@ -8,34 +8,34 @@
 
 #include "types.h"
 
-/* The duties; duty_name gives each a word. */
-enum duty {
-    DUTY_FLEET,   /* renting and returning machines */
-    DUTY_CLEANUP, /* removing what nodes that are away left in the state service */
-    DUTIES,
+/* The duties; singleton_role_name gives each a word. */
+enum singleton_role {
+    ROLE_AUTOSCALER,        /* renting and returning machines */
+    ROLE_GARBAGE_COLLECTOR, /* removing what nodes that are away left in the state service */
+    ROLE_COUNT,
 };
 
 /* The fencing token of one holding of a duty: the revision of its record. 0: none. */
 typedef struct {
     uint64_t v;
-} duty_token;
+} fencing_token;
 
 /* A process that holds a duty: its node's label, and the lease that its keys hang on. */
-struct duty_holder {
+struct role_holder {
     char label[64];
     lease_id incarnation;
 };
 
 /* Who holds a duty. */
-struct duty_record {
-    struct duty_holder holder;
-    duty_token token; /* 0: nobody holds it */
+struct role_record {
+    struct role_holder holder;
+    fencing_token token; /* 0: nobody holds it */
 };
 
 /* What the holder of a duty is about to do outside the state service. */
 enum intent_kind {
-    INTENT_RETURN, /* of a machine to the cloud */
-    INTENT_RENT,   /* of machines, by the name of the request */
+    INTENT_SCALE_IN,  /* of a machine to the cloud */
+    INTENT_SCALE_OUT, /* of machines, by the name of the request */
 };
 
 struct intent {
@@ -43,8 +43,8 @@
     char name[128]; /* the machine, or the request */
     /* Of a request to rent: */
     char type_name[48], zone[48];
-    bool spot;
-    int number;
+    bool is_spot;
+    int machine_count;
 };
 
 #endif
--- a/src/wire/agent_codec.c
+++ b/src/wire/agent_codec.c
@@ -8,107 +8,113 @@
                                           "error", "no_room", "busy",  "no_such"};
 static const char *const verb_words[] = {"run", "halt", "clear"};
 
-void report_clear(struct report *report)
+void heartbeat_clear(struct heartbeat *heartbeat)
 {
-    if (report->tasks)
-        g_array_unref(report->tasks);
-    report->tasks = NULL;
+    if (heartbeat->tasks)
+        g_array_unref(heartbeat->tasks);
+    heartbeat->tasks = NULL;
 }
 
-bool task_name_read(const char *text, job_id *job, uint32_t *index)
+bool task_name_parse(const char *text, job_id *job, uint32_t *index)
 {
     const char *slash = strrchr(text, '/');
-    if (!slash || slash == text || slash - text >= (int)sizeof job->s || !g_ascii_isdigit(slash[1]))
+    if (!slash || slash == text || slash - text >= (int)sizeof job->text ||
+        !g_ascii_isdigit(slash[1]))
         return false;
-    char name[sizeof job->s];
+    char name[sizeof job->text];
     memcpy(name, text, slash - text);
     name[slash - text] = 0;
     char *end;
-    unsigned long v = strtoul(slash + 1, &end, 10);
-    if (*end || v > 100000)
+    unsigned long number = strtoul(slash + 1, &end, 10);
+    if (*end || number > 100000)
         return false;
-    *index = (uint32_t)v;
-    return job_id_from(job, name);
+    *index = (uint32_t)number;
+    return job_id_parse(job, name);
 }
 
-static bool report_task_read(json_object *object, struct report_task *task)
+static bool heartbeat_task_decode(json_object *object, struct heartbeat_task *task)
 {
     const char *name, *state, *cause = NULL;
-    if (!json_text(object, "Piece", &name) || !task_name_read(name, &task->job, &task->index) ||
-        !json_u64(object, "Try", &task->attempt.v) || !json_text(object, "Stage", &state))
+    if (!json_get_text(object, "Piece", &name) ||
+        !task_name_parse(name, &task->job, &task->task_index) ||
+        !json_get_u64(object, "Try", &task->attempt.value) ||
+        !json_get_text(object, "Stage", &state))
         return false;
-    int st = CODEC_WORD(state_words, state);
-    if (st < 0)
+    int state_index = WORD_INDEX(state_words, state);
+    if (state_index < 0)
         return false;
-    task->state = st;
+    task->state = state_index;
     task->cause = CAUSE_UNKNOWN;
-    if (st == TASK_EXITED && json_text(object, "Cause", &cause)) {
-        int c = CODEC_WORD(cause_words, cause);
-        if (c >= 0)
-            task->cause = c;
+    if (state_index == TASK_EXITED && json_get_text(object, "Cause", &cause)) {
+        int cause_index = WORD_INDEX(cause_words, cause);
+        if (cause_index >= 0)
+            task->cause = cause_index;
     }
-    task->stored = false;
-    json_flag(object, "Stored", &task->stored);
+    task->has_saved_state = false;
+    json_get_bool(object, "Stored", &task->has_saved_state);
     return true;
 }
 
-bool codec_report_read(json_object *object, struct report *report)
+bool heartbeat_decode(json_object *object, struct heartbeat *heartbeat)
 {
-    memset(report, 0, sizeof *report);
-    char host[48];
-    report->reclaim_notice_s = -1;
-    if (!json_copy_text(object, "Mast", host, sizeof host) || !host_id_from(&report->host, host) ||
-        !json_copy_text(object, "Address", report->addr, sizeof report->addr) ||
-        !json_copy_text(object, "Build", report->type_name, sizeof report->type_name) ||
-        !json_copy_text(object, "Yard", report->zone, sizeof report->zone) ||
-        !json_flag(object, "Loaners", &report->spot) ||
-        !json_u64(object, "Shift", &report->session) ||
-        !json_u64(object, "Tally", &report->sequence) || !json_u64(object, "Helm", &report->token))
+    memset(heartbeat, 0, sizeof *heartbeat);
+    char machine_name[48];
+    heartbeat->reclaim_notice_s = -1;
+    if (!json_copy_text(object, "Mast", machine_name, sizeof machine_name) ||
+        !machine_id_parse(&heartbeat->machine, machine_name) ||
+        !json_copy_text(object, "Address", heartbeat->address, sizeof heartbeat->address) ||
+        !json_copy_text(object, "Build", heartbeat->machine_type_name,
+                        sizeof heartbeat->machine_type_name) ||
+        !json_copy_text(object, "Yard", heartbeat->zone, sizeof heartbeat->zone) ||
+        !json_get_bool(object, "Loaners", &heartbeat->is_spot) ||
+        !json_get_u64(object, "Shift", &heartbeat->agent_epoch) ||
+        !json_get_u64(object, "Tally", &heartbeat->sequence) ||
+        !json_get_u64(object, "Helm", &heartbeat->fencing_token))
         return false;
-    if (!json_is_null(object, "RecallS") &&
-        !json_number(object, "RecallS", &report->reclaim_notice_s))
+    if (!json_is_absent(object, "RecallS") &&
+        !json_get_number(object, "RecallS", &heartbeat->reclaim_notice_s))
         return false;
-    json_object *list = json_list(object, "Pieces");
-    if (!list && !json_is_null(object, "Pieces"))
+    json_object *list = json_get_array(object, "Pieces");
+    if (!list && !json_is_absent(object, "Pieces"))
         return false;
-    report->tasks = g_array_new(FALSE, FALSE, sizeof(struct report_task));
+    heartbeat->tasks = g_array_new(FALSE, FALSE, sizeof(struct heartbeat_task));
     for (size_t i = 0; list && i < json_object_array_length(list); i++) {
-        struct report_task task;
-        if (!report_task_read(json_object_array_get_idx(list, i), &task)) {
-            report_clear(report);
+        struct heartbeat_task task;
+        if (!heartbeat_task_decode(json_object_array_get_idx(list, i), &task)) {
+            heartbeat_clear(heartbeat);
             return false;
         }
-        g_array_append_val(report->tasks, task);
+        g_array_append_val(heartbeat->tasks, task);
     }
     return true;
 }
 
-char *codec_commands_write(epoch_no token, uint64_t session, const struct command *commands,
-                           guint n)
+char *agent_commands_encode(epoch_no fencing_token, uint64_t agent_epoch,
+                            const struct agent_command *commands, guint command_count)
 {
-    json_object *o = json_object_new_object(), *list = json_object_new_array();
-    json_put_u64(o, "Helm", token.v);
-    if (session)
-        json_put_u64(o, "Shift", session);
-    for (guint i = 0; i < n; i++) {
-        json_object *x = json_object_new_object();
+    json_object *object = json_object_new_object(), *list = json_object_new_array();
+    json_put_u64(object, "Helm", fencing_token.value);
+    if (agent_epoch)
+        json_put_u64(object, "Shift", agent_epoch);
+    for (guint i = 0; i < command_count; i++) {
+        json_object *item = json_object_new_object();
         char name[64];
-        g_snprintf(name, sizeof name, "%s/%u", commands[i].job.s, commands[i].index);
-        json_put_text(x, "Verb", verb_words[commands[i].verb]);
-        json_put_text(x, "Piece", name);
-        json_put_u64(x, "Try", commands[i].attempt.v);
-        if (commands[i].verb == COMMAND_HALT)
-            json_put_number(x, "WindDownS", commands[i].grace_s);
-        json_object_array_add(list, x);
+        g_snprintf(name, sizeof name, "%s/%u", commands[i].job.text, commands[i].task_index);
+        json_put_text(item, "Verb", verb_words[commands[i].verb]);
+        json_put_text(item, "Piece", name);
+        json_put_u64(item, "Try", commands[i].attempt.value);
+        if (commands[i].verb == COMMAND_STOP)
+            json_put_number(item, "WindDownS", commands[i].grace_period_s);
+        json_object_array_add(list, item);
     }
-    json_object_object_add(o, "Orders", list);
-    return json_finish(o);
+    json_object_object_add(object, "Orders", list);
+    return json_to_text_and_free(object);
 }
 
-char *codec_redirect_write(const char *label)
+char *agent_redirect_encode(const char *label)
 {
     json_object *object = json_object_new_object();
     if (label)
         json_put_text(object, "Harbour", label);
-    return json_finish(object);
+    return json_to_text_and_free(object);
 }
--- a/src/wire/codec.h
+++ b/src/wire/codec.h
@@ -1,5 +1,5 @@
-/* The protocols' words and forms. Nothing else in the code knows them: codec_job.c those of users,
- * codec_worker.c those of workers, codec_cloud.c those of the cloud; codec_json.c reads and writes
+/* The protocols' words and forms. Nothing else in the code knows them: job_codec.c those of users,
+ * agent_codec.c those of workers, cloud_codec.c those of the cloud; json_fields.c reads and writes
  * fields. docs/design.md maps the words to the names used here. */
 #ifndef LL_CODEC_H
 #define LL_CODEC_H
@@ -7,138 +7,139 @@
 #include "json_fields.h"
 
 /* How a job's tasks belong together. */
-enum form { FORM_ARRAY, FORM_GANG, FORM_SERVICE };
+enum job_form { FORM_ARRAY, FORM_GANG, FORM_SERVICE };
 /* A job's priority, the highest first. */
-enum urgency { URGENCY_PROD, URGENCY_HIGH, URGENCY_NORMAL, URGENCY_BEST_EFFORT };
+enum job_priority { PRIORITY_PROD, PRIORITY_HIGH, PRIORITY_NORMAL, PRIORITY_BEST_EFFORT };
 
 /* What a user submitted. */
-struct spec {
+struct job_spec {
     job_id id;
     char *job_class, *team_name;
     char *image; /* interned */
-    enum form form;
-    enum urgency urgency;
-    uint32_t tasks;
+    enum job_form form;
+    enum job_priority priority;
+    uint32_t task_count;
     amount cpus, gpus, memory;
     double image_gb;
-    char **type_names; /* NULL: any */
-    char *zone;        /* NULL: any */
-    bool one_zone, apart, spot;
-    double expected_s, checkpoint_s, save_s, due_s; /* due_s < 0: no deadline */
-    job_id *awaits;                                 /* jobs that have to be done before */
-    guint n_awaits;
+    char **machine_type_names; /* NULL: any */
+    char *zone;                /* NULL: any */
+    bool needs_single_zone, needs_separate_zones, may_use_spot;
+    double expected_run_s, checkpoint_interval_s, checkpoint_save_s,
+        deadline_s;       /* deadline_s < 0: no deadline */
+    job_id *dependencies; /* jobs that have to be done before */
+    guint dependency_count;
 };
 
 /* Frees what it holds, and leaves it empty. */
-void spec_clear(struct spec *spec);
+void job_spec_clear(struct job_spec *spec);
 /* The word for it. */
-const char *codec_urgency_word(enum urgency u);
+const char *job_priority_name(enum job_priority priority);
 
 /* What a worker says of a task. */
 enum task_state { TASK_FETCHING, TASK_WAITING_FOR_GANG, TASK_RUNNING, TASK_SAVING, TASK_EXITED };
 /* Why a task has exited. */
-enum cause {
+enum exit_cause {
     CAUSE_DONE,
-    CAUSE_HALTED,
-    CAUSE_PEERS,
+    CAUSE_STOPPED,
+    CAUSE_GANG_PEERS_LOST,
     CAUSE_INCOMPLETE,
     CAUSE_ERROR,
-    CAUSE_NO_ROOM,
+    CAUSE_INSUFFICIENT_RESOURCES,
     CAUSE_BUSY,
-    CAUSE_NO_SUCH,
+    CAUSE_NO_SUCH_TASK,
     CAUSE_UNKNOWN
 };
 
 /* A task in a report. */
-struct report_task {
+struct heartbeat_task {
     job_id job;
-    uint32_t index;
+    uint32_t task_index;
     attempt_no attempt;
     enum task_state state;
-    enum cause cause;
-    bool stored;
+    enum exit_cause cause;
+    bool has_saved_state;
 };
 
 /* A worker's report. */
-struct report {
-    host_id host;
-    char addr[24], type_name[48], zone[48];
-    bool spot;
-    uint64_t session, sequence, token;
+struct heartbeat {
+    machine_id machine;
+    char address[24], machine_type_name[48], zone[48];
+    bool is_spot;
+    uint64_t agent_epoch, sequence, fencing_token;
     double reclaim_notice_s; /* < 0: no notice */
-    GArray *tasks;           /* struct report_task */
+    GArray *tasks;           /* struct heartbeat_task */
 };
 
 /* Frees what it holds. */
-void report_clear(struct report *report);
+void heartbeat_clear(struct heartbeat *heartbeat);
 
 /* What a worker is told to do with a task. */
-enum command_verb { COMMAND_RUN, COMMAND_HALT, COMMAND_CLEAR };
+enum agent_command_verb { COMMAND_RUN, COMMAND_STOP, COMMAND_CLEAR };
 
 /* A command to a worker. */
-struct command {
-    enum command_verb verb;
+struct agent_command {
+    enum agent_command_verb verb;
     job_id job;
-    uint32_t index;
+    uint32_t task_index;
     attempt_no attempt;
-    double grace_s; /* of a halt */
+    double grace_period_s; /* of a halt */
 };
 
 /* A type of machine that the cloud rents. */
 struct machine_type {
     char name[48];
     amount cpus, gpus, memory;
-    double image_cache_gb, fetch_gb_per_s, price, spot_price, boot_s;
+    double image_cache_gb, fetch_gb_per_s, price, spot_price, boot_time_s;
     char **zones;
 };
 
 /* How far a rented machine is. */
-enum rental_stage { RENTAL_BOOTING, RENTAL_RUNNING, RENTAL_FAILED };
+enum cloud_machine_stage { CLOUD_MACHINE_BOOTING, CLOUD_MACHINE_RUNNING, CLOUD_MACHINE_FAILED };
 
 /* A rented machine, as the cloud lists it. */
-struct rental {
-    host_id id;
-    char addr[24], type_name[48], zone[48];
-    bool spot;
-    enum rental_stage stage;
+struct listed_machine {
+    machine_id id;
+    char address[24], machine_type_name[48], zone[48];
+    bool is_spot;
+    enum cloud_machine_stage stage;
     double age_s;
 };
 
 /* The id of a submission, whatever else is wrong with it. */
-bool codec_id_read(json_object *object, job_id *out);
+bool job_spec_decode_id(json_object *object, job_id *out);
 /* Reads a submission without what it awaits. */
-bool codec_spec_read(json_object *object, struct spec *out);
+bool job_spec_decode(json_object *object, struct job_spec *out);
 /* Adds that: each job once. False when it is no list of jobs, too long, or names the job itself. */
-bool codec_awaits_read(json_object *object, struct spec *spec);
+bool job_spec_decode_dependencies(json_object *object, struct job_spec *spec);
 /* The same form as a submission. */
-json_object *codec_spec_write(const struct spec *spec);
+json_object *job_spec_encode(const struct job_spec *spec);
 
 /* The answer to users. */
-char *codec_job_answer(job_id id, const char *stage, long done, long running);
+char *job_status_encode(job_id id, const char *stage, long completed, long running);
 
 /* Reads a report; false: malformed. */
-bool codec_report_read(json_object *object, struct report *out);
+bool heartbeat_decode(json_object *object, struct heartbeat *out);
 /* session 0: the answer to a report, which carries no session. */
-char *codec_commands_write(epoch_no token, uint64_t session, const struct command *commands,
-                           guint n);
+char *agent_commands_encode(epoch_no fencing_token, uint64_t agent_epoch,
+                            const struct agent_command *commands, guint command_count);
 /* Sends a worker to the node of that label; NULL: its owner is not known. */
-char *codec_redirect_write(const char *label);
+char *agent_redirect_encode(const char *label);
 
 /* An array of struct machine_type; NULL: malformed. */
-GArray *codec_types_read(json_object *object);
+GArray *machine_types_decode(json_object *object);
 /* The same form as the cloud's. */
-json_object *codec_types_write(const GArray *types);
-/* A page of the cloud's list, an array of struct rental; NULL: malformed. */
-GArray *codec_rentals_read(json_object *object, bool *more);
+json_object *machine_types_encode(const GArray *types);
+/* A page of the cloud's list, an array of struct listed_machine; NULL: malformed. */
+GArray *cloud_machines_decode(json_object *object, bool *more);
 /* An order of machines under a name of its own, with which it may be sent again. */
-char *codec_rent_write(const char *charter, const char *type_name, const char *zone, bool spot,
-                       int number);
-/* The machines of an answer to that, an array of host_id; NULL: malformed. */
-GArray *codec_rented_read(json_object *object);
+char *scale_out_request_encode(const char *request_id, const char *type_name, const char *zone,
+                               bool is_spot, int machine_count);
+/* The machines of an answer to that, an array of machine_id; NULL: malformed. */
+GArray *scale_out_response_decode(json_object *object);
 /* Gives machines back. */
-char *codec_return_write(const host_id *hosts, guint n);
+char *scale_in_request_encode(const machine_id *machines, guint machine_count);
 
 /* Reads JOB/INDEX. */
-bool task_name_read(const char *text, job_id *job, uint32_t *index);
+bool task_name_parse(const char *text, job_id *job, uint32_t *index);
 
 #endif
--- a/src/wire/image_cache.c
+++ b/src/wire/image_cache.c
@@ -1,16 +1,16 @@
 #include "image_cache.h"
 
-static void release(gpointer q)
+static void release_image(gpointer q)
 {
     g_ref_string_release(q);
 }
 
-GPtrArray *images_new(void)
+GPtrArray *image_cache_new(void)
 {
-    return g_ptr_array_new_with_free_func(release);
+    return g_ptr_array_new_with_free_func(release_image);
 }
 
-bool images_hold(const GPtrArray *images, const char *image)
+bool image_cache_contains(const GPtrArray *images, const char *image)
 {
     for (guint i = 0; i < images->len; i++)
         if (images->pdata[i] == image)
@@ -18,10 +18,10 @@
     return false;
 }
 
-void images_add(GPtrArray *images, const char *name)
+void image_cache_add(GPtrArray *images, const char *name)
 {
     char *image = g_ref_string_new_intern(name);
-    if (images_hold(images, image))
+    if (image_cache_contains(images, image))
         g_ref_string_release(image);
     else
         g_ptr_array_add(images, image);
--- a/src/wire/image_cache.h
+++ b/src/wire/image_cache.h
@@ -6,10 +6,10 @@
 #include <glib.h>
 #include <stdbool.h>
 
-GPtrArray *images_new(void);
+GPtrArray *image_cache_new(void);
 /* image: interned. */
-bool images_hold(const GPtrArray *images, const char *image);
+bool image_cache_contains(const GPtrArray *images, const char *image);
 /* Adds a name, which need not be interned, unless it is there. */
-void images_add(GPtrArray *images, const char *name);
+void image_cache_add(GPtrArray *images, const char *name);
 
 #endif
--- a/src/wire/placement_score.h
+++ b/src/wire/placement_score.h
@@ -5,15 +5,16 @@
 
 #include "codec.h"
 
-struct score_facts {
-    bool image;    /* the machine has the task's image */
-    bool loaner;   /* it is a spot machine */
-    double booked; /* share that is booked */
-    double pinned; /* share that services hold */
-    double roomy;  /* size of its zone's ordinary part beside the largest zone's; 1 if unknown */
+struct placement_facts {
+    bool has_image;            /* the machine has the task's image */
+    bool is_spot;              /* it is a spot machine */
+    double allocated_share;    /* share that is booked */
+    double service_share;      /* share that services hold */
+    double relative_zone_size; /* size of its zone's ordinary part beside the largest zone's; 1 if
+                                  unknown */
 };
 
 /* The higher the better. */
-double score_host(const struct spec *spec, const struct score_facts *facts);
+double placement_score(const struct job_spec *spec, const struct placement_facts *facts);
 
 #endif
--- a/src/wire/resources.c
+++ b/src/wire/resources.c
@@ -1,45 +1,48 @@
 #include "resources.h"
 
-static double share_of(int64_t ask, int64_t total)
+static double share_of_total(int64_t requested, int64_t total)
 {
-    if (ask == 0)
+    if (requested == 0)
         return 0;
-    return total > 0 ? (double)ask / (double)total : 1e9;
+    return total > 0 ? (double)requested / (double)total : 1e9;
 }
 
-double room_share(struct room ask, struct room total)
+double resources_dominant_share(struct resources requested, struct resources total)
 {
-    double c = share_of(ask.cpus.milli, total.cpus.milli);
-    double g = share_of(ask.gpus.milli, total.gpus.milli);
-    double m = share_of(ask.memory.milli, total.memory.milli);
-    return MAX(c, MAX(g, m));
+    double cpu_share = share_of_total(requested.cpus.milli, total.cpus.milli);
+    double gpu_share = share_of_total(requested.gpus.milli, total.gpus.milli);
+    double memory_share = share_of_total(requested.memory.milli, total.memory.milli);
+    return MAX(cpu_share, MAX(gpu_share, memory_share));
 }
 
-static int64_t times(int64_t free, int64_t ask, int64_t most)
+static int64_t fit_count(int64_t free, int64_t requested, int64_t limit)
 {
-    return ask > 0 ? MIN(most, MAX(free, 0) / ask) : most;
+    return requested > 0 ? MIN(limit, MAX(free, 0) / requested) : limit;
 }
 
-int64_t room_times(struct room free, struct room ask)
+int64_t resources_fit_count(struct resources free, struct resources requested)
 {
-    int64_t n = 1000000;
-    n = times(free.cpus.milli, ask.cpus.milli, n);
-    n = times(free.gpus.milli, ask.gpus.milli, n);
-    return times(free.memory.milli, ask.memory.milli, n);
+    int64_t count = 1000000;
+    count = fit_count(free.cpus.milli, requested.cpus.milli, count);
+    count = fit_count(free.gpus.milli, requested.gpus.milli, count);
+    return fit_count(free.memory.milli, requested.memory.milli, count);
 }
 
-bool lacks_cover(const GArray *lacks, const struct lack *a)
+bool unschedulable_list_covers(const GArray *unschedulable_list,
+                               const struct unschedulable *request)
 {
-    for (guint i = 0; i < lacks->len; i++) {
-        const struct lack *x = &g_array_index(lacks, struct lack, i);
-        if (room_holds(a->room, x->room) && (x->spot || !a->spot) &&
-            (!x->zone[0] || strcmp(x->zone, a->zone) == 0))
+    for (guint i = 0; i < unschedulable_list->len; i++) {
+        const struct unschedulable *known =
+            &g_array_index(unschedulable_list, struct unschedulable, i);
+        if (resources_fit(request->resources, known->resources) &&
+            (known->may_use_spot || !request->may_use_spot) &&
+            (!known->zone[0] || strcmp(known->zone, request->zone) == 0))
             return true;
     }
     return false;
 }
 
-const struct machine_type *type_named(const GArray *types, const char *name)
+const struct machine_type *machine_type_find(const GArray *types, const char *name)
 {
     for (guint i = 0; types && i < types->len; i++) {
         const struct machine_type *type = &g_array_index(types, struct machine_type, i);
@@ -49,26 +52,31 @@
     return NULL;
 }
 
-bool spec_allows(const struct spec *spec, const char *type_name, const char *zone, bool spot)
+bool job_spec_allows_machine(const struct job_spec *spec, const char *type_name, const char *zone,
+                             bool is_spot)
 {
-    if (spot && !spec->spot)
+    if (is_spot && !spec->may_use_spot)
         return false;
     if (spec->zone && strcmp(spec->zone, zone) != 0)
         return false;
-    return !spec->type_names || g_strv_contains((const char *const *)spec->type_names, type_name);
+    return !spec->machine_type_names ||
+           g_strv_contains((const char *const *)spec->machine_type_names, type_name);
 }
 
-const struct machine_type *type_smallest(const GArray *types, const struct spec *spec)
+const struct machine_type *machine_type_smallest_fit(const GArray *types,
+                                                     const struct job_spec *spec)
 {
     const struct machine_type *best = NULL;
     double best_share = 0;
     for (guint i = 0; types && i < types->len; i++) {
         const struct machine_type *type = &g_array_index(types, struct machine_type, i);
-        if (spec->type_names && !g_strv_contains((const char *const *)spec->type_names, type->name))
+        if (spec->machine_type_names &&
+            !g_strv_contains((const char *const *)spec->machine_type_names, type->name))
             continue;
         if (spec->zone && !g_strv_contains((const char *const *)type->zones, spec->zone))
             continue;
-        double share = room_share(room_of_spec(spec), room_of_type(type));
+        double share =
+            resources_dominant_share(resources_of_job_spec(spec), resources_of_machine_type(type));
         if (type->zones[0] && share <= 1 && (!best || share > best_share)) {
             best = type;
             best_share = share;
--- a/src/wire/resources.h
+++ b/src/wire/resources.h
@@ -4,75 +4,78 @@
 
 #include "codec.h"
 
-struct room {
+struct resources {
     amount cpus, gpus, memory;
 };
 
-static inline struct room room_of_spec(const struct spec *spec)
+static inline struct resources resources_of_job_spec(const struct job_spec *spec)
 {
-    return (struct room){spec->cpus, spec->gpus, spec->memory};
+    return (struct resources){spec->cpus, spec->gpus, spec->memory};
 }
 
-static inline struct room room_of_type(const struct machine_type *type)
+static inline struct resources resources_of_machine_type(const struct machine_type *type)
 {
-    return (struct room){type->cpus, type->gpus, type->memory};
+    return (struct resources){type->cpus, type->gpus, type->memory};
 }
 
-static inline void room_add(struct room *a, struct room b)
+static inline void resources_add(struct resources *sum, struct resources added)
 {
-    a->cpus.milli += b.cpus.milli;
-    a->gpus.milli += b.gpus.milli;
-    a->memory.milli += b.memory.milli;
+    sum->cpus.milli += added.cpus.milli;
+    sum->gpus.milli += added.gpus.milli;
+    sum->memory.milli += added.memory.milli;
 }
 
-static inline void room_sub(struct room *a, struct room b)
+static inline void resources_subtract(struct resources *remaining, struct resources subtracted)
 {
-    a->cpus.milli -= b.cpus.milli;
-    a->gpus.milli -= b.gpus.milli;
-    a->memory.milli -= b.memory.milli;
+    remaining->cpus.milli -= subtracted.cpus.milli;
+    remaining->gpus.milli -= subtracted.gpus.milli;
+    remaining->memory.milli -= subtracted.memory.milli;
 }
 
-static inline struct room room_left(struct room total, struct room booked)
+static inline struct resources resources_remaining(struct resources total, struct resources used)
 {
-    room_sub(&total, booked);
+    resources_subtract(&total, used);
     return total;
 }
 
-static inline bool room_holds(struct room free, struct room ask)
+static inline bool resources_fit(struct resources free, struct resources requested)
 {
-    return ask.cpus.milli <= free.cpus.milli && ask.gpus.milli <= free.gpus.milli &&
-           ask.memory.milli <= free.memory.milli;
+    return requested.cpus.milli <= free.cpus.milli && requested.gpus.milli <= free.gpus.milli &&
+           requested.memory.milli <= free.memory.milli;
 }
 
 /* The largest share that is asked of any one resource; over 1 when it does not fit. */
-double room_share(struct room ask, struct room total);
+double resources_dominant_share(struct resources requested, struct resources total);
 /* How many of ask fit into free. */
-int64_t room_times(struct room free, struct room ask);
+int64_t resources_fit_count(struct resources free, struct resources requested);
 
 /* What a task that asks nothing special asks of machines, and where ("": anywhere). While room only
  * shrinks, what needs at least as much as something that found none finds none either. */
-struct lack {
-    struct room room;
-    bool spot;
+struct unschedulable {
+    struct resources resources;
+    bool may_use_spot;
     char zone[48];
 };
 
-static inline struct lack lack_of_spec(const struct spec *spec, const char *zone)
+static inline struct unschedulable unschedulable_of_job_spec(const struct job_spec *spec,
+                                                             const char *zone)
 {
-    struct lack lack = {room_of_spec(spec), spec->spot, ""};
-    g_strlcpy(lack.zone, zone, sizeof lack.zone);
-    return lack;
+    struct unschedulable unschedulable = {resources_of_job_spec(spec), spec->may_use_spot, ""};
+    g_strlcpy(unschedulable.zone, zone, sizeof unschedulable.zone);
+    return unschedulable;
 }
 
-/* In a list of struct lack that found nothing. */
-bool lacks_cover(const GArray *lacks, const struct lack *lack);
+/* In a list of struct unschedulable that found nothing. */
+bool unschedulable_list_covers(const GArray *unschedulable_list, const struct unschedulable *lack);
 
 /* The machine type of that name, or NULL. */
-const struct machine_type *type_named(const GArray *types, const char *name);
+const struct machine_type *machine_type_find(const GArray *types, const char *name);
 /* Whether a job's tasks may ever run on machines of a type, in a zone, of a kind. */
-bool spec_allows(const struct spec *spec, const char *type_name, const char *zone, bool spot);
+bool job_spec_allows_machine(const struct job_spec *spec, const char *type_name, const char *zone,
+                             bool is_spot);
 /* The smallest machine type that the job may use, by the share a task asks of it; NULL when no
  * type can hold a task. */
-const struct machine_type *type_smallest(const GArray *types, const struct spec *spec);
+const struct machine_type *machine_type_smallest_fit(const GArray *types,
+                                                     const struct job_spec *spec);
 
 #endif
