--- a/src/api/api.c
+++ b/src/api/api.c
@@ -1,29 +1,37 @@
+/** Routes users' and agents' requests, and forwards users' requests to a peer while the key-value
+ * store does not answer this node. */
 #include "api_internal.h"
 
 enum {
-    MIN_WAITING_LIMIT = 400, /* requests that may always wait for the state service */
+    /* Requests that may wait for the key-value store, however few files may be open. */
+    MIN_WAITING_LIMIT = 400,
     MAX_READY_STALENESS_MS = 8000,
     FORWARD_TIMEOUT_MS = 1500,
 };
 
+static const char JOBS_PATH[] = "/work";
+static const char CANCEL_SUFFIX[] = "abort";
+static const char HEARTBEAT_PATH[] = "/agent/beat";
+static const char READINESS_PATH[] = "/ready";
+
 static void serve_locally(void *ctx, struct http_responder *responder, connection_ref from,
                           const struct http_request *request);
 
-struct api *api_new(const struct frontend_setup *setup)
+struct api *api_new(const struct api_setup *setup)
 {
     struct api *api = g_new0(struct api, 1);
     *api = (struct api){.loop = setup->loop,
-                        .kv = setup->store,
-                        .replica = setup->view,
+                        .kv = setup->kv,
+                        .replica = setup->replica,
                         .settings = setup->settings,
                         .shard = setup->shard,
-                        .rpc = setup->bus,
+                        .rpc = setup->rpc,
                         .peers = setup->peers,
-                        .membership = setup->members,
+                        .membership = setup->membership,
                         .max_waiting = MAX(MIN_WAITING_LIMIT, setup->settings->max_open_files / 4)};
     g_queue_init(&api->unanswered);
     timer_init(&api->timeout_timer, api_expire_requests, api);
-    node_rpc_set_forward_handler(setup->bus, serve_locally, api);
+    node_rpc_set_forward_handler(setup->rpc, serve_locally, api);
     return api;
 }
 
@@ -33,90 +41,104 @@
     g_free(api);
 }
 
-/* Ready as long as requests can be answered, by a peer if need be. An outage of the state service
- * that hits all nodes alike is no reason to take them all out, which would only prolong it. */
+/* Ready as long as requests can be answered, by a peer if need be. An outage of the key-value store
+ * that hits all nodes alike does not count: taking them all out of service would only prolong it.
+ */
 static bool is_ready(struct api *api)
 {
     if (!api->replica->is_ready || !api->replica->machine_types ||
         failure_detector_is_isolated(api->peers))
         return false;
-    mono_time now = loop_now(api->loop), quiet = cancel_broadcast_known_until(api->peers);
-    return failure_detector_find_served_node(api->peers) ||
-           (quiet.us && time_ms_since(now, quiet) < MAX_READY_STALENESS_MS / 2) ||
+    if (failure_detector_find_served_node(api->peers))
+        return true;
+    mono_time now = loop_now(api->loop);
+    mono_time cancels_known_until = cancel_broadcast_known_until(api->peers);
+    return (cancels_known_until.us &&
+            time_ms_since(now, cancels_known_until) < MAX_READY_STALENESS_MS / 2) ||
            time_ms_since(now, api->replica->fresh_at) < MAX_READY_STALENESS_MS;
 }
 
+static void reply_method_not_allowed(struct http_responder *responder, connection_ref from)
+{
+    api_reply_error(responder, from, HTTP_STATUS_METHOD_NOT_ALLOWED, "method not allowed");
+}
+
+static bool has_method(const struct http_request *request, const char *method)
+{
+    return strcmp(request->method, method) == 0;
+}
+
 static void route_job_request(struct api *api, struct http_responder *responder,
                               connection_ref from, const struct http_request *request)
 {
-    bool post = strcmp(request->method, "POST") == 0, get = strcmp(request->method, "GET") == 0;
-    const char *rest = request->path + strlen("/work");
+    const char *rest = request->path + strlen(JOBS_PATH);
     if (!*rest) {
-        if (post)
+        if (has_method(request, "POST"))
             api_submit(api, responder, from, request);
         else
-            api_reply_error(responder, from, 405, "method not allowed");
+            reply_method_not_allowed(responder, from);
         return;
     }
-    char *id = g_strdup(rest + 1);
-    char *slash = strchr(id, '/');
-    if (slash)
-        *slash++ = 0;
-    if (!slash && get)
-        api_poll_or_cancel(api, responder, from, API_ACTION_POLL, id);
-    else if (slash && strcmp(slash, "abort") == 0 && post)
-        api_poll_or_cancel(api, responder, from, API_ACTION_CANCEL, id);
-    else if (!slash || strcmp(slash, "abort") == 0)
-        api_reply_error(responder, from, 405, "method not allowed");
+    g_autofree char *id = g_strdup(rest + 1);
+    char *suffix = strchr(id, '/');
+    if (suffix)
+        *suffix++ = 0;
+    bool is_cancel = suffix && strcmp(suffix, CANCEL_SUFFIX) == 0;
+    if (suffix && !is_cancel)
+        api_reply_error(responder, from, HTTP_STATUS_NOT_FOUND, "not found");
+    else if (!has_method(request, is_cancel ? "POST" : "GET"))
+        reply_method_not_allowed(responder, from);
     else
-        api_reply_error(responder, from, 404, "not found");
-    g_free(id);
+        api_poll_or_cancel(api, responder, from, is_cancel ? API_ACTION_CANCEL : API_ACTION_POLL,
+                           id);
 }
 
+/* A request that a peer answers. */
 struct forwarded_request {
     struct api *api;
-    struct http_responder *replier;
+    struct http_responder *responder;
     connection_ref from;
 };
 
-static void on_forward_response(void *arg, const struct http_response *response)
+static void on_forward_response(void *context, const struct http_response *response)
 {
-    struct forwarded_request *forwarded = arg;
+    struct forwarded_request *forwarded = context;
     forwarded->api->waiting_count--;
     if (response->status > 0)
-        api_reply(forwarded->replier, forwarded->from, response->status,
+        api_reply(forwarded->responder, forwarded->from, response->status,
                   g_strndup(response->body, response->body_bytes));
     else
-        api_reply_error(forwarded->replier, forwarded->from, 503,
+        api_reply_error(forwarded->responder, forwarded->from, HTTP_STATUS_UNAVAILABLE,
                         "the state service does not answer");
     g_free(forwarded);
 }
 
 static bool is_job_path(const char *path)
 {
-    return strcmp(path, "/work") == 0 || g_str_has_prefix(path, "/work/");
+    return strcmp(path, JOBS_PATH) == 0 || g_str_has_prefix(path, "/work/");
 }
 
-/* A node of an earlier version would take such a submission for one that needs nothing. */
+/* Whether it is a submission of a job with dependencies: a node of an earlier version would take it
+ * for one without. */
 static bool names_dependencies(const struct http_request *request)
 {
-    if (strcmp(request->path, "/work") != 0 || !request->body_bytes)
+    if (strcmp(request->path, JOBS_PATH) != 0 || !request->body_bytes)
         return false;
-    json_object *object = json_parse(request->body, request->body_bytes), *list = NULL;
-    bool any = json_object_is_type(object, json_type_object) &&
-               json_object_object_get_ex(object, "Awaits", &list) && list;
+    json_object *object = json_parse(request->body, request->body_bytes);
+    bool has_any = job_spec_names_dependencies(object);
     json_object_put(object);
-    return any;
+    return has_any;
 }
 
-/* While the state service answers other nodes and not this one, they answer for it. */
+/* While the key-value store answers other nodes and not this one, they answer for it. */
 static bool forward_to_peer(struct api *api, struct http_responder *responder, connection_ref from,
                             const struct http_request *request)
 {
     const char *peer = failure_detector_find_served_node(api->peers);
-    if (!peer || !is_job_path(request->path) || api->waiting_count >= api->max_waiting ||
-        (!membership_all_nodes_support(api->membership, NODE_VERSION_JOB_DAG) &&
-         names_dependencies(request)))
+    if (!peer || !is_job_path(request->path) || api->waiting_count >= api->max_waiting)
+        return false;
+    if (!membership_all_nodes_support(api->membership, NODE_VERSION_JOB_DAG) &&
+        names_dependencies(request))
         return false;
     struct forwarded_request *forwarded = g_new(struct forwarded_request, 1);
     *forwarded = (struct forwarded_request){api, responder, from};
@@ -125,32 +147,44 @@
     return true;
 }
 
-static void serve_locally(void *ctx, struct http_responder *responder, connection_ref from,
+static void serve_heartbeat(struct api *api, struct http_responder *responder, connection_ref from,
+                            const struct http_request *request)
+{
+    if (has_method(request, "POST"))
+        shard_handle_heartbeat(api->shard, responder, from, request);
+    else
+        reply_method_not_allowed(responder, from);
+}
+
+static void serve_readiness(struct api *api, struct http_responder *responder, connection_ref from,
+                            const struct http_request *request)
+{
+    if (!has_method(request, "GET"))
+        reply_method_not_allowed(responder, from);
+    else if (is_ready(api))
+        api_reply(responder, from, HTTP_STATUS_OK, g_strdup("{}"));
+    else
+        api_reply_error(responder, from, HTTP_STATUS_UNAVAILABLE, "not ready");
+}
+
+/* Serves a request on this node, whoever asked: a user, an agent or a peer. */
+static void serve_locally(void *context, struct http_responder *responder, connection_ref from,
                           const struct http_request *request)
 {
-    struct api *api = ctx;
-    if (is_job_path(request->path)) {
+    struct api *api = context;
+    if (is_job_path(request->path))
         route_job_request(api, responder, from, request);
-    } else if (strcmp(request->path, "/agent/beat") == 0) {
-        if (strcmp(request->method, "POST") == 0)
-            shard_handle_heartbeat(api->shard, responder, from, request);
-        else
-            api_reply_error(responder, from, 405, "method not allowed");
-    } else if (strcmp(request->path, "/ready") == 0) {
-        if (strcmp(request->method, "GET") != 0)
-            api_reply_error(responder, from, 405, "method not allowed");
-        else if (is_ready(api))
-            api_reply(responder, from, 200, g_strdup("{}"));
-        else
-            api_reply_error(responder, from, 503, "not ready");
-    } else {
-        api_reply_error(responder, from, 404, "not found");
-    }
+    else if (strcmp(request->path, HEARTBEAT_PATH) == 0)
+        serve_heartbeat(api, responder, from, request);
+    else if (strcmp(request->path, READINESS_PATH) == 0)
+        serve_readiness(api, responder, from, request);
+    else
+        api_reply_error(responder, from, HTTP_STATUS_NOT_FOUND, "not found");
 }
 
-void api_serve(void *ctx, struct http_responder *responder, connection_ref from,
+void api_serve(void *context, struct http_responder *responder, connection_ref from,
                const struct http_request *request)
 {
-    if (!forward_to_peer(ctx, responder, from, request))
-        serve_locally(ctx, responder, from, request);
+    if (!forward_to_peer(context, responder, from, request))
+        serve_locally(context, responder, from, request);
 }
--- a/src/api/api.h
+++ b/src/api/api.h
@@ -1,28 +1,31 @@
-/* The users' side: submissions, polls, cancellations, health. Every node has one. */
-#ifndef LL_FRONTEND_H
-#define LL_FRONTEND_H
+/** The users' interface of one node: submissions, polls, cancellations and health; it also routes
+ * the agents' heartbeats to the shard. Every node has one, whoever leads. */
+#ifndef LL_API_H
+#define LL_API_H
 
 #include "peers.h"
 #include "shard.h"
 
 struct api;
 
-/* What it works with; all of it outlives the frontend. */
-struct frontend_setup {
+/** What the interface works with. All of it outlives the interface. */
+struct api_setup {
     struct loop *loop;
-    struct kv_client *store;
-    struct replica *view;
-    struct membership *members;
-    struct node_rpc *bus;
+    struct kv_client *kv;
+    struct replica *replica;
+    struct membership *membership;
+    struct node_rpc *rpc;
     struct peers *peers;
     struct shard *shard;
     const struct settings *settings;
 };
 
-struct api *api_new(const struct frontend_setup *setup);
+struct api *api_new(const struct api_setup *setup);
 void api_free(struct api *api);
-/* For the server on the API's address. */
-void api_serve(void *frontend, struct http_responder *responder, connection_ref from,
+
+/** Serves one request; an http_handler for the server on the settings' `api_addr`. The response may
+ * come later. `context` is the struct api. */
+void api_serve(void *context, struct http_responder *responder, connection_ref from,
                const struct http_request *request);
 
 #endif
--- a/src/api/api_response.c
+++ b/src/api/api_response.c
@@ -1,8 +1,10 @@
+/** Responses to users. */
 #include "api_internal.h"
 
 void api_reply(struct http_responder *responder, connection_ref to, int status, char *text)
 {
-    responder->respond(responder, to, status, status == 503 ? "Retry-After: 1\r\n" : NULL, text,
+    responder->respond(responder, to, status,
+                       status == HTTP_STATUS_UNAVAILABLE ? "Retry-After: 1\r\n" : NULL, text,
                        strlen(text));
     g_free(text);
 }
@@ -17,6 +19,7 @@
     json_object_put(object);
 }
 
+/* The protocol's word for where a job stands. */
 static const char *job_stage_name(const struct job *job)
 {
     if (job->state == JOB_DONE)
@@ -37,7 +40,7 @@
 {
     if (job->state == JOB_CANCELLED)
         cancel_broadcast_confirm(api->peers, job->id, job->cancelled_at);
-    api_reply(responder, to, 200, encode_job_status(job));
+    api_reply(responder, to, HTTP_STATUS_OK, encode_job_status(job));
 }
 
 struct job *api_find_job(struct api *api, job_id id)
--- /dev/null
+++ b/src/api/dependency_check.c
@@ -0,0 +1,99 @@
+/** The jobs that a submission depends on: each must have been accepted. */
+#include "api_internal.h"
+
+/* A read of a dependency's key, and how its request goes on. */
+struct dependency_read {
+    struct api_request *request;
+    api_request_resume resume;
+};
+
+static void reply_never_accepted(struct api_request *request)
+{
+    api_reply_error(request->responder, request->from, HTTP_STATUS_UNPROCESSABLE,
+                    "needs a job that was never accepted");
+}
+
+static void on_dependency_response(void *context, const struct http_response *response)
+{
+    struct dependency_read *read = context;
+    struct api_request *request = read->request;
+    api_request_resume resume = read->resume;
+    g_free(read);
+    struct job job = {0};
+    if (api_decode_final_job(response, &job)) {
+        request->is_upstream_cancelled =
+            request->is_upstream_cancelled || job.state == JOB_CANCELLED;
+        request->dependencies_checked++;
+        resume(request, true);
+        return;
+    }
+    if (!request->is_answered && response->status == HTTP_STATUS_NOT_FOUND)
+        reply_never_accepted(request);
+    else if (!request->is_answered) /* unreadable now, or a job that the replica will show soon */
+        api_request_refuse(request);
+    api_request_free(request);
+}
+
+static void read_dependency(struct api_request *request, job_id id, api_request_resume resume)
+{
+    struct dependency_read *read = g_new(struct dependency_read, 1);
+    *read = (struct dependency_read){request, resume};
+    char *key = key_job(id);
+    kv_client_get(request->api->kv, KV_LANE_URGENT, key, API_RESPONSE_TIMEOUT_MS,
+                  API_RESPONSE_TIMEOUT_MS, on_dependency_response, read);
+    g_free(key);
+}
+
+/* The replica does not hold the job. Behind a read barrier that means that it was never accepted,
+ * or has been over for so long that only its key is left. */
+static void resolve_missing_dependency(struct api_request *request, job_id id,
+                                       api_request_resume resume)
+{
+    struct replica *replica = request->api->replica;
+    if (!request->passed_barrier) {
+        request->passed_barrier = true;
+        replica_read_barrier(replica, resume, request);
+    } else if (replica->has_evicted_jobs) {
+        read_dependency(request, id, resume);
+    } else {
+        reply_never_accepted(request);
+        api_request_free(request);
+    }
+}
+
+/* A job that was accepted stays so: what the replica holds needs no barrier. */
+bool api_request_check_dependencies(struct api_request *request, api_request_resume resume)
+{
+    while (request->dependencies_checked < request->dependency_count) {
+        job_id id = request->dependencies[request->dependencies_checked];
+        const struct job *job = api_find_job(request->api, id);
+        if (!job) {
+            resolve_missing_dependency(request, id, resume);
+            return false;
+        }
+        request->is_upstream_cancelled =
+            request->is_upstream_cancelled || job->state == JOB_CANCELLED;
+        request->dependencies_checked++;
+    }
+    return true;
+}
+
+/* Jobs that are done are left out, so that nobody has to remember them for the new job's sake. */
+json_object *api_request_encode_job(struct api_request *request)
+{
+    struct api *api = request->api;
+    wall_time now = loop_wall_time(api->loop);
+    if (request->is_upstream_cancelled)
+        return job_encode_final(JOB_CANCELLED, request->task_count, now);
+    json_object *spec = NULL, *pending = json_object_new_array();
+    for (guint i = 0; i < request->dependency_count; i++) {
+        const struct job *job = api_find_job(api, request->dependencies[i]);
+        if (job && job->state != JOB_DONE)
+            json_object_array_add(pending, json_object_new_string(job->id.text));
+    }
+    json_object_deep_copy(request->job_spec, &spec, NULL);
+    job_spec_put_dependencies(spec, pending);
+    json_object *value = api_encode_live_job(spec, now.ms, false);
+    json_object_put(spec);
+    return value;
+}
--- /dev/null
+++ b/src/api/job_write.c
@@ -0,0 +1,144 @@
+/** Writes of a job's key: the record of a new job, or of its cancellation.
+ *
+ * A submission or a cancellation is confirmed to its user only after its conditional write is
+ * (docs/safety.md). */
+#include "api_internal.h"
+#include "kv_codec.h"
+#include "log.h"
+
+/* Attempts at a conditional write before the user is asked to come back. */
+enum { MAX_WRITE_ATTEMPTS = 4 };
+
+/* A write under way, and how its request goes on if it has to be tried again. */
+struct job_write {
+    struct api_request *request;
+    api_request_resume resume;
+};
+
+json_object *api_encode_live_job(json_object *spec, int64_t submitted_ms, bool is_cancelled)
+{
+    json_object *object = json_object_new_object();
+    json_put_u64(object, "t", (uint64_t)submitted_ms);
+    json_object_object_add(object, "w", json_object_get(spec));
+    if (is_cancelled)
+        json_object_object_add(object, "c", json_object_new_boolean(true));
+    return object;
+}
+
+bool api_decode_final_job(const struct http_response *response, struct job *job)
+{
+    json_object *object = NULL, *value;
+    if (response->status > 0)
+        object = json_parse(response->body, response->body_bytes);
+    bool is_final = response->status == HTTP_STATUS_OK &&
+                    kv_decode_value(object, &value, &job->mod_revision) &&
+                    job_decode_final(job, value);
+    job->cancelled_at = job->mod_revision;
+    json_object_put(object);
+    return is_final;
+}
+
+/* All nodes have been told of the cancellation, so its user may be. */
+static void on_cancel_announced(void *context)
+{
+    struct api_request *request = context;
+    if (!request->is_answered)
+        api_reply(request->responder, request->from, HTTP_STATUS_OK,
+                  job_status_encode(request->job, "cancelled", -1, 0));
+    api_request_free(request);
+}
+
+static void on_committed(struct api_request *request, revision at_revision)
+{
+    LOG_DEBUG("answered", "job=%s action=%d", request->job.text, request->action);
+    if (request->action == API_ACTION_CANCEL) {
+        cancel_broadcast_announce(request->api->peers, request->job, at_revision,
+                                  on_cancel_announced, request);
+        return;
+    }
+    const char *stage = request->is_upstream_cancelled ? "cancelled" : "queued";
+    api_reply(request->responder, request->from, HTTP_STATUS_CREATED,
+              job_status_encode(request->job, stage, -1, 0));
+    api_request_free(request);
+}
+
+/* Goes on with a write that was not committed, or gives up. */
+static void retry_or_refuse(struct api_request *request, const struct txn_outcome *outcome,
+                            api_request_resume resume)
+{
+    struct api *api = request->api;
+    bool may_retry = (outcome->status == TXN_CONFLICT || outcome->status == TXN_UNKNOWN) &&
+                     ++request->write_attempts < MAX_WRITE_ATTEMPTS;
+    if (!may_retry) {
+        api_request_refuse(request);
+        api_request_free(request);
+    } else if (outcome->status == TXN_CONFLICT) {
+        replica_await_revision(api->replica, outcome->at_revision, resume, request);
+    } else { /* it may have been committed: the replica will show it */
+        replica_read_barrier(api->replica, resume, request);
+    }
+}
+
+static void on_job_written(void *context, const struct txn_outcome *outcome)
+{
+    struct job_write *write = context;
+    struct api_request *request = write->request;
+    api_request_resume resume = write->resume;
+    g_free(write);
+    if (request->action == API_ACTION_CANCEL)
+        cancel_broadcast_finish(request->api->peers, request->job, outcome);
+    if (request->is_answered)
+        api_request_free(request); /* its user repeats it */
+    else if (outcome->status == TXN_COMMITTED)
+        on_committed(request, outcome->at_revision);
+    else
+        retry_or_refuse(request, outcome, resume);
+}
+
+void api_request_write_job(struct api_request *request, revision mod_revision, json_object *value,
+                           api_request_resume resume)
+{
+    struct job_write *write = g_new(struct job_write, 1);
+    *write = (struct job_write){request, resume};
+    struct txn *txn = txn_new();
+    char *key = key_job(request->job);
+    txn_compare(txn, key, mod_revision);
+    txn_put(txn, key, value, (lease_id){0});
+    g_free(key);
+    kv_client_commit(request->api->kv, KV_LANE_URGENT, txn, on_job_written, write);
+}
+
+/* The value of a cancelled job's key. */
+static json_object *encode_cancelled_job(const struct job_spec *spec, int64_t submitted_ms)
+{
+    json_object *spec_object = job_spec_encode(spec);
+    json_object *value = api_encode_live_job(spec_object, submitted_ms, true);
+    json_object_put(spec_object);
+    return value;
+}
+
+/* What a cancelled job's tasks use has to stay known until they have ended, but no more than that:
+ * if the job was stored when longer values were allowed, the rest is left out, as nothing of the
+ * job starts again. */
+static json_object *encode_cancelled_job_within(const struct job *job, size_t max_bytes)
+{
+    json_object *value = encode_cancelled_job(job->spec, job->submitted_at.ms);
+    if (kv_value_size_bytes(value) <= max_bytes)
+        return value;
+    json_object_put(value);
+    struct job_spec short_spec = *job->spec;
+    short_spec.job_class = short_spec.image = "-";
+    short_spec.machine_type_names = NULL;
+    short_spec.zone = NULL;
+    short_spec.dependency_count = 0;
+    return encode_cancelled_job(&short_spec, job->submitted_at.ms);
+}
+
+void api_request_write_cancel(struct api_request *request, const struct job *job,
+                              api_request_resume resume)
+{
+    size_t max_bytes = kv_client_limits(request->api->kv)->max_value_bytes;
+    json_object *value = encode_cancelled_job_within(job, max_bytes);
+    cancel_broadcast_begin(request->api->peers, request->job);
+    api_request_write_job(request, job->mod_revision, value, resume);
+}
--- a/src/api/query.c
+++ b/src/api/query.c
@@ -1,3 +1,4 @@
+/** Polls and cancellations. */
 #include "api_internal.h"
 
 void api_poll_or_cancel(struct api *api, struct http_responder *responder, connection_ref from,
@@ -5,19 +6,19 @@
 {
     job_id job;
     if (!job_id_parse(&job, id)) {
-        api_reply_error(responder, from, 404, "no such job");
+        api_reply_error(responder, from, HTTP_STATUS_NOT_FOUND, "no such job");
         return;
     }
-    struct job *job_record = api->replica->is_ready ? api_find_job(api, job) : NULL;
-    if (job_record && job_record->state != JOB_ACTIVE) { /* final: nothing newer can be told */
-        api_reply_job(api, responder, from, job_record);
+    struct job *known_job = api->replica->is_ready ? api_find_job(api, job) : NULL;
+    if (known_job && known_job->state != JOB_ACTIVE) { /* its end never changes */
+        api_reply_job(api, responder, from, known_job);
         return;
     }
     struct api_request *request = api_request_new(api, responder, from, action, job);
     if (!request)
         return;
-    if (action == API_ACTION_CANCEL && job_record)
-        api_request_step(request, true); /* the write is conditioned on what is seen here */
+    if (action == API_ACTION_CANCEL && known_job)
+        api_request_step(request, true); /* the write is conditioned on what the replica holds */
     else
         replica_read_barrier(api->replica, api_request_step, request);
 }
--- /dev/null
+++ b/src/api/request_steps.c
@@ -0,0 +1,85 @@
+/** The steps of a waiting request: behind a read barrier, what the replica holds decides how a
+ * poll, a cancellation or a submission goes on. */
+#include "api_internal.h"
+
+static void on_key_response(void *context, const struct http_response *response)
+{
+    struct api_request *request = context;
+    struct job job = {.id = request->job};
+    bool is_final = api_decode_final_job(response, &job);
+    if (response->status == HTTP_STATUS_NOT_FOUND) {
+        request->key_is_absent = true;
+        api_request_step(request, true);
+        return;
+    }
+    if (is_final && !request->is_answered)
+        api_reply_job(request->api, request->responder, request->from, &job);
+    else
+        api_request_refuse(request);
+    api_request_free(request);
+}
+
+/* Whether a job that the replica does not hold may have been over for so long that only its key is
+ * left. The write of a new submission finds that out by itself, without a read. */
+static bool needs_key(const struct api_request *request)
+{
+    if (!request->api->replica->has_evicted_jobs || request->key_is_absent)
+        return false;
+    bool is_new_submission =
+        request->action == API_ACTION_SUBMIT && !request->write_attempts && !request->error_status;
+    return !is_new_submission;
+}
+
+static void read_key(struct api_request *request)
+{
+    char *key = key_job(request->job);
+    kv_client_get(request->api->kv, KV_LANE_URGENT, key, API_RESPONSE_TIMEOUT_MS,
+                  API_RESPONSE_TIMEOUT_MS, on_key_response, request);
+    g_free(key);
+}
+
+/* The job was never accepted. */
+static void step_unknown_job(struct api_request *request)
+{
+    if (request->action != API_ACTION_SUBMIT) {
+        api_reply_error(request->responder, request->from, HTTP_STATUS_NOT_FOUND, "no such job");
+    } else if (request->error_status) {
+        bool is_malformed = request->error_status == HTTP_STATUS_BAD_REQUEST;
+        api_reply_error(request->responder, request->from, request->error_status,
+                        is_malformed ? "malformed" : "can never run");
+    } else {
+        if (api_request_check_dependencies(request, api_request_step))
+            api_request_write_job(request, (revision){0}, api_request_encode_job(request),
+                                  api_request_step);
+        return;
+    }
+    api_request_free(request);
+}
+
+static void step_known_job(struct api_request *request, struct job *job)
+{
+    if (request->action == API_ACTION_CANCEL && job->state == JOB_ACTIVE) {
+        api_request_write_cancel(request, job, api_request_step);
+        return;
+    }
+    api_reply_job(request->api, request->responder, request->from, job);
+    api_request_free(request);
+}
+
+void api_request_step(void *context, bool ok)
+{
+    struct api_request *request = context;
+    struct job *job = api_find_job(request->api, request->job);
+    if (request->is_answered) {
+        api_request_free(request);
+    } else if (!ok) {
+        api_request_refuse(request);
+        api_request_free(request);
+    } else if (job) {
+        step_known_job(request, job);
+    } else if (needs_key(request)) {
+        read_key(request);
+    } else {
+        step_unknown_job(request);
+    }
+}
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -4,6 +4,17 @@
 
 #include "event_loop.h"
 
+/** The statuses that this service answers with. */
+enum http_status {
+    HTTP_STATUS_OK = 200,
+    HTTP_STATUS_CREATED = 201,
+    HTTP_STATUS_BAD_REQUEST = 400,
+    HTTP_STATUS_NOT_FOUND = 404,
+    HTTP_STATUS_METHOD_NOT_ALLOWED = 405,
+    HTTP_STATUS_UNPROCESSABLE = 422,
+    HTTP_STATUS_UNAVAILABLE = 503,
+};
+
 /* ---- parser ---- */
 
 enum http_parse_result {
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -48,14 +48,14 @@
                                                      .settings = settings,
                                                      .features = features,
                                                      .policy = policy});
-    node->api = api_new(&(struct frontend_setup){.loop = loop,
-                                                 .store = node->kv,
-                                                 .view = node->replica,
-                                                 .members = node->membership,
-                                                 .bus = node->rpc,
-                                                 .peers = node->peers,
-                                                 .shard = node->shard,
-                                                 .settings = settings});
+    node->api = api_new(&(struct api_setup){.loop = loop,
+                                            .kv = node->kv,
+                                            .replica = node->replica,
+                                            .membership = node->membership,
+                                            .rpc = node->rpc,
+                                            .peers = node->peers,
+                                            .shard = node->shard,
+                                            .settings = settings});
     return node;
 }
 
--- a/src/wire/codec.h
+++ b/src/wire/codec.h
@@ -113,6 +113,11 @@
 bool job_spec_decode_dependencies(json_object *object, struct job_spec *spec);
 /* The same form as a submission. */
 json_object *job_spec_encode(const struct job_spec *spec);
+/** Whether a submission, which may be malformed, names dependencies at all. */
+bool job_spec_names_dependencies(json_object *object);
+/** Replaces the dependencies in an encoded specification. Takes the array of job ids; an empty one
+ * leaves the field out. */
+void job_spec_put_dependencies(json_object *object, json_object *job_ids);
 
 /* The answer to users. */
 char *job_status_encode(job_id id, const char *stage, long completed, long running);
--- a/src/wire/job_codec.c
+++ b/src/wire/job_codec.c
@@ -130,6 +130,21 @@
     return false;
 }
 
+bool job_spec_names_dependencies(json_object *object)
+{
+    json_object *list = NULL;
+    return json_object_is_type(object, json_type_object) &&
+           json_object_object_get_ex(object, "Awaits", &list) && list;
+}
+
+void job_spec_put_dependencies(json_object *object, json_object *job_ids)
+{
+    bool is_empty = json_object_array_length(job_ids) == 0;
+    json_object_object_add(object, "Awaits", job_ids);
+    if (is_empty)
+        json_object_object_del(object, "Awaits");
+}
+
 bool job_spec_decode_dependencies(json_object *object, struct job_spec *spec)
 {
     if (json_is_absent(object, "Awaits"))
