--- a/src/api/api.c
+++ b/src/api/api.c
@@ -32,6 +32,7 @@
                         .max_waiting = MAX(MIN_WAITING_LIMIT, setup->settings->max_open_files / 4)};
     g_queue_init(&api->unanswered);
     timer_init(&api->timeout_timer, api_expire_requests, api);
+    api->resume = api_request_step;
     node_rpc_set_forward_handler(setup->rpc, serve_locally, api);
     return api;
 }
@@ -116,7 +117,8 @@
 
 static bool is_job_path(const char *path)
 {
-    return strcmp(path, JOBS_PATH) == 0 || g_str_has_prefix(path, "/work/");
+    const size_t length = strlen(JOBS_PATH);
+    return strncmp(path, JOBS_PATH, length) == 0 && (!path[length] || path[length] == '/');
 }
 
 /* Whether it is a submission of a job with dependencies: a node of an earlier version would take it
--- a/src/api/api_internal.h
+++ b/src/api/api_internal.h
@@ -16,6 +16,11 @@
 /** Users wait 2 s for a response, so a request that is not settled by then is refused. */
 enum { API_RESPONSE_TIMEOUT_MS = 1500 };
 
+struct api_request;
+
+/** Takes a request to its next step; `ok` is false when the step before it took too long. */
+typedef void (*api_request_resume)(void *request, bool ok);
+
 struct api {
     struct loop *loop;
     struct kv_client *kv;
@@ -31,6 +36,8 @@
     /** struct api_request that have had no response yet, oldest first. */
     GQueue unanswered;
     struct timer timeout_timer;
+    /** api_request_step; the modules below request_steps.c resume requests by it. */
+    api_request_resume resume;
 };
 
 enum api_action { API_ACTION_SUBMIT, API_ACTION_POLL, API_ACTION_CANCEL };
@@ -69,10 +76,6 @@
     int write_attempts;
 };
 
-/** Takes a request to its next step. `request` is a struct api_request; `ok` is false when the
- * step before it took too long. The signature is that of replica_callback. */
-typedef void (*api_request_resume)(void *request, bool ok);
-
 /* ---- api_response.c ---- */
 
 /** Responds with a JSON text, which it frees. */
@@ -106,11 +109,9 @@
 /** Writes the job's key on the condition that it still stands at that revision (0: that there is
  * none), and responds. Takes the value. After a conflict or a lost response the request is resumed.
  */
-void api_request_write_job(struct api_request *request, revision mod_revision, json_object *value,
-                           api_request_resume resume);
-/** Writes that a live job is cancelled, and responds once all nodes have been told. */
-void api_request_write_cancel(struct api_request *request, const struct job *job,
-                              api_request_resume resume);
+void api_request_write_job(struct api_request *request, revision mod_revision, json_object *value);
+/** Writes that a live job is cancelled, and responds once all nodes know. */
+void api_request_write_cancel(struct api_request *request, const struct job *job);
 /** Reads the response of the key-value store to a read of a job's key into `job`, whose id is set.
  * False: it is not the key of a job that is over. */
 bool api_decode_final_job(const struct http_response *response, struct job *job);
@@ -119,7 +120,7 @@
 
 /** Whether all jobs that a submission depends on were accepted. False: they were not, and the
  * request has ended; or it is not known yet, and the request is resumed later. */
-bool api_request_check_dependencies(struct api_request *request, api_request_resume resume);
+bool api_request_check_dependencies(struct api_request *request);
 /** The value of the new job's key, a new object. A job that depends on a cancelled one is over at
  * once. */
 json_object *api_request_encode_job(struct api_request *request);
@@ -127,7 +128,7 @@
 /* ---- request_steps.c ---- */
 
 /** The api_request_resume of all requests. With `ok` the replica has passed a revision that was the
- * newest after the request came, so what it holds may be told to the user. */
+ * newest after the request came, so the response may be what it holds. */
 void api_request_step(void *request, bool ok);
 
 /* ---- submit.c, query.c ---- */
--- a/src/api/dependency_check.c
+++ b/src/api/dependency_check.c
@@ -1,12 +1,6 @@
 /** The jobs that a submission depends on: each must have been accepted. */
 #include "api_internal.h"
 
-/* A read of a dependency's key, and how its request goes on. */
-struct dependency_read {
-    struct api_request *request;
-    api_request_resume resume;
-};
-
 static void reply_never_accepted(struct api_request *request)
 {
     api_reply_error(request->responder, request->from, HTTP_STATUS_UNPROCESSABLE,
@@ -15,16 +9,13 @@
 
 static void on_dependency_response(void *context, const struct http_response *response)
 {
-    struct dependency_read *read = context;
-    struct api_request *request = read->request;
-    api_request_resume resume = read->resume;
-    g_free(read);
+    struct api_request *request = context;
     struct job job = {0};
     if (api_decode_final_job(response, &job)) {
         request->is_upstream_cancelled =
             request->is_upstream_cancelled || job.state == JOB_CANCELLED;
         request->dependencies_checked++;
-        resume(request, true);
+        request->api->resume(request, true);
         return;
     }
     if (!request->is_answered && response->status == HTTP_STATUS_NOT_FOUND)
@@ -34,27 +25,24 @@
     api_request_free(request);
 }
 
-static void read_dependency(struct api_request *request, job_id id, api_request_resume resume)
+static void read_dependency(struct api_request *request, job_id id)
 {
-    struct dependency_read *read = g_new(struct dependency_read, 1);
-    *read = (struct dependency_read){request, resume};
     char *key = key_job(id);
     kv_client_get(request->api->kv, KV_LANE_URGENT, key, API_RESPONSE_TIMEOUT_MS,
-                  API_RESPONSE_TIMEOUT_MS, on_dependency_response, read);
+                  API_RESPONSE_TIMEOUT_MS, on_dependency_response, request);
     g_free(key);
 }
 
 /* The replica does not hold the job. Behind a read barrier that means that it was never accepted,
  * or has been over for so long that only its key is left. */
-static void resolve_missing_dependency(struct api_request *request, job_id id,
-                                       api_request_resume resume)
+static void resolve_missing_dependency(struct api_request *request, job_id id)
 {
-    struct replica *replica = request->api->replica;
+    struct api *api = request->api;
     if (!request->passed_barrier) {
         request->passed_barrier = true;
-        replica_read_barrier(replica, resume, request);
-    } else if (replica->has_evicted_jobs) {
-        read_dependency(request, id, resume);
+        replica_read_barrier(api->replica, api->resume, request);
+    } else if (api->replica->has_evicted_jobs) {
+        read_dependency(request, id);
     } else {
         reply_never_accepted(request);
         api_request_free(request);
@@ -62,13 +50,13 @@
 }
 
 /* A job that was accepted stays so: what the replica holds needs no barrier. */
-bool api_request_check_dependencies(struct api_request *request, api_request_resume resume)
+bool api_request_check_dependencies(struct api_request *request)
 {
     while (request->dependencies_checked < request->dependency_count) {
         job_id id = request->dependencies[request->dependencies_checked];
         const struct job *job = api_find_job(request->api, id);
         if (!job) {
-            resolve_missing_dependency(request, id, resume);
+            resolve_missing_dependency(request, id);
             return false;
         }
         request->is_upstream_cancelled =
--- a/src/api/job_write.c
+++ b/src/api/job_write.c
@@ -9,12 +9,6 @@
 /* Attempts at a conditional write before the user is asked to come back. */
 enum { MAX_WRITE_ATTEMPTS = 4 };
 
-/* A write under way, and how its request goes on if it has to be tried again. */
-struct job_write {
-    struct api_request *request;
-    api_request_resume resume;
-};
-
 json_object *api_encode_live_job(json_object *spec, int64_t submitted_ms, bool is_cancelled)
 {
     json_object *object = json_object_new_object();
@@ -38,7 +32,7 @@
     return is_final;
 }
 
-/* All nodes have been told of the cancellation, so its user may be. */
+/* All nodes know of the cancellation, so it may be confirmed to its user. */
 static void on_cancel_announced(void *context)
 {
     struct api_request *request = context;
@@ -63,8 +57,7 @@
 }
 
 /* Goes on with a write that was not committed, or gives up. */
-static void retry_or_refuse(struct api_request *request, const struct txn_outcome *outcome,
-                            api_request_resume resume)
+static void retry_or_refuse(struct api_request *request, const struct txn_outcome *outcome)
 {
     struct api *api = request->api;
     bool may_retry = (outcome->status == TXN_CONFLICT || outcome->status == TXN_UNKNOWN) &&
@@ -73,18 +66,15 @@
         api_request_refuse(request);
         api_request_free(request);
     } else if (outcome->status == TXN_CONFLICT) {
-        replica_await_revision(api->replica, outcome->at_revision, resume, request);
+        replica_await_revision(api->replica, outcome->at_revision, api->resume, request);
     } else { /* it may have been committed: the replica will show it */
-        replica_read_barrier(api->replica, resume, request);
+        replica_read_barrier(api->replica, api->resume, request);
     }
 }
 
 static void on_job_written(void *context, const struct txn_outcome *outcome)
 {
-    struct job_write *write = context;
-    struct api_request *request = write->request;
-    api_request_resume resume = write->resume;
-    g_free(write);
+    struct api_request *request = context;
     if (request->action == API_ACTION_CANCEL)
         cancel_broadcast_finish(request->api->cancel_broadcast, request->job, outcome);
     if (request->is_answered)
@@ -92,20 +82,17 @@
     else if (outcome->status == TXN_COMMITTED)
         on_committed(request, outcome->at_revision);
     else
-        retry_or_refuse(request, outcome, resume);
+        retry_or_refuse(request, outcome);
 }
 
-void api_request_write_job(struct api_request *request, revision mod_revision, json_object *value,
-                           api_request_resume resume)
+void api_request_write_job(struct api_request *request, revision mod_revision, json_object *value)
 {
-    struct job_write *write = g_new(struct job_write, 1);
-    *write = (struct job_write){request, resume};
     struct txn *txn = txn_new();
     char *key = key_job(request->job);
     txn_compare(txn, key, mod_revision);
     txn_put(txn, key, value, (lease_id){0});
     g_free(key);
-    kv_client_commit(request->api->kv, KV_LANE_URGENT, txn, on_job_written, write);
+    kv_client_commit(request->api->kv, KV_LANE_URGENT, txn, on_job_written, request);
 }
 
 /* The value of a cancelled job's key. */
@@ -134,11 +121,10 @@
     return encode_cancelled_job(&short_spec, job->submitted_at.ms);
 }
 
-void api_request_write_cancel(struct api_request *request, const struct job *job,
-                              api_request_resume resume)
+void api_request_write_cancel(struct api_request *request, const struct job *job)
 {
     size_t max_bytes = kv_client_limits(request->api->kv)->max_value_bytes;
     json_object *value = encode_cancelled_job_within(job, max_bytes);
     cancel_broadcast_begin(request->api->cancel_broadcast, request->job);
-    api_request_write_job(request, job->mod_revision, value, resume);
+    api_request_write_job(request, job->mod_revision, value);
 }
--- a/src/api/request_steps.c
+++ b/src/api/request_steps.c
@@ -48,9 +48,8 @@
         api_reply_error(request->responder, request->from, request->error_status,
                         is_malformed ? "malformed" : "can never run");
     } else {
-        if (api_request_check_dependencies(request, api_request_step))
-            api_request_write_job(request, (revision){0}, api_request_encode_job(request),
-                                  api_request_step);
+        if (api_request_check_dependencies(request))
+            api_request_write_job(request, (revision){0}, api_request_encode_job(request));
         return;
     }
     api_request_free(request);
@@ -59,7 +58,7 @@
 static void step_known_job(struct api_request *request, struct job *job)
 {
     if (request->action == API_ACTION_CANCEL && job->state == JOB_ACTIVE) {
-        api_request_write_cancel(request, job, api_request_step);
+        api_request_write_cancel(request, job);
         return;
     }
     api_reply_job(request->api, request->responder, request->from, job);
