--- a/src/scheduler/autoscaler.c
+++ b/src/scheduler/autoscaler.c
@@ -36,7 +36,7 @@
     summary->idle += autoscaler_is_machine_idle(machine) ? cpus : 0;
 }
 
-static void log_capacity(struct leader *leader)
+static void log_capacity_summary(struct leader *leader)
 {
     struct capacity_summary on_demand = {0};
     struct capacity_summary spot = {0};
@@ -62,7 +62,7 @@
 }
 
 /** Raises the peak to what is in use, or lets it decay towards that. */
-static void update_peak(struct leader *leader, double elapsed_s)
+static void update_peak_cpus(struct leader *leader, double elapsed_s)
 {
     double used_cpus = scheduling_policy_used_cpus(leader);
     double peak_cpus = leader->autoscaler.peak_cpus;
@@ -72,27 +72,27 @@
 
 static void scale_out(struct leader *leader)
 {
-    autoscaler_measure_services(leader);
+    autoscaler_update_service_statistics(leader);
     if (!scheduling_policy_machine_types(leader) || !cloud_provider_is_listed(leader->cloud))
         return;
     /* Each run replaces the plan of the last one: the cloud allows few calls, and outdated orders
      * would delay those that are needed now. */
     cloud_provider_drop_unsent(leader->cloud);
     struct scale_out_plan *plan = autoscaler_plan_scale_out(leader);
-    autoscaler_order_scale_out(leader->cloud, plan);
+    autoscaler_request_scale_out(leader->cloud, plan);
     scale_out_plan_free(plan);
 }
 
 static void scale_in(struct leader *leader)
 {
     GArray *unusable = autoscaler_find_unusable(leader);
-    autoscaler_order_scale_in(leader->cloud, unusable);
+    autoscaler_request_scale_in(leader->cloud, unusable);
     g_array_unref(unusable);
     /* After that order, as it takes the capacity of unusable machines off what is spare. */
     GArray *idle = autoscaler_find_idle(leader);
-    autoscaler_order_scale_in(leader->cloud, idle);
+    autoscaler_request_scale_in(leader->cloud, idle);
     g_array_unref(idle);
-    autoscaler_announce_departed(leader);
+    autoscaler_notify_owners_of_returns(leader);
 }
 
 void autoscaler_run(struct leader *leader)
@@ -103,9 +103,9 @@
     if (elapsed_ms < SCALE_INTERVAL_MS)
         return;
     leader->autoscaler.last_run_at = now;
-    update_peak(leader, last_run_at.us ? (double)elapsed_ms / 1000 : 1);
+    update_peak_cpus(leader, last_run_at.us ? (double)elapsed_ms / 1000 : 1);
     if (log_debug_enabled())
-        log_capacity(leader);
+        log_capacity_summary(leader);
     machine_health_update_median_slowdown(leader);
     scale_out(leader);
     scale_in(leader);
--- a/src/scheduler/autoscaler_capacity.c
+++ b/src/scheduler/autoscaler_capacity.c
@@ -10,7 +10,7 @@
  * How long a rented machine may take to report, as a multiple of its type's boot time in
  * thousandths. After that it is not counted on any more, and another one is rented in its place.
  */
-enum { MAX_BOOT_TIME_MILLI = 1700 };
+enum { REPORT_TIMEOUT_MS_PER_BOOT_S = 1700 };
 
 void pending_capacity_add(GArray *pending, const char *type_name, const char *zone, bool is_spot,
                           struct resources available)
@@ -30,7 +30,7 @@
     if (machine && machine->is_reported && (machine->flags & MACHINE_KNOWN))
         return false;
     return time_ms_since(loop_now(leader->loop), rented->requested_at) <=
-           (int64_t)(type->boot_time_s * MAX_BOOT_TIME_MILLI);
+           (int64_t)(type->boot_time_s * REPORT_TIMEOUT_MS_PER_BOOT_S);
 }
 
 static void add_rented_machines(struct leader *leader, GArray *pending)
@@ -76,8 +76,8 @@
     return pending;
 }
 
-static bool is_usable(const struct pending_capacity *capacity,
-                      const struct capacity_request *request)
+static bool satisfies_request(const struct pending_capacity *capacity,
+                              const struct capacity_request *request)
 {
     return resources_fit(capacity->available, request->task_resources) &&
            job_spec_allows_machine(request->spec, capacity->type_name, capacity->zone,
@@ -86,12 +86,12 @@
 }
 
 /** Claims capacity on machines of one kind; returns how many tasks found none. */
-static int64_t claim_on_kind(GArray *pending, const struct capacity_request *request,
-                             int64_t task_count, bool is_spot)
+static int64_t claim_spot_or_on_demand(GArray *pending, const struct capacity_request *request,
+                                       int64_t task_count, bool is_spot)
 {
     for (guint i = 0; i < pending->len && task_count > 0; i++) {
         struct pending_capacity *capacity = &g_array_index(pending, struct pending_capacity, i);
-        if (capacity->is_spot != is_spot || !is_usable(capacity, request))
+        if (capacity->is_spot != is_spot || !satisfies_request(capacity, request))
             continue;
         int64_t fitting_tasks =
             MIN(task_count, resources_fit_count(capacity->available, request->task_resources));
@@ -106,11 +106,11 @@
                                int64_t task_count)
 {
     /* Spot machines first: services need the on-demand ones. */
-    task_count = claim_on_kind(pending, request, task_count, true);
-    return claim_on_kind(pending, request, task_count, false);
+    task_count = claim_spot_or_on_demand(pending, request, task_count, true);
+    return claim_spot_or_on_demand(pending, request, task_count, false);
 }
 
-struct resources autoscaler_total_free(struct leader *leader)
+struct resources autoscaler_total_free_resources(struct leader *leader)
 {
     struct resources sum = {0};
     GHashTableIter it;
--- a/src/scheduler/autoscaler_capacity.h
+++ b/src/scheduler/autoscaler_capacity.h
@@ -50,7 +50,7 @@
                                int64_t task_count);
 
 /** Free resources of all machines that accept new tasks. */
-struct resources autoscaler_total_free(struct leader *leader);
+struct resources autoscaler_total_free_resources(struct leader *leader);
 /**
  * CPUs, present and pending, for jobs that may run on spot machines: all that services do not use.
  * It is never 0, so that it can be divided by.
--- a/src/scheduler/autoscaler_offers.c
+++ b/src/scheduler/autoscaler_offers.c
@@ -8,13 +8,13 @@
     /** Fewer unreachable machines than this may have failed by themselves. */
     MIN_UNREACHABLE_MACHINES = 3,
     /** How long a zone counts as silent after the last sign of it. */
-    SILENT_ZONE_MS = 30000,
+    UNREACHABLE_ZONE_AVOID_MS = 30000,
 };
 
 /** A boot that takes this long makes an offer count as twice as expensive. */
 static const double BOOT_TIME_DOUBLING_PRICE_S = 300;
 
-static bool is_zone_silent(struct leader *leader, const char *zone)
+static bool is_zone_unreachable(struct leader *leader, const char *zone)
 {
     int unreachable_count = 0;
     int available_count = 0;
@@ -33,13 +33,13 @@
 
 /* A zone stays silent for a while, as its machines are returned one after the other: the sign of an
  * outage passes sooner than the outage does. */
-void autoscaler_update_silent_zones(struct leader *leader)
+void autoscaler_update_unreachable_zones(struct leader *leader)
 {
     mono_time now = loop_now(leader->loop);
     const GPtrArray *zones = leader->settings->zones;
     for (guint i = 0; i < zones->len; i++)
-        if (is_zone_silent(leader, zones->pdata[i]))
-            leader->autoscaler.zone_silent_until[i] = time_add_ms(now, SILENT_ZONE_MS);
+        if (is_zone_unreachable(leader, zones->pdata[i]))
+            leader->autoscaler.zone_silent_until[i] = time_add_ms(now, UNREACHABLE_ZONE_AVOID_MS);
 }
 
 /** Whether the zone is silent, or was until recently. */
@@ -57,21 +57,21 @@
     struct leader *leader;
     const struct capacity_request *request;
     int64_t task_count;
-    bool avoid_silent_zones;
+    bool avoid_unreachable_zones;
     /** The best offer so far; its type is NULL while there is none. */
     struct machine_offer *best;
     double lowest_price;
 };
 
 /** Whether the tasks may use the offer, and the cloud has not refused it lately. */
-static bool is_available(const struct offer_search *search, const struct machine_offer *offer)
+static bool is_offer_available(const struct offer_search *search, const struct machine_offer *offer)
 {
     const struct capacity_request *request = search->request;
     return job_spec_allows_machine(request->spec, offer->type->name, offer->zone, offer->is_spot) &&
            (!request->zone || strcmp(request->zone, offer->zone) == 0) &&
            !cloud_provider_is_refused(search->leader->cloud, offer->type->name, offer->zone,
                                       offer->is_spot) &&
-           !(search->avoid_silent_zones && is_zone_avoided(search->leader, offer->zone));
+           !(search->avoid_unreachable_zones && is_zone_avoided(search->leader, offer->zone));
 }
 
 /** Price for each task, raised for slow boots. */
@@ -85,7 +85,7 @@
 static void consider_offer(struct offer_search *search, const struct machine_offer *offer,
                            int64_t tasks_per_machine)
 {
-    if (!is_available(search, offer))
+    if (!is_offer_available(search, offer))
         return;
     double price = weighted_price(offer, tasks_per_machine);
     if (search->best->type && price >= search->lowest_price)
@@ -111,11 +111,11 @@
     }
 }
 
-static bool find_lowest_price(struct leader *leader, const struct capacity_request *request,
-                              int64_t task_count, bool avoid_silent_zones,
-                              struct machine_offer *best)
+static bool find_cheapest(struct leader *leader, const struct capacity_request *request,
+                          int64_t task_count, bool avoid_unreachable_zones,
+                          struct machine_offer *best)
 {
-    struct offer_search search = {leader, request, task_count, avoid_silent_zones, best, 0};
+    struct offer_search search = {leader, request, task_count, avoid_unreachable_zones, best, 0};
     const GArray *types = scheduling_policy_machine_types(leader);
     best->type = NULL;
     for (guint i = 0; i < types->len; i++)
@@ -123,9 +123,9 @@
     return best->type != NULL;
 }
 
-bool machine_offer_find(struct leader *leader, const struct capacity_request *request,
-                        int64_t task_count, struct machine_offer *best)
+bool machine_offer_find_cheapest(struct leader *leader, const struct capacity_request *request,
+                                 int64_t task_count, struct machine_offer *best)
 {
-    return find_lowest_price(leader, request, task_count, true, best) ||
-           find_lowest_price(leader, request, task_count, false, best);
+    return find_cheapest(leader, request, task_count, true, best) ||
+           find_cheapest(leader, request, task_count, false, best);
 }
--- a/src/scheduler/autoscaler_offers.h
+++ b/src/scheduler/autoscaler_offers.h
@@ -20,12 +20,12 @@
  * too. Offers in silent zones are used only when there is no other. Returns false when the tasks
  * are allowed on no offer that is available.
  */
-bool machine_offer_find(struct leader *leader, const struct capacity_request *request,
-                        int64_t task_count, struct machine_offer *best);
+bool machine_offer_find_cheapest(struct leader *leader, const struct capacity_request *request,
+                                 int64_t task_count, struct machine_offer *best);
 /**
  * Notes which zones are silent: most of their machines cannot be reached, so that the zone is
  * probably cut off and new machines there could not report either.
  */
-void autoscaler_update_silent_zones(struct leader *leader);
+void autoscaler_update_unreachable_zones(struct leader *leader);
 
 #endif
--- a/src/scheduler/autoscaler_plan.h
+++ b/src/scheduler/autoscaler_plan.h
@@ -23,7 +23,7 @@
     /** struct pending_capacity: machines that are pending already, and those that are planned. */
     GArray *pending;
     /** struct planned_machines, one for each offer, in the order in which they were planned. */
-    GArray *offers;
+    GArray *planned_machines;
     /** Sum over all offers. */
     int machine_count;
 };
@@ -35,7 +35,7 @@
  * Plans capacity for `task_count` more tasks: first what is pending and not claimed, then new
  * machines. Returns how many tasks found none, as no offer suits them or the plan is full.
  */
-int64_t scale_out_plan_request(struct scale_out_plan *plan, const struct capacity_request *request,
-                               int64_t task_count);
+int64_t scale_out_plan_add_tasks(struct scale_out_plan *plan,
+                                 const struct capacity_request *request, int64_t task_count);
 
 #endif
--- a/src/scheduler/autoscaler_scale_in.c
+++ b/src/scheduler/autoscaler_scale_in.c
@@ -15,10 +15,10 @@
     /** ... and this much longer. */
     BOOT_TIMEOUT_MARGIN_MS = 10000,
     /** Boot time of a machine whose type is not known any more. */
-    UNKNOWN_TYPE_BOOT_MS = 60000,
+    DEFAULT_BOOT_TIME_MS = 60000,
     /** After this many heartbeat intervals, all machines that are up have reported to their owner
      * in a new epoch. */
-    REPORTING_HEARTBEATS = 3,
+    EPOCH_REPORTING_HEARTBEATS = 3,
 };
 
 const char *scale_in_reason_name(enum scale_in_reason reason)
@@ -55,17 +55,17 @@
  * return proves it at once. Others are mostly only cut off: their tasks go on running until the
  * machine's lease has expired.
  */
-static bool is_lost(const struct ledger_machine *machine)
+static bool must_return_unreachable(const struct ledger_machine *machine)
 {
     return (machine->flags & MACHINE_UNREACHABLE) &&
            (machine->is_spot || (machine->flags & MACHINE_LEASE_EXPIRED));
 }
 
 /** Whether a machine that has reported is of no use; sets the reason if so. */
-static bool is_unusable(struct leader *leader, const struct ledger_machine *machine,
-                        enum scale_in_reason *reason)
+static bool find_unusable_reason(struct leader *leader, const struct ledger_machine *machine,
+                                 enum scale_in_reason *reason)
 {
-    if (is_lost(machine)) {
+    if (must_return_unreachable(machine)) {
         *reason = SCALE_IN_REASON_UNREACHABLE;
         return true;
     }
@@ -90,7 +90,7 @@
     g_hash_table_iter_init(&it, leader->ledger.machines);
     while (g_hash_table_iter_next(&it, NULL, (gpointer *)&machine)) {
         enum scale_in_reason reason;
-        if (machine->is_reported && is_unusable(leader, machine, &reason))
+        if (machine->is_reported && find_unusable_reason(leader, machine, &reason))
             add_decision(decisions, machine->id, reason);
     }
 }
@@ -109,9 +109,9 @@
     mono_time now = loop_now(leader->loop);
     const struct machine_type *type =
         machine_type_find(scheduling_policy_machine_types(leader), rented->type_name);
-    int64_t boot_ms = type ? (int64_t)(type->boot_time_s * 1000) : UNKNOWN_TYPE_BOOT_MS;
+    int64_t boot_ms = type ? (int64_t)(type->boot_time_s * 1000) : DEFAULT_BOOT_TIME_MS;
     int64_t reporting_ms =
-        (int64_t)(leader->settings->heartbeat_interval_s * (REPORTING_HEARTBEATS * 1000));
+        (int64_t)(leader->settings->heartbeat_interval_s * (EPOCH_REPORTING_HEARTBEATS * 1000));
     return time_ms_since(now, rented->requested_at) >
                boot_ms * BOOT_TIMEOUT_FACTOR + BOOT_TIMEOUT_MARGIN_MS &&
            time_ms_since(now, leader->epoch_began_at) > reporting_ms;
@@ -139,7 +139,7 @@
 }
 
 /** Whether the machine takes tasks and has been idle for longer than operators want. */
-static bool is_idle_timed_out(struct leader *leader, struct ledger_machine *machine)
+static bool has_exceeded_idle_timeout(struct leader *leader, struct ledger_machine *machine)
 {
     return placement_is_schedulable(leader, machine) && autoscaler_is_machine_idle(machine) &&
            (double)time_ms_since(loop_now(leader->loop), machine->idle_since) >=
@@ -149,15 +149,15 @@
 GArray *autoscaler_find_idle(struct leader *leader)
 {
     GArray *decisions = g_array_new(FALSE, FALSE, sizeof(struct scale_in_decision));
-    double surplus_cpus =
-        resources_cpus(autoscaler_total_free(leader)) - scheduling_policy_spare_cpus(leader);
+    double surplus_cpus = resources_cpus(autoscaler_total_free_resources(leader)) -
+                          scheduling_policy_spare_cpus(leader);
     GHashTableIter it;
     struct ledger_machine *machine;
     g_hash_table_iter_init(&it, leader->ledger.machines);
     while (g_hash_table_iter_next(&it, NULL, (gpointer *)&machine)) {
         double cpus = resources_cpus(machine->capacity);
-        if (!is_idle_timed_out(leader, machine) || cpus > surplus_cpus ||
-            !autoscaler_release_service_capacity(leader, machine))
+        if (!has_exceeded_idle_timeout(leader, machine) || cpus > surplus_cpus ||
+            !autoscaler_release_service_headroom(leader, machine))
             continue;
         surplus_cpus -= cpus;
         add_decision(decisions, machine->id, SCALE_IN_REASON_IDLE);
--- a/src/scheduler/autoscaler_scale_out.c
+++ b/src/scheduler/autoscaler_scale_out.c
@@ -16,7 +16,7 @@
 enum { FIRST_RANK_AFTER_SERVICES = 1 };
 
 /** Spare CPUs are planned as tasks of this size, on whatever is cheapest. */
-static const struct resources SPARE_TASK = {{1000}, {0}, {1500}};
+static const struct resources SPARE_TASK_RESOURCES = {{1000}, {0}, {1500}};
 
 /** How long the machines would need for the jobs planned so far. */
 struct backlog {
@@ -41,17 +41,17 @@
         .spot_only = spec->may_use_spot,
     };
     if (spec->may_use_spot)
-        task_count = scale_out_plan_request(plan, &request, task_count);
+        task_count = scale_out_plan_add_tasks(plan, &request, task_count);
     request.spot_only = false;
     if (!spec->may_use_spot || may_use_on_demand)
-        scale_out_plan_request(plan, &request, task_count);
+        scale_out_plan_add_tasks(plan, &request, task_count);
 }
 
 /**
  * Number of the job's waiting tasks that its team's limit allows, after the jobs that come before
  * it in the team's queue. Adds them to the team's demand.
  */
-static int64_t take_team_demand(struct leader *leader, struct ledger_job *job)
+static int64_t add_team_demand(struct leader *leader, struct ledger_job *job)
 {
     struct ledger_team *team = quota_ledger_team_of(leader, job);
     struct resources remaining =
@@ -69,7 +69,7 @@
  * The zone in which a job that needs a single zone has tasks already, where the others must go;
  * NULL when there is none.
  */
-static const char *find_settled_zone(struct leader *leader, struct ledger_job *job)
+static const char *find_required_zone(struct leader *leader, struct ledger_job *job)
 {
     if (!job->queue.job_record->spec->needs_single_zone)
         return NULL;
@@ -89,8 +89,8 @@
     for (guint i = 0; i < zones->len && task_count > 0; i++) {
         const char *zone = zones->pdata[i];
         int64_t tasks_in_zone = placement_count_tasks_in_zone(plan->leader, job, zone);
-        int64_t max_more_tasks = (spec->task_count + 1) / 2 - tasks_in_zone;
-        int64_t zone_tasks = CLAMP(max_more_tasks, 0, task_count);
+        int64_t max_additional_tasks = (spec->task_count + 1) / 2 - tasks_in_zone;
+        int64_t zone_tasks = CLAMP(max_additional_tasks, 0, task_count);
         plan_tasks(plan, job, zone, zone_tasks, may_use_on_demand);
         task_count -= zone_tasks;
     }
@@ -98,11 +98,11 @@
 
 static void plan_job(struct scale_out_plan *plan, struct ledger_job *job, bool may_use_on_demand)
 {
-    int64_t task_count = take_team_demand(plan->leader, job);
+    int64_t task_count = add_team_demand(plan->leader, job);
     if (job->queue.job_record->spec->needs_separate_zones)
         plan_separate_zones(plan, job, task_count, may_use_on_demand);
     else
-        plan_tasks(plan, job, find_settled_zone(plan->leader, job), task_count, may_use_on_demand);
+        plan_tasks(plan, job, find_required_zone(plan->leader, job), task_count, may_use_on_demand);
 }
 
 /** Work of the job's waiting tasks that its team's limit allows, in CPU seconds. */
@@ -137,18 +137,18 @@
     const struct job_spec any_job = {.may_use_spot = true};
     const struct capacity_request request = {
         .spec = &any_job,
-        .task_resources = SPARE_TASK,
+        .task_resources = SPARE_TASK_RESOURCES,
         .spot_only = true,
     };
     double missing_cpus = scheduling_policy_spare_cpus(plan->leader) -
-                          resources_cpus(autoscaler_total_free(plan->leader));
+                          resources_cpus(autoscaler_total_free_resources(plan->leader));
     if (missing_cpus > 0)
-        scale_out_plan_request(plan, &request, (int64_t)ceil(missing_cpus));
+        scale_out_plan_add_tasks(plan, &request, (int64_t)ceil(missing_cpus));
 }
 
 struct scale_out_plan *autoscaler_plan_scale_out(struct leader *leader)
 {
-    autoscaler_update_silent_zones(leader);
+    autoscaler_update_unreachable_zones(leader);
     for (int i = 0; i < leader->ledger.team_count; i++)
         leader->ledger.teams[i].demand = (struct resources){0};
     struct scale_out_plan *plan = scale_out_plan_new(leader);
@@ -157,7 +157,7 @@
     };
     for (int rank = 0; rank < RANK_COUNT; rank++) {
         if (rank == FIRST_RANK_AFTER_SERVICES)
-            autoscaler_plan_for_services(plan);
+            autoscaler_plan_service_headroom(plan);
         plan_rank(plan, rank, &backlog);
     }
     plan_spare_cpus(plan);
--- a/src/scheduler/dispatch_timeout.c
+++ b/src/scheduler/dispatch_timeout.c
@@ -12,18 +12,18 @@
  * Extra time for a dispatch, as a share of its task's expected run time: ARQ may hold a task back
  * for a twentieth of that.
  */
-static const double RUN_TIME_SHARE = 0.1;
+static const double TIMEOUT_RUN_TIME_FRACTION = 0.1;
 
 static double dispatch_timeout_ms(struct leader *leader, const struct ledger_job *job)
 {
     const struct job *job_record = replica_get_job(leader->replica, job->id.text);
     double run_time_s = job_record && job_record->spec ? job_record->spec->expected_run_s : 0;
-    return (DISPATCH_TIMEOUT_S + run_time_s * RUN_TIME_SHARE) * 1000;
+    return (DISPATCH_TIMEOUT_S + run_time_s * TIMEOUT_RUN_TIME_FRACTION) * 1000;
 }
 
 /** A dispatch of the job that has timed out, or NULL. */
-static const struct pending_dispatch *find_timed_out(struct leader *leader,
-                                                     const struct ledger_job *job)
+static const struct pending_dispatch *find_timed_out_dispatch(struct leader *leader,
+                                                              const struct ledger_job *job)
 {
     mono_time now = loop_now(leader->loop);
     double timeout_ms = dispatch_timeout_ms(leader, job);
@@ -46,7 +46,7 @@
     const struct ledger_job *job;
     g_hash_table_iter_init(&it, leader->ledger.jobs);
     while (g_hash_table_iter_next(&it, NULL, (gpointer *)&job)) {
-        const struct pending_dispatch *dispatch = find_timed_out(leader, job);
+        const struct pending_dispatch *dispatch = find_timed_out_dispatch(leader, job);
         if (!dispatch)
             continue;
         LOG_INFO("dispatch_timeout", "job=%s machine=%s", job->id.text, dispatch->machine->id.text);
--- a/src/scheduler/feature_switch.c
+++ b/src/scheduler/feature_switch.c
@@ -4,17 +4,17 @@
 #include "log.h"
 #include "stored_fields.h"
 
-static void on_switch_written(void *arg, const struct txn_outcome *outcome)
+static void on_switch_committed(void *arg, const struct txn_outcome *outcome)
 {
     struct leader *leader = arg;
     (void)outcome; /* the replica will show whether the switch was turned */
     leader->is_switching_features = false;
 }
 
-static void submit_switch(struct leader *leader, struct txn *txn)
+static void commit_switch(struct leader *leader, struct txn *txn)
 {
     leader->is_switching_features = true;
-    kv_client_commit(leader->kv, KV_LANE_NORMAL, txn, on_switch_written, leader);
+    kv_client_commit(leader->kv, KV_LANE_NORMAL, txn, on_switch_committed, leader);
 }
 
 /** A transaction that fails if this node does not lead or the switch was turned meanwhile. */
@@ -33,7 +33,7 @@
     json_put_bool(value, FEATURES_FIELD_SINGLETON_ROLES, true);
     txn_put(txn, KEY_FEATURES, value, (lease_id){0});
     LOG_INFO("singleton_roles_enabled", "nodes=%u", g_hash_table_size(leader->replica->nodes));
-    submit_switch(leader, txn);
+    commit_switch(leader, txn);
 }
 
 /** Removes the autoscaler's intent pages, which are empty by now, as far as one transaction can. */
@@ -66,7 +66,7 @@
     g_free(key);
     remove_intent_pages(leader, txn);
     LOG_INFO("singleton_roles_disabled", "nodes=%u", g_hash_table_size(leader->replica->nodes));
-    submit_switch(leader, txn);
+    commit_switch(leader, txn);
 }
 
 /** Whether the operators of any live node want singleton roles. */
--- a/src/scheduler/garbage_collector.c
+++ b/src/scheduler/garbage_collector.c
@@ -24,14 +24,14 @@
 }
 
 /** A search for completions of jobs that have not ended yet. */
-struct live_job_search {
+struct active_job_search {
     struct replica *replica;
     bool found;
 };
 
 static void visit_completion(void *arg, job_id job, uint32_t unit, const GByteArray *bits)
 {
-    struct live_job_search *search = arg;
+    struct active_job_search *search = arg;
     (void)unit;
     (void)bits;
     const struct job *job_record = replica_get_job(search->replica, job.text);
@@ -68,10 +68,10 @@
 }
 
 /** Whether the page has completions of jobs that have not ended yet. */
-static bool has_live_completions(const struct garbage_collector *collector,
-                                 const struct record_page *page)
+static bool has_completions_of_active_jobs(const struct garbage_collector *collector,
+                                           const struct record_page *page)
 {
-    struct live_job_search search = {collector->replica, false};
+    struct active_job_search search = {collector->replica, false};
     completions_decode(page->completions_text ? page->completions_text : "", visit_completion,
                        &search);
     return search.found;
@@ -85,7 +85,7 @@
     g_hash_table_iter_init(&it, collector->replica->pages);
     while (!collector->removal_in_flight && g_hash_table_iter_next(&it, NULL, (gpointer *)&page)) {
         if (!page->run_records->len && is_node_departed(collector, page->label) &&
-            !has_live_completions(collector, page))
+            !has_completions_of_active_jobs(collector, page))
             remove_key(collector, page->key, page->mod_revision);
     }
 }
--- a/src/scheduler/job_completion.c
+++ b/src/scheduler/job_completion.c
@@ -16,23 +16,23 @@
 };
 
 /** The replica shows by now whether the end was recorded; if not, job_completion_check retries. */
-static void on_end_visible(void *arg, bool is_caught_up)
+static void on_end_outcome_known(void *arg, bool is_caught_up)
 {
     (void)is_caught_up;
-    struct job_end_write *pending = arg;
-    pending->leader->cancelled_ends_in_flight -= pending->is_cancelled;
-    struct ledger_job *job = quota_ledger_find_job(pending->leader, pending->job.text);
+    struct job_end_write *end_write = arg;
+    end_write->leader->cancelled_ends_in_flight -= end_write->is_cancelled;
+    struct ledger_job *job = quota_ledger_find_job(end_write->leader, end_write->job.text);
     if (job)
         job->is_end_in_flight = false;
-    leader_request_pass(pending->leader);
-    g_free(pending);
+    leader_request_pass(end_write->leader);
+    g_free(end_write);
 }
 
 /** Waits until the replica shows the outcome, which is unknown after an error. */
-static void on_end_written(void *arg, const struct txn_outcome *outcome)
+static void on_end_committed(void *arg, const struct txn_outcome *outcome)
 {
-    struct job_end_write *pending = arg;
-    replica_await_outcome(pending->leader->replica, outcome, on_end_visible, pending);
+    struct job_end_write *end_write = arg;
+    replica_await_outcome(end_write->leader->replica, outcome, on_end_outcome_known, end_write);
 }
 
 /** Records the end of a job, on condition that neither the job nor the leader has changed. */
@@ -48,11 +48,11 @@
             (lease_id){0});
     g_free(key);
     job->is_end_in_flight = true;
-    struct job_end_write *pending = g_new(struct job_end_write, 1);
-    *pending = (struct job_end_write){leader, job->id, job_record->state == JOB_CANCELLED};
-    leader->cancelled_ends_in_flight += pending->is_cancelled;
-    enum kv_lane lane = pending->is_cancelled ? KV_LANE_NORMAL : KV_LANE_URGENT;
-    kv_client_commit(leader->kv, lane, txn, on_end_written, pending);
+    struct job_end_write *end_write = g_new(struct job_end_write, 1);
+    *end_write = (struct job_end_write){leader, job->id, job_record->state == JOB_CANCELLED};
+    leader->cancelled_ends_in_flight += end_write->is_cancelled;
+    enum kv_lane lane = end_write->is_cancelled ? KV_LANE_NORMAL : KV_LANE_URGENT;
+    kv_client_commit(leader->kv, lane, txn, on_end_committed, end_write);
 }
 
 void job_completion_check(struct leader *leader, struct ledger_job *job)
@@ -72,7 +72,7 @@
         write_job_end(leader, job, job_record, JOB_CANCELLED);
 }
 
-bool job_completion_is_over(struct leader *leader, const struct ledger_job *job)
+bool job_completion_may_drop_job(struct leader *leader, const struct ledger_job *job)
 {
     const struct job *job_record = replica_get_job(leader->replica, job->id.text);
     return (!job_record || !job_record->spec) && !g_hash_table_size(job->allocations) &&
--- a/src/scheduler/job_completion.h
+++ b/src/scheduler/job_completion.h
@@ -9,6 +9,6 @@
  * a later call tries again. */
 void job_completion_check(struct leader *leader, struct ledger_job *job);
 /** Whether the ledger can drop the job: its end is recorded and it has no run records. */
-bool job_completion_is_over(struct leader *leader, const struct ledger_job *job);
+bool job_completion_may_drop_job(struct leader *leader, const struct ledger_job *job);
 
 #endif
--- a/src/scheduler/leader.c
+++ b/src/scheduler/leader.c
@@ -224,7 +224,7 @@
         for (uint32_t i = 0; g_hash_table_size(job->dispatches) && i < job_record->task_count; i++)
             quota_ledger_drop_dispatch(leader, job, i);
     job_completion_check(leader, job);
-    if (job_completion_is_over(leader, job))
+    if (job_completion_may_drop_job(leader, job))
         quota_ledger_remove_job(leader, job->id);
 }
 
--- a/src/scheduler/machine_health.c
+++ b/src/scheduler/machine_health.c
@@ -10,7 +10,7 @@
     /** A job needs this many tasks that succeeded before others are compared with them. */
     MIN_JOB_SAMPLES = 3,
     /** Bounds the table of run times by job. */
-    MAX_RUN_TIMES = 10000,
+    MAX_TRACKED_JOBS = 10000,
     /** A machine is quarantined once tasks of this many jobs have failed on it. */
     QUARANTINE_JOB_COUNT = 2,
     /** The autoscaler returns quarantined machines; one that it keeps is used again after this. */
@@ -28,7 +28,7 @@
     /** How long a machine is avoided after a task exited with an error on it. */
     AVOID_AFTER_ERROR_MS = 10000,
     /** The same when a task of that job had already failed on it earlier. */
-    AVOID_AFTER_REPEAT_MS = 60000,
+    AVOID_AFTER_REPEATED_ERROR_MS = 60000,
 };
 
 /** A machine is slow when its tasks take this many times as long as on the median machine. */
@@ -41,13 +41,13 @@
 static const double SLOWDOWN_WEIGHT = 0.25;
 
 /** The run times of a job, added if there were none. */
-static struct job_run_time *ensure_run_time(struct leader *leader, const char *job_name)
+static struct job_run_time *ensure_job_run_time(struct leader *leader, const char *job_name)
 {
     GHashTable *by_job = leader->run_times.by_job;
     struct job_run_time *run_time = g_hash_table_lookup(by_job, job_name);
     if (run_time)
         return run_time;
-    if (g_hash_table_size(by_job) > MAX_RUN_TIMES)
+    if (g_hash_table_size(by_job) > MAX_TRACKED_JOBS)
         g_hash_table_remove_all(by_job);
     run_time = g_new0(struct job_run_time, 1);
     g_hash_table_insert(by_job, g_strdup(job_name), run_time);
@@ -67,7 +67,7 @@
 void machine_health_record_run_time(struct leader *leader, const char *job_name,
                                     struct ledger_machine *machine, double run_time_s)
 {
-    struct job_run_time *run_time = ensure_run_time(leader, job_name);
+    struct job_run_time *run_time = ensure_job_run_time(leader, job_name);
     if (run_time->task_count >= MIN_JOB_SAMPLES && run_time->mean_s > MIN_MEAN_RUN_TIME_S)
         add_slowdown_sample(&machine->health, run_time_s / run_time->mean_s);
     run_time->task_count++;
@@ -102,7 +102,7 @@
 }
 
 /** Whether tasks of other jobs have failed on the machine, too. */
-static bool has_failed_other_jobs(struct leader *leader, const char *machine_name,
+static bool has_other_failed_jobs(struct leader *leader, const char *machine_name,
                                   const char *job_name)
 {
     const struct ledger_machine *machine = quota_ledger_find_machine(leader, machine_name);
@@ -128,7 +128,7 @@
     const char *machine_name;
     g_hash_table_iter_init(&it, job->failures.machines);
     while (g_hash_table_iter_next(&it, (gpointer *)&machine_name, NULL))
-        machine_count += !has_failed_other_jobs(leader, machine_name, job->id.text);
+        machine_count += !has_other_failed_jobs(leader, machine_name, job->id.text);
     return machine_count;
 }
 
@@ -141,10 +141,10 @@
                                  struct ledger_machine *machine)
 {
     mono_time now = loop_now(leader->loop);
-    bool is_same_attempt = time_before(now, machine->health.avoid_until);
+    bool is_already_avoided = time_before(now, machine->health.avoid_until);
     bool has_failed_before = !g_hash_table_add(job->failures.machines, g_strdup(machine->id.text));
-    int64_t avoid_ms =
-        has_failed_before && !is_same_attempt ? AVOID_AFTER_REPEAT_MS : AVOID_AFTER_ERROR_MS;
+    int64_t avoid_ms = has_failed_before && !is_already_avoided ? AVOID_AFTER_REPEATED_ERROR_MS
+                                                                : AVOID_AFTER_ERROR_MS;
     mono_time until = time_add_ms(now, avoid_ms);
     if (time_before(machine->health.avoid_until, until))
         machine->health.avoid_until = until;
@@ -175,8 +175,8 @@
 }
 
 /** Notes that the job failed on the machine, and quarantines the machine after several jobs. */
-static void quarantine_if_repeated(struct leader *leader, struct ledger_machine *machine,
-                                   const char *job_name)
+static void quarantine_after_several_jobs(struct leader *leader, struct ledger_machine *machine,
+                                          const char *job_name)
 {
     struct machine_health *health = &machine->health;
     if (!health->failed_jobs)
@@ -204,5 +204,5 @@
     if (is_job_faulty(leader, job))
         delay_faulty_job(leader, job);
     else
-        quarantine_if_repeated(leader, machine, job->id.text);
+        quarantine_after_several_jobs(leader, machine, job->id.text);
 }
--- a/src/scheduler/scheduling_policy.c
+++ b/src/scheduler/scheduling_policy.c
@@ -7,7 +7,7 @@
 enum { DEFAULT_PATIENCE_S = 60 };
 
 /** The quickest boot while no machine type is known: longer than any objective. */
-static const double NO_TYPE_BOOT_S = 1e9;
+static const double NO_MACHINE_TYPE_BOOT_S = 1e9;
 
 const GArray *scheduling_policy_machine_types(struct leader *leader)
 {
@@ -15,10 +15,10 @@
     return listed ? listed : leader->replica->machine_types;
 }
 
-/** The shortest boot time of all machine types; NO_TYPE_BOOT_S without any. */
+/** The shortest boot time of all machine types; NO_MACHINE_TYPE_BOOT_S without any. */
 static double quickest_boot_s(struct leader *leader)
 {
-    double quickest_s = NO_TYPE_BOOT_S;
+    double quickest_s = NO_MACHINE_TYPE_BOOT_S;
     const GArray *types = scheduling_policy_machine_types(leader);
     for (guint i = 0; types && i < types->len; i++)
         quickest_s = MIN(quickest_s, g_array_index(types, struct machine_type, i).boot_time_s);
--- a/src/scheduler/service_relocation.c
+++ b/src/scheduler/service_relocation.c
@@ -14,8 +14,8 @@
 };
 
 /** Whether a task of the service could be placed on a machine outside the zone. */
-static bool could_leave_zone(struct leader *leader, const struct ledger_job *service,
-                             const struct job_spec *spec, int zone_index)
+static bool can_run_in_other_zone(struct leader *leader, const struct ledger_job *service,
+                                  const struct job_spec *spec, int zone_index)
 {
     const GPtrArray *machines = leader->pass.schedulable_machines;
     placement_count_zone_tasks(leader, service, spec);
@@ -33,11 +33,11 @@
 /** The allocation of a replica that may be stopped to make place for a task of the requester on
  * its machine; NULL when it may not, or when that would not free enough. service: the replica's
  * job; NULL when the ledger does not have it. */
-static struct allocation *find_relocatable(struct leader *leader,
-                                           const struct ledger_machine *machine,
-                                           const struct run_record *run_record,
-                                           const struct ledger_job *service,
-                                           const struct ledger_job *requester)
+static struct allocation *find_relocatable_allocation(struct leader *leader,
+                                                      const struct ledger_machine *machine,
+                                                      const struct run_record *run_record,
+                                                      const struct ledger_job *service,
+                                                      const struct ledger_job *requester)
 {
     if (!service || !service->is_service || service == requester || !run_record->job->spec)
         return NULL;
@@ -63,11 +63,11 @@
             continue;
         const struct ledger_job *service = quota_ledger_find_job(leader, run_record->job->id.text);
         struct allocation *allocation =
-            find_relocatable(leader, machine, run_record, service, requester);
+            find_relocatable_allocation(leader, machine, run_record, service, requester);
         if (!allocation)
             continue;
         const struct job_spec *spec = run_record->job->spec;
-        if (!could_leave_zone(leader, service, spec, machine->zone_index)) {
+        if (!can_run_in_other_zone(leader, service, spec, machine->zone_index)) {
             g_hash_table_add(immovable_jobs, run_record->job);
             continue;
         }
--- a/src/scheduler/shard_dispatcher.c
+++ b/src/scheduler/shard_dispatcher.c
@@ -17,9 +17,9 @@
     struct shard_channel *channel = data;
     cJSON_Delete(channel->dispatches);
     cJSON_Delete(channel->stops);
-    cJSON_Delete(channel->departed);
-    cJSON_Delete(channel->cordons);
-    cJSON_Delete(channel->unacknowledged);
+    cJSON_Delete(channel->returned);
+    cJSON_Delete(channel->to_cordon);
+    cJSON_Delete(channel->unacknowledged_message);
     g_free(channel->label);
     g_free(channel);
 }
@@ -35,10 +35,11 @@
     const GArray *shard_map = leader->replica->shard_map;
     g_hash_table_remove_all(leader->shard_channels);
     for (guint i = 0; i < shard_map->len; i++)
-        shard_dispatcher_channel(leader, g_array_index(shard_map, struct shard_map_entry, i).label);
+        shard_dispatcher_ensure_channel(leader,
+                                        g_array_index(shard_map, struct shard_map_entry, i).label);
 }
 
-struct shard_channel *shard_dispatcher_channel(struct leader *leader, const char *label)
+struct shard_channel *shard_dispatcher_ensure_channel(struct leader *leader, const char *label)
 {
     struct shard_channel *channel = g_hash_table_lookup(leader->shard_channels, label);
     if (!channel) {
@@ -68,7 +69,7 @@
         .bound_machine = is_bound ? dispatch->machine->id.text : NULL,
     };
     struct shard_channel *channel =
-        shard_dispatcher_channel(leader, dispatch->machine->owner_label);
+        shard_dispatcher_ensure_channel(leader, dispatch->machine->owner_label);
     shard_dispatcher_append(&channel->dispatches, dispatch_item_encode(&item));
 }
 
@@ -87,7 +88,7 @@
         .machine = allocation->machine.text,
         .grace_s = grace_s,
     };
-    struct shard_channel *channel = shard_dispatcher_channel(leader, machine->owner_label);
+    struct shard_channel *channel = shard_dispatcher_ensure_channel(leader, machine->owner_label);
     shard_dispatcher_append(&channel->stops, stop_item_encode(&item));
 }
 
@@ -96,8 +97,8 @@
 static struct shard_channel *find_idle_owner_channel(struct leader *leader, const char *machine)
 {
     const char *owner = shard_map_get_owner(leader->replica, machine);
-    struct shard_channel *channel = owner ? shard_dispatcher_channel(leader, owner) : NULL;
-    return channel && !channel->unacknowledged ? channel : NULL;
+    struct shard_channel *channel = owner ? shard_dispatcher_ensure_channel(leader, owner) : NULL;
+    return channel && !channel->unacknowledged_message ? channel : NULL;
 }
 
 void shard_dispatcher_queue_returns(struct leader *leader)
@@ -107,12 +108,12 @@
     for (guint i = 0; i < to_cordon->len; i++) {
         struct shard_channel *channel = find_idle_owner_channel(leader, to_cordon->pdata[i]);
         if (channel)
-            shard_dispatcher_append(&channel->cordons, cJSON_CreateString(to_cordon->pdata[i]));
+            shard_dispatcher_append(&channel->to_cordon, cJSON_CreateString(to_cordon->pdata[i]));
     }
     for (guint i = 0; i < to_announce->len; i++) {
         struct shard_channel *channel = find_idle_owner_channel(leader, to_announce->pdata[i]);
         if (channel)
-            shard_dispatcher_append(&channel->departed, cJSON_CreateString(to_announce->pdata[i]));
+            shard_dispatcher_append(&channel->returned, cJSON_CreateString(to_announce->pdata[i]));
     }
     g_ptr_array_unref(to_cordon);
     g_ptr_array_unref(to_announce);
@@ -121,29 +122,29 @@
 /** Whether there is anything to put into a new message. */
 static bool has_queued_items(const struct shard_channel *channel)
 {
-    return channel->dispatches || channel->stops || channel->departed || channel->cordons;
+    return channel->dispatches || channel->stops || channel->returned || channel->to_cordon;
 }
 
 /** The shard has cordoned the machines that its answer names, so their return can go on. */
-static void apply_cordoned(struct leader *leader, const cJSON *answer)
+static void note_cordoned_machines(struct leader *leader, const cJSON *response)
 {
-    GPtrArray *names = dispatch_answer_decode(answer);
+    GPtrArray *names = dispatch_answer_decode(response);
     for (guint i = 0; i < names->len; i++)
         cloud_provider_note_cordoned(leader->cloud, names->pdata[i], leader->epoch);
     g_ptr_array_unref(names);
 }
 
 /** The shard has learned from the last message which machines no longer exist. */
-static void apply_departed(struct leader *leader, const struct shard_channel *channel)
+static void note_announced_returns(struct leader *leader, const struct shard_channel *channel)
 {
     const cJSON *name;
-    cJSON_ArrayForEach(
-        name, cJSON_GetObjectItemCaseSensitive(channel->unacknowledged, DISPATCH_MESSAGE_RETURNED))
+    cJSON_ArrayForEach(name, cJSON_GetObjectItemCaseSensitive(channel->unacknowledged_message,
+                                                              DISPATCH_MESSAGE_RETURNED))
         cloud_provider_note_announced(leader->cloud, name->valuestring);
 }
 
 /** Moves a list, if it is not empty, into a message. */
-static void add_list(cJSON *message, const char *name, cJSON **list)
+static void move_list_to_message(cJSON *message, const char *name, cJSON **list)
 {
     if (*list)
         cJSON_AddItemToObject(message, name, g_steal_pointer(list));
@@ -153,10 +154,10 @@
 static cJSON *build_message(const struct leader *leader, struct shard_channel *channel)
 {
     cJSON *message = dispatch_message_new(leader->epoch, ++channel->message_sequence);
-    add_list(message, DISPATCH_MESSAGE_DISPATCHES, &channel->dispatches);
-    add_list(message, DISPATCH_MESSAGE_STOPS, &channel->stops);
-    add_list(message, DISPATCH_MESSAGE_RETURNED, &channel->departed);
-    add_list(message, DISPATCH_MESSAGE_TO_CORDON, &channel->cordons);
+    move_list_to_message(message, DISPATCH_MESSAGE_DISPATCHES, &channel->dispatches);
+    move_list_to_message(message, DISPATCH_MESSAGE_STOPS, &channel->stops);
+    move_list_to_message(message, DISPATCH_MESSAGE_RETURNED, &channel->returned);
+    move_list_to_message(message, DISPATCH_MESSAGE_TO_CORDON, &channel->to_cordon);
     return message;
 }
 
@@ -171,13 +172,13 @@
 
 /** The message was acknowledged: the next one can be sent. */
 static void on_acknowledged(struct leader *leader, struct shard_channel *channel,
-                            const cJSON *answer)
+                            const cJSON *response)
 {
-    apply_departed(leader, channel);
-    cJSON_Delete(channel->unacknowledged);
-    channel->unacknowledged = NULL;
-    channel->unanswered_since = (mono_time){0};
-    apply_cordoned(leader, answer);
+    note_announced_returns(leader, channel);
+    cJSON_Delete(channel->unacknowledged_message);
+    channel->unacknowledged_message = NULL;
+    channel->failing_since = (mono_time){0};
+    note_cordoned_machines(leader, response);
     if (has_queued_items(channel))
         send_message(leader, channel);
 }
@@ -187,19 +188,19 @@
 static void on_failed(struct leader *leader, struct shard_channel *channel)
 {
     mono_time now = loop_now(leader->loop);
-    if (!channel->unanswered_since.us) {
-        channel->unanswered_since = now;
+    if (!channel->failing_since.us) {
+        channel->failing_since = now;
         return;
     }
     bool is_own_node = strcmp(channel->label, leader->settings->label) == 0;
-    if (time_ms_since(now, channel->unanswered_since) <= UNREACHABLE_TIMEOUT_MS || is_own_node ||
+    if (time_ms_since(now, channel->failing_since) <= UNREACHABLE_TIMEOUT_MS || is_own_node ||
         !membership_is_leader(leader->membership))
         return;
-    channel->unanswered_since = now;
+    channel->failing_since = now;
     membership_exclude_node(leader->membership, channel->label, NODE_EXCLUSION_MS);
 }
 
-static void on_shard_answer(void *arg, int status, const cJSON *answer)
+static void on_shard_response(void *arg, int status, const cJSON *response)
 {
     struct shard_request *request = arg;
     struct leader *leader = request->leader;
@@ -207,7 +208,7 @@
     if (request->generation == leader->generation && channel) {
         channel->is_request_in_flight = false;
         if (status == HTTP_STATUS_OK)
-            on_acknowledged(leader, channel, answer);
+            on_acknowledged(leader, channel, response);
         else
             on_failed(leader, channel);
     }
@@ -219,14 +220,14 @@
  * sequence number; see shard_handle_dispatch_message(). */
 static void send_message(struct leader *leader, struct shard_channel *channel)
 {
-    if (!channel->unacknowledged)
-        channel->unacknowledged = build_message(leader, channel);
+    if (!channel->unacknowledged_message)
+        channel->unacknowledged_message = build_message(leader, channel);
     struct shard_request *request = g_new(struct shard_request, 1);
     *request = (struct shard_request){leader, leader->generation, g_strdup(channel->label)};
     channel->is_request_in_flight = true;
     node_rpc_call(leader->node_rpc, channel->label, SHARD_MESSAGE_DISPATCH,
-                  cJSON_Duplicate(channel->unacknowledged, true), MESSAGE_TIMEOUT_MS,
-                  on_shard_answer, request);
+                  cJSON_Duplicate(channel->unacknowledged_message, true), MESSAGE_TIMEOUT_MS,
+                  on_shard_response, request);
 }
 
 void shard_dispatcher_flush(struct leader *leader)
@@ -237,7 +238,7 @@
     g_hash_table_iter_init(&it, leader->shard_channels);
     while (g_hash_table_iter_next(&it, NULL, (gpointer *)&channel))
         if (!channel->is_request_in_flight &&
-            (channel->unacknowledged || has_queued_items(channel)))
+            (channel->unacknowledged_message || has_queued_items(channel)))
             g_ptr_array_add(due_channels, channel);
     for (guint i = 0; i < due_channels->len; i++)
         send_message(leader, due_channels->pdata[i]);
--- a/src/scheduler/shard_dispatcher.h
+++ b/src/scheduler/shard_dispatcher.h
@@ -18,14 +18,14 @@
     cJSON *dispatches;
     cJSON *stops;
     /** Names of machines that no longer exist. */
-    cJSON *departed;
+    cJSON *returned;
     /** Names of machines on which nothing more may be placed. */
-    cJSON *cordons;
+    cJSON *to_cordon;
     /** The last message, until it is acknowledged; NULL when none is outstanding. */
-    cJSON *unacknowledged;
+    cJSON *unacknowledged_message;
     bool is_request_in_flight;
     /** Since when requests have failed; 0 when the last one was answered. */
-    mono_time unanswered_since;
+    mono_time failing_since;
     /** A full report has arrived in this epoch, so partial ones can be applied. */
     bool has_full_status;
     /** Sequence number of the last report. */
@@ -37,7 +37,7 @@
 /** Discards all channels and creates one for each node of the shard map. */
 void shard_dispatcher_reset(struct leader *leader);
 /** The channel of the node, created on first use. */
-struct shard_channel *shard_dispatcher_channel(struct leader *leader, const char *label);
+struct shard_channel *shard_dispatcher_ensure_channel(struct leader *leader, const char *label);
 /** Appends an item to one of a channel's lists, creating the list if it is empty. Takes the item.
  */
 void shard_dispatcher_append(cJSON **list, cJSON *item);
--- a/src/scheduler/shard_status_receiver.c
+++ b/src/scheduler/shard_status_receiver.c
@@ -72,9 +72,9 @@
 }
 
 /** The answer to a shard: its machines on which nothing more may be placed. */
-static cJSON *build_answer(struct leader *leader, const char *owner)
+static cJSON *build_response(struct leader *leader, const char *owner)
 {
-    cJSON *answer = status_answer_new();
+    cJSON *response = status_answer_new();
     mono_time now = loop_now(leader->loop);
     GHashTableIter it;
     struct ledger_machine *machine;
@@ -82,12 +82,12 @@
     while (g_hash_table_iter_next(&it, NULL, (gpointer *)&machine))
         if (is_owned_by(machine, owner) && (machine_health_is_slow(leader, machine) ||
                                             time_before(now, machine->health.quarantined_until)))
-            status_answer_add(answer, machine->id.text);
-    return answer;
+            status_answer_add(response, machine->id.text);
+    return response;
 }
 
 /** Marks all machines of the shard as not reported, before a full report is applied. */
-static void clear_reported(struct leader *leader, const char *owner)
+static void clear_reported_flags(struct leader *leader, const char *owner)
 {
     GHashTableIter it;
     struct ledger_machine *machine;
@@ -98,7 +98,7 @@
 }
 
 /** Drops machines that the full report omitted, unless they are in use or have a record. */
-static void forget_unreported(struct leader *leader, const char *owner)
+static void drop_unreported_machines(struct leader *leader, const char *owner)
 {
     GHashTableIter it;
     struct ledger_machine *machine;
@@ -115,7 +115,7 @@
                          const struct status_message *status)
 {
     if (status->is_full)
-        clear_reported(leader, from);
+        clear_reported_flags(leader, from);
     for (guint i = 0; i < status->machines->len; i++)
         apply_machine(leader, from, &g_array_index(status->machines, struct machine_status, i));
     for (guint i = 0; i < status->rejected->len; i++)
@@ -124,11 +124,11 @@
     for (guint i = 0; i < status->events->len; i++)
         apply_task_event(leader, &g_array_index(status->events, struct task_event, i));
     if (status->is_full)
-        forget_unreported(leader, from);
+        drop_unreported_machines(leader, from);
 }
 
 /** Whether a report of this epoch is for this leader and its present ledger. */
-static bool is_current_epoch(const struct leader *leader, uint64_t epoch)
+static bool is_for_current_ledger(const struct leader *leader, uint64_t epoch)
 {
     return membership_is_leader(leader->membership) && leader->is_leading &&
            epoch == leader->epoch.value && epoch == leader->replica->shard_map_epoch.value;
@@ -145,29 +145,29 @@
 /** Applies a report, unless it is of another epoch, a repeated one, or only changes where a full
  * one is missing. Returns an HTTP status; after HTTP_STATUS_CONFLICT the shard sends a full one. */
 static int accept_status(struct leader *leader, const char *from,
-                         const struct status_message *status, cJSON **answer)
+                         const struct status_message *status, cJSON **response)
 {
-    if (!is_current_epoch(leader, status->epoch.value))
+    if (!is_for_current_ledger(leader, status->epoch.value))
         return HTTP_STATUS_CONFLICT;
-    struct shard_channel *channel = shard_dispatcher_channel(leader, from);
+    struct shard_channel *channel = shard_dispatcher_ensure_channel(leader, from);
     if (status->sequence <= channel->status_sequence ||
         (!status->is_full && !channel->has_full_status))
         return HTTP_STATUS_CONFLICT;
     channel->status_sequence = status->sequence;
     apply_status(leader, from, status);
     raise_epoch_if_requested(leader, status);
-    *answer = build_answer(leader, from);
+    *response = build_response(leader, from);
     channel->has_full_status = channel->has_full_status || status->is_full;
     leader_request_pass(leader);
     return HTTP_STATUS_OK;
 }
 
-int shard_status_receiver_handle(void *ctx, const char *from, const cJSON *json, cJSON **answer)
+int shard_status_receiver_handle(void *ctx, const char *from, const cJSON *json, cJSON **response)
 {
     struct status_message status;
     if (!status_message_decode(json, &status))
         return HTTP_STATUS_BAD_REQUEST;
-    int http_status = accept_status(ctx, from, &status, answer);
+    int http_status = accept_status(ctx, from, &status, response);
     status_message_clear(&status);
     return http_status;
 }
--- a/src/scheduler/shard_status_receiver.h
+++ b/src/scheduler/shard_status_receiver.h
@@ -10,6 +10,6 @@
 /** Handles the message "digest" of node_rpc. ctx is the leader. Returns an HTTP status: 400 when
  * the message is malformed; 409 when it is of another epoch, repeated, or partial without a full
  * one before it, upon which the shard's next report is a full one. */
-int shard_status_receiver_handle(void *ctx, const char *from, const cJSON *json, cJSON **answer);
+int shard_status_receiver_handle(void *ctx, const char *from, const cJSON *json, cJSON **response);
 
 #endif
--- a/tests/test_autoscaler.c
+++ b/tests/test_autoscaler.c
@@ -29,7 +29,7 @@
 
 static const struct planned_machines *planned(const struct scale_out_plan *plan, guint index)
 {
-    return &g_array_index(plan->offers, struct planned_machines, index);
+    return &g_array_index(plan->planned_machines, struct planned_machines, index);
 }
 
 static int count_requested(struct leader *leader, const struct machine_offer *offer)
@@ -44,15 +44,15 @@
     struct job_spec spec = {.may_use_spot = true};
     struct capacity_request request = {&spec, HALF_MACHINE, NULL, true};
     struct scale_out_plan *plan = new_plan_without_pending(leader);
-    assert_int_equal(scale_out_plan_request(plan, &request, 5), 0);
-    assert_int_equal(plan->offers->len, 1);
+    assert_int_equal(scale_out_plan_add_tasks(plan, &request, 5), 0);
+    assert_int_equal(plan->planned_machines->len, 1);
     assert_int_equal(plan->machine_count, 3);
     const struct machine_offer *offer = &planned(plan, 0)->offer;
     assert_true(offer->is_spot);
     int requested = count_requested(leader, offer);
     struct scale_out_plan *second_plan = scale_out_plan_new(leader);
     assert_int_equal(count_requested(leader, offer), requested);
-    autoscaler_order_scale_out(leader->cloud, plan);
+    autoscaler_request_scale_out(leader->cloud, plan);
     assert_int_equal(count_requested(leader, offer), requested + 3);
     scale_out_plan_free(second_plan);
     scale_out_plan_free(plan);
@@ -64,15 +64,15 @@
     struct job_spec spec = {.may_use_spot = false};
     struct capacity_request request = {&spec, HALF_MACHINE, "b", false};
     struct scale_out_plan *plan = new_plan_without_pending(leader);
-    assert_int_equal(scale_out_plan_request(plan, &request, 4), 0);
-    assert_int_equal(plan->offers->len, 1);
+    assert_int_equal(scale_out_plan_add_tasks(plan, &request, 4), 0);
+    assert_int_equal(plan->planned_machines->len, 1);
     assert_int_equal(planned(plan, 0)->machine_count, 2);
     assert_string_equal(planned(plan, 0)->offer.zone, "b");
     assert_false(planned(plan, 0)->offer.is_spot);
     /* What is planned is pending from then on: it holds a task of half a machine once more. */
-    assert_int_equal(scale_out_plan_request(plan, &request, 1), 0);
+    assert_int_equal(scale_out_plan_add_tasks(plan, &request, 1), 0);
     assert_int_equal(plan->machine_count, 3);
-    assert_int_equal(scale_out_plan_request(plan, &request, 1), 0);
+    assert_int_equal(scale_out_plan_add_tasks(plan, &request, 1), 0);
     assert_int_equal(plan->machine_count, 3);
     scale_out_plan_free(plan);
 }
@@ -84,9 +84,9 @@
     struct capacity_request too_large = {&spec, {{64000}, {0}, {1000}}, NULL, true};
     struct capacity_request request = {&spec, HALF_MACHINE, NULL, true};
     struct scale_out_plan *plan = new_plan_without_pending(leader);
-    assert_int_equal(scale_out_plan_request(plan, &too_large, 7), 7);
+    assert_int_equal(scale_out_plan_add_tasks(plan, &too_large, 7), 7);
     assert_int_equal(plan->machine_count, 0);
-    assert_int_equal(scale_out_plan_request(plan, &request, 2 * MAX_PLANNED_MACHINES + 9), 9);
+    assert_int_equal(scale_out_plan_add_tasks(plan, &request, 2 * MAX_PLANNED_MACHINES + 9), 9);
     assert_int_equal(plan->machine_count, MAX_PLANNED_MACHINES);
     scale_out_plan_free(plan);
 }
@@ -100,9 +100,9 @@
     struct capacity_request in_zone = {&spec, HALF_MACHINE, "a", true};
     struct machine_offer offer;
     leader->autoscaler.zone_silent_until[0] = time_add_ms(loop_now(leader->loop), 1000);
-    assert_true(machine_offer_find(leader, &anywhere, 1, &offer));
+    assert_true(machine_offer_find_cheapest(leader, &anywhere, 1, &offer));
     assert_string_equal(offer.zone, "b");
-    assert_true(machine_offer_find(leader, &in_zone, 1, &offer));
+    assert_true(machine_offer_find_cheapest(leader, &in_zone, 1, &offer));
     assert_string_equal(offer.zone, "a");
 }
 
@@ -198,7 +198,7 @@
     machine->idle_since = time_add_ms(machine->idle_since, -3600000);
     GArray *decisions = autoscaler_find_idle(leader);
     assert_false(cloud_provider_is_scaling_in(leader->cloud, machine->id.text));
-    autoscaler_order_scale_in(leader->cloud, decisions);
+    autoscaler_request_scale_in(leader->cloud, decisions);
     assert_true(cloud_provider_is_scaling_in(leader->cloud, machine->id.text));
     assert_int_equal(reason_of(decisions, machine), SCALE_IN_REASON_IDLE);
 }
