--- a/src/scheduler/autoscaler.c
+++ b/src/scheduler/autoscaler.c
@@ -1,6 +1,6 @@
 /**
- * One run of the autoscaler: measures the load, decides what to rent and to return, and passes the
- * decisions on to the cloud provider.
+ * Runs the autoscaler periodically: measures the load, decides which machines to rent and to
+ * return, and sends the decisions to the cloud provider.
  */
 #include "autoscaler.h"
 
@@ -15,10 +15,10 @@
 
 enum { SCALE_INTERVAL_MS = 500 };
 
-/** Time constant with which the peak of the CPUs in use decays. */
+/** Time constant of the decay of the peak of used CPUs. */
 static const double PEAK_DECAY_S = 60;
 
-/** CPUs of machines of one kind: spot or on-demand. */
+/** CPUs of all spot machines or of all on-demand machines, for the log. */
 struct capacity_summary {
     double total;
     double used;
@@ -61,7 +61,7 @@
               spot.used, spot.idle, spot.pending, leader->autoscaler.peak_cpus);
 }
 
-/** Raises the peak to what is in use, or lets it decay towards that. */
+/** Raises the peak to the CPUs in use, or lets it decay exponentially towards them. */
 static void update_peak_cpus(struct leader *leader, double elapsed_s)
 {
     double used_cpus = scheduling_policy_used_cpus(leader);
@@ -75,8 +75,8 @@
     autoscaler_update_service_statistics(leader);
     if (!scheduling_policy_machine_types(leader) || !cloud_provider_is_listed(leader->cloud))
         return;
-    /* Each run replaces the plan of the last one: the cloud allows few calls, and outdated orders
-     * would delay those that are needed now. */
+    /* Each run replaces the plan of the previous one. The cloud limits the rate of calls, so
+     * outdated requests would delay the ones that are needed now. */
     cloud_provider_drop_unsent(leader->cloud);
     struct scale_out_plan *plan = autoscaler_plan_scale_out(leader);
     autoscaler_request_scale_out(leader->cloud, plan);
@@ -88,7 +88,8 @@
     GArray *unusable = autoscaler_find_unusable(leader);
     autoscaler_request_scale_in(leader->cloud, unusable);
     g_array_unref(unusable);
-    /* After that order, as it takes the capacity of unusable machines off what is spare. */
+    /* Idle machines are determined only now: the requests above exclude the unusable machines from
+     * the free resources, which determine how many idle machines can be spared. */
     GArray *idle = autoscaler_find_idle(leader);
     autoscaler_request_scale_in(leader->cloud, idle);
     g_array_unref(idle);
--- a/src/scheduler/autoscaler_capacity.c
+++ b/src/scheduler/autoscaler_capacity.c
@@ -1,4 +1,4 @@
-/** Pending and free capacity, as the autoscaler counts on it. */
+/** Computes the pending and the free capacity of the cluster for the autoscaler. */
 #include "autoscaler_capacity.h"
 
 #include "placement.h"
@@ -7,8 +7,8 @@
 #include "shard.h"
 
 /**
- * How long a rented machine may take to report, as a multiple of its type's boot time in
- * thousandths. After that it is not counted on any more, and another one is rented in its place.
+ * How long a rented machine may take to report, in milliseconds for each second of its type's boot
+ * time. After that the machine no longer counts as pending, and a replacement is rented.
  */
 enum { REPORT_TIMEOUT_MS_PER_BOOT_S = 1700 };
 
@@ -19,7 +19,7 @@
     g_array_append_val(pending, capacity);
 }
 
-/** Whether a rented machine has not reported yet and may still do so. */
+/** Returns whether a rented machine has not reported yet but is still expected to. */
 static bool is_expected_to_report(struct leader *leader, const struct cloud_machine *rented,
                                   const struct machine_type *type)
 {
@@ -85,7 +85,10 @@
            (!request->zone || strcmp(request->zone, capacity->zone) == 0);
 }
 
-/** Claims capacity on machines of one kind; returns how many tasks found none. */
+/**
+ * Claims pending capacity on spot machines or on on-demand machines. Returns the number of tasks
+ * for which there was not enough.
+ */
 static int64_t claim_spot_or_on_demand(GArray *pending, const struct capacity_request *request,
                                        int64_t task_count, bool is_spot)
 {
@@ -105,7 +108,7 @@
 int64_t pending_capacity_claim(GArray *pending, const struct capacity_request *request,
                                int64_t task_count)
 {
-    /* Spot machines first: services need the on-demand ones. */
+    /* Spot machines are used first, because services need the on-demand ones. */
     task_count = claim_spot_or_on_demand(pending, request, task_count, true);
     return claim_spot_or_on_demand(pending, request, task_count, false);
 }
--- a/src/scheduler/autoscaler_capacity.h
+++ b/src/scheduler/autoscaler_capacity.h
@@ -1,35 +1,36 @@
 /**
- * Capacity that the autoscaler counts on before it rents more: machines that were requested or
- * rented and have not reported yet, and free resources of the machines that accept tasks.
+ * Capacity that the autoscaler takes into account before it rents more machines: pending machines,
+ * which are requested or rented but have not reported yet, and the free resources of the machines
+ * that accept tasks.
  */
 #ifndef LL_AUTOSCALER_CAPACITY_H
 #define LL_AUTOSCALER_CAPACITY_H
 
 #include "scheduler_internal.h"
 
-/** A machine that is expected to come up, and its resources that are not claimed yet. */
+/** A machine that is expected to boot, with its resources that are not claimed yet. */
 struct pending_capacity {
-    /** Belongs to the cloud provider; valid while the autoscaler runs. */
+    /** Owned by the cloud provider; valid during one run of the autoscaler. */
     const char *type_name;
-    /** The same. */
+    /** Owned by the cloud provider; valid during one run of the autoscaler. */
     const char *zone;
     bool is_spot;
     struct resources available;
 };
 
-/** What tasks require of the machines that are to hold them. */
+/** The requirements of equal tasks on the machines that will run them. */
 struct capacity_request {
-    /** Determines which machine types, zones and kinds the tasks may use. */
+    /** Determines the machine types and zones that are allowed, and whether spot machines are. */
     const struct job_spec *spec;
     /** Resources of one task. */
     struct resources task_resources;
-    /** The only zone that will do; NULL for any. */
+    /** The only zone that may be used, or NULL for any zone. */
     const char *zone;
-    /** Rent only spot machines. Pending machines of both kinds are used all the same. */
+    /** Rent spot machines only. Pending on-demand machines are used in either case. */
     bool spot_only;
 };
 
-/** Resources of so many equal tasks. */
+/** Returns the total resources of `task_count` equal tasks. */
 static inline struct resources resources_of_tasks(struct resources task, int64_t task_count)
 {
     return (struct resources){{task.cpus.milli * task_count},
@@ -38,22 +39,25 @@
 }
 
 /**
- * Returns a new array of struct pending_capacity with the machines that were requested, and those
- * that were rented, have not reported yet and may still do so. The caller owns it.
+ * Returns a new array of struct pending_capacity with the requested machines and with the rented
+ * machines that have not reported yet but are still expected to. The caller frees the array.
  */
 GArray *pending_capacity_list(struct leader *leader);
-/** Appends a machine. The texts are not copied. */
+/** Appends a machine to an array of struct pending_capacity, without copying the strings. */
 void pending_capacity_add(GArray *pending, const char *type_name, const char *zone, bool is_spot,
                           struct resources available);
-/** Claims pending capacity for up to `task_count` tasks; returns how many tasks found none. */
+/**
+ * Claims pending capacity for up to `task_count` tasks. Returns the number of tasks for which there
+ * was not enough.
+ */
 int64_t pending_capacity_claim(GArray *pending, const struct capacity_request *request,
                                int64_t task_count);
 
-/** Free resources of all machines that accept new tasks. */
+/** Returns the sum of the free resources of all machines that accept new tasks. */
 struct resources autoscaler_total_free_resources(struct leader *leader);
 /**
- * CPUs, present and pending, for jobs that may run on spot machines: all that services do not use.
- * It is never 0, so that it can be divided by.
+ * Returns the number of CPUs available to batch jobs: those of reported and pending machines,
+ * except what services use. The result is never 0, because callers divide by it.
  */
 double autoscaler_count_batch_cpus(struct leader *leader, const GArray *pending);
 
--- a/src/scheduler/autoscaler_offers.c
+++ b/src/scheduler/autoscaler_offers.c
@@ -1,19 +1,23 @@
-/** Choice among the cloud's offers, and the zones where nothing should be rented. */
+/** Selects offers by price, and avoids unreachable zones. */
 #include "autoscaler_offers.h"
 
 #include "scheduling_policy.h"
 #include "shard.h"
 
 enum {
-    /** Fewer unreachable machines than this may have failed by themselves. */
+    /** Fewer unreachable machines in a zone may be independent failures. */
     MIN_UNREACHABLE_MACHINES = 3,
-    /** How long a zone counts as silent after the last sign of it. */
+    /** How long a zone is avoided after it was last found unreachable. */
     UNREACHABLE_ZONE_AVOID_MS = 30000,
 };
 
-/** A boot that takes this long makes an offer count as twice as expensive. */
+/** A boot time of this length doubles the weighted price of an offer. */
 static const double BOOT_TIME_DOUBLING_PRICE_S = 300;
 
+/**
+ * Returns whether enough machines of the zone are unreachable to suspect a network partition, and
+ * more than are available.
+ */
 static bool is_zone_unreachable(struct leader *leader, const char *zone)
 {
     int unreachable_count = 0;
@@ -31,8 +35,8 @@
     return unreachable_count >= MIN_UNREACHABLE_MACHINES && unreachable_count > available_count;
 }
 
-/* A zone stays silent for a while, as its machines are returned one after the other: the sign of an
- * outage passes sooner than the outage does. */
+/* The zone is avoided for a while after it was last found unreachable: its machines are returned
+ * one after the other, so the symptom of an outage disappears before the outage ends. */
 void autoscaler_update_unreachable_zones(struct leader *leader)
 {
     mono_time now = loop_now(leader->loop);
@@ -42,7 +46,7 @@
             leader->autoscaler.zone_silent_until[i] = time_add_ms(now, UNREACHABLE_ZONE_AVOID_MS);
 }
 
-/** Whether the zone is silent, or was until recently. */
+/** Returns whether the zone is unreachable, or was until recently. */
 static bool is_zone_avoided(struct leader *leader, const char *zone)
 {
     const GPtrArray *zones = leader->settings->zones;
@@ -52,18 +56,21 @@
     return false;
 }
 
-/** A search for the cheapest offer. */
+/** The state of a search for the cheapest offer. */
 struct offer_search {
     struct leader *leader;
     const struct capacity_request *request;
     int64_t task_count;
     bool avoid_unreachable_zones;
-    /** The best offer so far; its type is NULL while there is none. */
+    /** The cheapest offer so far; its type is NULL until one is found. */
     struct machine_offer *best;
     double lowest_price;
 };
 
-/** Whether the tasks may use the offer, and the cloud has not refused it lately. */
+/**
+ * Returns whether the tasks may use the offer, the cloud has not refused it recently, and its zone
+ * is not to be avoided.
+ */
 static bool is_offer_available(const struct offer_search *search, const struct machine_offer *offer)
 {
     const struct capacity_request *request = search->request;
@@ -74,7 +81,7 @@
            !(search->avoid_unreachable_zones && is_zone_avoided(search->leader, offer->zone));
 }
 
-/** Price for each task, raised for slow boots. */
+/** Returns the price per task, increased in proportion to the boot time. */
 static double weighted_price(const struct machine_offer *offer, int64_t tasks_per_machine)
 {
     const struct machine_type *type = offer->type;
@@ -94,7 +101,7 @@
     *search->best = *offer;
 }
 
-/** Considers a machine type in all its zones, as on-demand and as spot machine. */
+/** Considers the offers of a machine type in all its zones, on demand and as spot machines. */
 static void consider_type(struct offer_search *search, const struct machine_type *type)
 {
     int64_t tasks_per_machine =
--- a/src/scheduler/autoscaler_offers.h
+++ b/src/scheduler/autoscaler_offers.h
@@ -1,14 +1,12 @@
-/**
- * Choice among the cloud's offers: which machine type, zone and kind to rent for given tasks.
- */
+/** Selects the cloud's cheapest offer for given tasks, and detects zones that are unreachable. */
 #ifndef LL_AUTOSCALER_OFFERS_H
 #define LL_AUTOSCALER_OFFERS_H
 
 #include "autoscaler_capacity.h"
 
-/** What the cloud offers for rent: a machine type in one zone, as spot or on-demand machine. */
+/** An offer of the cloud: a machine type in one zone, as a spot or an on-demand machine. */
 struct machine_offer {
-    /** Belongs to the cloud provider; valid while the autoscaler runs. */
+    /** Owned by the cloud provider; valid during one run of the autoscaler. */
     const struct machine_type *type;
     /** One of type->zones. */
     const char *zone;
@@ -16,15 +14,17 @@
 };
 
 /**
- * Finds the offer with the lowest price for each of `task_count` tasks; quick boots count a little,
- * too. Offers in silent zones are used only when there is no other. Returns false when the tasks
- * are allowed on no offer that is available.
+ * Finds the available offer with the lowest price per task for `task_count` tasks, where a long
+ * boot time counts as a higher price. Offers in unreachable zones are used only if there is no
+ * other. Returns false if no available offer is allowed for the tasks and large enough for one of
+ * them.
  */
 bool machine_offer_find_cheapest(struct leader *leader, const struct capacity_request *request,
                                  int64_t task_count, struct machine_offer *best);
 /**
- * Notes which zones are silent: most of their machines cannot be reached, so that the zone is
- * probably cut off and new machines there could not report either.
+ * Updates the set of unreachable zones, which are avoided when machines are rented. In such a zone
+ * most machines are unreachable, so it is probably partitioned from the cluster and new machines
+ * could not report either.
  */
 void autoscaler_update_unreachable_zones(struct leader *leader);
 
--- a/src/scheduler/autoscaler_orders.c
+++ b/src/scheduler/autoscaler_orders.c
@@ -1,10 +1,10 @@
-/** Carries out the autoscaler's decisions. */
+/** Sends the autoscaler's decisions to the cloud provider and to the owners of machines. */
 #include "autoscaler_orders.h"
 
 #include "autoscaler_scale_in.h"
 #include "shard_dispatcher.h"
 
-/** Bounds the list of departed machines in one message to a shard; the rest follows later. */
+/** Limits the returned machines in one message to a shard; the next message lists the others. */
 enum { MAX_RETURNED_PER_MESSAGE = 100 };
 
 static void request_planned_machines(struct cloud_provider *cloud,
@@ -33,7 +33,7 @@
     }
 }
 
-/** Whether the machine's owner may still believe that it exists. */
+/** Returns whether the machine's owner may not know yet that the machine was returned. */
 static bool may_be_known_to_owner(struct leader *leader, const struct ledger_machine *machine)
 {
     return machine->is_reported || replica_get_machine(leader->replica, machine->id.text);
--- a/src/scheduler/autoscaler_plan.c
+++ b/src/scheduler/autoscaler_plan.c
@@ -1,4 +1,4 @@
-/** The plan of a scale-out. */
+/** Builds the plan of a scale-out. */
 #include "autoscaler_plan.h"
 
 struct scale_out_plan *scale_out_plan_new(struct leader *leader)
@@ -22,7 +22,7 @@
     return a->type == b->type && a->zone == b->zone && a->is_spot == b->is_spot;
 }
 
-/** The plan's entry for an offer, added if there was none. */
+/** Returns the plan's entry for an offer, which is added if it does not exist. */
 static struct planned_machines *ensure_planned_machines(struct scale_out_plan *plan,
                                                         const struct machine_offer *offer)
 {
--- a/src/scheduler/autoscaler_plan.h
+++ b/src/scheduler/autoscaler_plan.h
@@ -1,39 +1,41 @@
 /**
- * The plan of a scale-out: how many machines to rent by which offer. It is only a decision; see
- * autoscaler_orders.h for what carries it out.
+ * The plan of a scale-out: how many machines to rent of which offers. A plan has no effect until
+ * its machines are requested; see autoscaler_orders.h.
  */
 #ifndef LL_AUTOSCALER_PLAN_H
 #define LL_AUTOSCALER_PLAN_H
 
 #include "autoscaler_offers.h"
 
-/** Bounds the plan of one run of the autoscaler; the next run goes on from there. */
+/** Limits the plan of one run of the autoscaler; the next run plans further machines. */
 enum { MAX_PLANNED_MACHINES = 200 };
 
-/** Machines to rent by one offer. */
+/** A number of machines to rent of one offer. */
 struct planned_machines {
     struct machine_offer offer;
     int machine_count;
 };
 
-/** A plan of machines to rent. */
+/** The machines to rent in one run of the autoscaler. */
 struct scale_out_plan {
-    /** Whose offers are used. */
+    /** The leader whose cloud provider supplies the offers. */
     struct leader *leader;
-    /** struct pending_capacity: machines that are pending already, and those that are planned. */
+    /** Array of struct pending_capacity: the pending machines and the planned ones. */
     GArray *pending;
-    /** struct planned_machines, one for each offer, in the order in which they were planned. */
+    /** Array of struct planned_machines, one for each offer, in the order of planning. */
     GArray *planned_machines;
-    /** Sum over all offers. */
+    /** Total number of planned machines. */
     int machine_count;
 };
 
-/** Returns an empty plan, which knows what is pending already. */
+/** Returns a new plan without machines, which takes pending capacity into account. */
 struct scale_out_plan *scale_out_plan_new(struct leader *leader);
+/** Frees a plan and its arrays. */
 void scale_out_plan_free(struct scale_out_plan *plan);
 /**
- * Plans capacity for `task_count` more tasks: first what is pending and not claimed, then new
- * machines. Returns how many tasks found none, as no offer suits them or the plan is full.
+ * Adds capacity for `task_count` tasks to the plan: unclaimed pending capacity first, then new
+ * machines. Returns the number of tasks left without capacity because no offer is suitable or the
+ * plan has reached MAX_PLANNED_MACHINES.
  */
 int64_t scale_out_plan_add_tasks(struct scale_out_plan *plan,
                                  const struct capacity_request *request, int64_t task_count);
--- a/src/scheduler/autoscaler_scale_in.c
+++ b/src/scheduler/autoscaler_scale_in.c
@@ -1,4 +1,4 @@
-/** The decision which machines to return, and why. */
+/** Finds the machines to return: unusable machines, and idle ones that are not needed. */
 #include "autoscaler_scale_in.h"
 
 #include "autoscaler.h"
@@ -10,14 +10,13 @@
 #include "shard.h"
 
 enum {
-    /** A rented machine is given up after this many times its type's boot time, ... */
+    /** The boot timeout is this multiple of the machine type's boot time, plus a margin. */
     BOOT_TIMEOUT_FACTOR = 3,
-    /** ... and this much longer. */
+    /** The margin that is added to the boot timeout. */
     BOOT_TIMEOUT_MARGIN_MS = 10000,
-    /** Boot time of a machine whose type is not known any more. */
+    /** The boot time that is assumed for a machine type that is no longer known. */
     DEFAULT_BOOT_TIME_MS = 60000,
-    /** After this many heartbeat intervals, all machines that are up have reported to their owner
-     * in a new epoch. */
+    /** Heartbeat intervals within which all live machines report to their owners in a new epoch. */
     EPOCH_REPORTING_HEARTBEATS = 3,
 };
 
@@ -51,9 +50,10 @@
 }
 
 /**
- * Whether an unreachable machine is to be returned. Spot machines are mostly gone by then, and a
- * return proves it at once. Others are mostly only cut off: their tasks go on running until the
- * machine's lease has expired.
+ * Returns whether the machine is unreachable and should be returned. An unreachable spot machine
+ * usually does not exist any more, and returning it proves that at once. An unreachable on-demand
+ * machine is usually only partitioned from the cluster: its tasks keep running until its lease
+ * expires.
  */
 static bool must_return_unreachable(const struct ledger_machine *machine)
 {
@@ -61,7 +61,7 @@
            (machine->is_spot || (machine->flags & MACHINE_LEASE_EXPIRED));
 }
 
-/** Whether a machine that has reported is of no use; sets the reason if so. */
+/** Returns whether a machine that has reported is unusable, and sets the reason if it is. */
 static bool find_unusable_reason(struct leader *leader, const struct ledger_machine *machine,
                                  enum scale_in_reason *reason)
 {
@@ -69,7 +69,7 @@
         *reason = SCALE_IN_REASON_UNREACHABLE;
         return true;
     }
-    /* On a quarantined machine only new tasks fail; services that run on it already are well. */
+    /* A quarantined machine fails new tasks, while services already running on it are healthy. */
     if (!autoscaler_is_machine_idle(machine))
         return false;
     if (time_before(loop_now(leader->loop), machine->health.quarantined_until))
@@ -95,7 +95,7 @@
     }
 }
 
-/** Whether any owner has ever heard of the machine. */
+/** Returns whether the machine has ever reported to an owner. */
 static bool has_reported(struct leader *leader, machine_id id)
 {
     const struct ledger_machine *machine = quota_ledger_find_machine(leader, id.text);
@@ -103,7 +103,10 @@
            replica_get_machine(leader->replica, id.text);
 }
 
-/** Whether a rented machine should have reported long ago. */
+/**
+ * Returns whether the boot timeout of a rented machine has expired. In a new epoch the result is
+ * false until all machines have had time to report.
+ */
 static bool has_boot_timed_out(struct leader *leader, const struct cloud_machine *rented)
 {
     mono_time now = loop_now(leader->loop);
@@ -138,7 +141,10 @@
     return decisions;
 }
 
-/** Whether the machine takes tasks and has been idle for longer than operators want. */
+/**
+ * Returns whether the machine accepts tasks and has been idle for longer than the operators' policy
+ * allows.
+ */
 static bool has_exceeded_idle_timeout(struct leader *leader, struct ledger_machine *machine)
 {
     return placement_is_schedulable(leader, machine) && autoscaler_is_machine_idle(machine) &&
--- a/src/scheduler/autoscaler_scale_in.h
+++ b/src/scheduler/autoscaler_scale_in.h
@@ -1,4 +1,4 @@
-/** The decision which machines to return, and why. */
+/** Decides which machines to return, and for what reason. */
 #ifndef LL_AUTOSCALER_SCALE_IN_H
 #define LL_AUTOSCALER_SCALE_IN_H
 
@@ -6,38 +6,40 @@
 
 /** Why a machine is returned. */
 enum scale_in_reason {
-    /** Nothing has used it for long, and it is not needed for what comes next. */
+    /** The machine has exceeded the idle timeout, and its capacity is not needed. */
     SCALE_IN_REASON_IDLE,
-    /** It cannot be reached, and is gone or safe to give up. */
+    /** The machine is unreachable, and it is a spot machine or its lease has expired. */
     SCALE_IN_REASON_UNREACHABLE,
-    /** It is quarantined; see machine_health.h. */
+    /** The machine is quarantined; see machine_health.h. */
     SCALE_IN_REASON_QUARANTINED,
-    /** The cloud has announced that it takes the spot machine back. */
+    /** The cloud has announced that it will reclaim the spot machine. */
     SCALE_IN_REASON_RECLAIMED,
-    /** Tasks take much longer on it than on others. */
+    /** Tasks take much longer on the machine than on most others. */
     SCALE_IN_REASON_SLOW,
-    /** The cloud reports that it failed to start. */
+    /** The cloud reports that the machine failed to start. */
     SCALE_IN_REASON_FAILED,
-    /** It has not reported long after it should have booted. */
+    /** The machine has not reported long after its expected boot time. */
     SCALE_IN_REASON_BOOT_TIMEOUT,
 };
 
-/** One machine that is to be returned. */
+/** The decision to return one machine. */
 struct scale_in_decision {
     machine_id machine;
     enum scale_in_reason reason;
 };
 
-/** The reason as the log shows it. */
+/** Returns the name of the reason, as it appears in the log. */
 const char *scale_in_reason_name(enum scale_in_reason reason);
 /**
- * Machines of no use, whether they have reported or not: a new array of struct scale_in_decision,
- * which the caller owns. Those that are being returned already may be among them.
+ * Returns a new array of struct scale_in_decision with the unusable machines, whether they have
+ * reported or not. It may include machines that are already being returned. The caller frees the
+ * array.
  */
 GArray *autoscaler_find_unusable(struct leader *leader);
 /**
- * Idle machines that can be spared: a new array of struct scale_in_decision, which the caller owns.
- * Unusable machines have to be ordered back first, so that their capacity does not count as spare.
+ * Returns a new array of struct scale_in_decision with the idle machines that are not needed as
+ * spare capacity. Call this after the return of the unusable machines was requested; otherwise
+ * their free resources would count as spare capacity. The caller frees the array.
  */
 GArray *autoscaler_find_idle(struct leader *leader);
 
--- a/src/scheduler/autoscaler_scale_out.c
+++ b/src/scheduler/autoscaler_scale_out.c
@@ -1,4 +1,4 @@
-/** The decision how many machines to rent: what waiting jobs, services and spare CPUs lack. */
+/** Plans machines for waiting jobs, for the headroom of services and for spare CPUs. */
 #include "autoscaler_scale_out.h"
 
 #include "autoscaler_services.h"
@@ -10,25 +10,26 @@
 #include <math.h>
 
 /**
- * Capacity for services to come is planned before the jobs of this rank: after the services that
- * wait, and before all other jobs.
+ * The headroom for services is planned before the jobs of this rank: after the waiting services and
+ * before all other jobs.
  */
 enum { FIRST_RANK_AFTER_SERVICES = 1 };
 
-/** Spare CPUs are planned as tasks of this size, on whatever is cheapest. */
+/** Spare CPUs are planned as tasks with these resources, on the cheapest spot offers. */
 static const struct resources SPARE_TASK_RESOURCES = {{1000}, {0}, {1500}};
 
-/** How long the machines would need for the jobs planned so far. */
+/** The work of the jobs planned so far, and the CPUs that will do it. */
 struct backlog {
     /** Work of the waiting tasks, in CPU seconds. */
     double cpu_s;
-    /** CPUs that will do it. */
+    /** CPUs of reported and pending machines that are available to batch jobs. */
     double available_cpus;
 };
 
 /**
- * Plans machines for tasks of a job, in one zone (NULL: anywhere). On-demand machines are rented
- * for jobs that may use spot machines only once no more of these are to be had.
+ * Plans machines for tasks of a job, in one zone or, if `zone` is NULL, in any zone. If the job may
+ * use spot machines, on-demand machines are planned only if `may_use_on_demand` is set, and only
+ * for the tasks that get no spot machine.
  */
 static void plan_tasks(struct scale_out_plan *plan, const struct ledger_job *job, const char *zone,
                        int64_t task_count, bool may_use_on_demand)
@@ -48,8 +49,9 @@
 }
 
 /**
- * Number of the job's waiting tasks that its team's limit allows, after the jobs that come before
- * it in the team's queue. Adds them to the team's demand.
+ * Returns the number of the job's waiting tasks that need capacity: those that the team's limit
+ * allows in addition to the demand of the jobs before it in the queue. Adds their resources to the
+ * team's demand.
  */
 static int64_t add_team_demand(struct leader *leader, struct ledger_job *job)
 {
@@ -59,15 +61,15 @@
     int64_t allowed_tasks =
         MIN(quota_ledger_count_allowed_tasks(leader, job, job->queue.job_record),
             resources_fit_count(remaining, job->task_resources));
-    /* Tasks of a gang for which resources are reserved need no machines. */
+    /* Resources are already reserved for these tasks of a gang, so they need no machines. */
     int64_t task_count = MAX(allowed_tasks - job->gang.reserved_task_count, 0);
     resources_add(&team->demand, quota_ledger_limited_request(job, task_count));
     return task_count;
 }
 
 /**
- * The zone in which a job that needs a single zone has tasks already, where the others must go;
- * NULL when there is none.
+ * Returns the zone in which all remaining tasks must run: that of the tasks placed so far, if the
+ * job needs a single zone. Returns NULL if there is no such restriction.
  */
 static const char *find_required_zone(struct leader *leader, struct ledger_job *job)
 {
@@ -80,7 +82,7 @@
     return NULL;
 }
 
-/** Spreads the tasks of a job that needs separate zones: each takes half of its tasks at most. */
+/** Plans a job whose tasks must be spread over zones: no zone gets more than half of them. */
 static void plan_separate_zones(struct scale_out_plan *plan, struct ledger_job *job,
                                 int64_t task_count, bool may_use_on_demand)
 {
@@ -105,7 +107,7 @@
         plan_tasks(plan, job, find_required_zone(plan->leader, job), task_count, may_use_on_demand);
 }
 
-/** Work of the job's waiting tasks that its team's limit allows, in CPU seconds. */
+/** Returns the work, in CPU seconds, of the job's waiting tasks that its team's limit allows. */
 static double waiting_cpu_s(struct leader *leader, struct ledger_job *job)
 {
     struct job *job_record = job->queue.job_record;
@@ -113,7 +115,7 @@
            job_record->spec->expected_run_s * (double)job->task_resources.cpus.milli / 1000;
 }
 
-/** Plans all waiting jobs of a rank, team by team in the order of their queues. */
+/** Plans all waiting jobs of a rank, one team after the other, each in the order of its queue. */
 static void plan_rank(struct scale_out_plan *plan, int rank, struct backlog *backlog)
 {
     struct leader *leader = plan->leader;
--- a/src/scheduler/autoscaler_services.c
+++ b/src/scheduler/autoscaler_services.c
@@ -1,4 +1,4 @@
-/** Capacity for services to come. */
+/** Estimates the arrivals of services and plans headroom for them in each zone. */
 #include "autoscaler_services.h"
 
 #include "placement.h"
@@ -7,21 +7,22 @@
 #include <math.h>
 
 enum {
-    /** The arrival rate is measured over this many intervals, ... */
+    /** The number of intervals over which the arrival rate is measured. */
     RATE_INTERVAL_COUNT = 8,
-    /** ... of this length each. */
+    /** The length of one interval of the arrival rate. */
     RATE_INTERVAL_MS = 30000,
-    /** A rate needs two intervals at least, as the busiest one is left out. */
+    /** A rate needs at least two intervals, because the busiest one is excluded. */
     MIN_OBSERVED_INTERVALS = 2,
 };
 
-/** Services in the ledger, from which those to come are estimated. */
+/** Statistics of the services in the ledger, from which future arrivals are estimated. */
 struct service_sample {
     int64_t task_count;
+    /** Resources of all tasks together. */
     struct resources total_resources;
-    /** Tasks by the age of their job, the latest interval first. */
+    /** Number of tasks by the interval in which their job was submitted, the latest one first. */
     int64_t arrivals_by_interval[RATE_INTERVAL_COUNT];
-    /** Intervals since the oldest service came, up to RATE_INTERVAL_COUNT. */
+    /** Intervals since the oldest service was submitted, at most RATE_INTERVAL_COUNT. */
     int64_t observed_interval_count;
 };
 
@@ -54,8 +55,8 @@
 }
 
 /**
- * Arrival rate without the busiest interval, so that many services that come at once do not count
- * for what is usual.
+ * Returns the arrival rate in tasks per second. The busiest interval is excluded, so that a single
+ * burst of services does not count as the usual rate.
  */
 static double arrival_rate_tasks_per_s(const struct service_sample *sample)
 {
@@ -82,7 +83,7 @@
                                {sample.total_resources.memory.milli / sample.task_count}};
 }
 
-/** How many service tasks of mean size the machine could hold beside its services. */
+/** Returns how many service tasks of mean size the machine could run in addition to its own. */
 static int64_t count_machine_headroom(const struct leader *leader,
                                       const struct ledger_machine *machine)
 {
@@ -90,7 +91,7 @@
                                leader->autoscaler.mean_service_request);
 }
 
-/** How many more service tasks the on-demand machines of a zone could hold. */
+/** Returns how many more service tasks the on-demand machines of a zone could run. */
 static int64_t count_zone_headroom(struct leader *leader, const char *zone)
 {
     int64_t task_count = 0;
@@ -104,7 +105,7 @@
     return task_count;
 }
 
-/** How many service tasks each zone should have free capacity for. */
+/** Returns the number of service tasks for which each zone should have headroom. */
 static int64_t target_headroom_per_zone(struct leader *leader)
 {
     struct policy_value inputs[POLICY_INPUTS] = {0};
@@ -114,7 +115,7 @@
         policy_number(leader->policy, POLICY_SERVICE_SPARE, inputs) / leader->settings->zones->len);
 }
 
-/** Plans capacity for service tasks in a zone; returns how many found none. */
+/** Plans capacity for service tasks in a zone. Returns the number of tasks without capacity. */
 static int64_t plan_zone_headroom(struct scale_out_plan *plan, const char *zone, int64_t task_count)
 {
     const struct job_spec any_service = {.form = FORM_SERVICE};
@@ -126,7 +127,10 @@
     return scale_out_plan_add_tasks(plan, &request, task_count);
 }
 
-/** Gives each zone what it lacks; returns how many tasks found no machine in their zone. */
+/**
+ * Plans the missing headroom of each zone, and stores the shortfalls. Returns the number of tasks
+ * for which no machines were available in their zone.
+ */
 static int64_t plan_headroom_in_each_zone(struct scale_out_plan *plan)
 {
     struct leader *leader = plan->leader;
@@ -144,8 +148,9 @@
 }
 
 /**
- * A zone in which no more machines are to be had is helped by capacity in the others, to which
- * replicas that may run anywhere are relocated.
+ * Increases the shortfall of every zone by the unmet headroom, and plans the new shortfall of those
+ * zones that had none before. Replicas that may run in any zone are then relocated there, out of
+ * the zone in which no more machines are available.
  */
 static void plan_headroom_in_other_zones(struct scale_out_plan *plan, int64_t unmet_tasks)
 {
--- a/src/scheduler/dispatch_timeout.c
+++ b/src/scheduler/dispatch_timeout.c
@@ -1,4 +1,4 @@
-/** Dispatch timeout. */
+/** Detects dispatches that have timed out, and raises the epoch to invalidate them. */
 #include "dispatch_timeout.h"
 
 #include "log.h"
@@ -9,8 +9,8 @@
 };
 
 /**
- * Extra time for a dispatch, as a share of its task's expected run time: ARQ may hold a task back
- * for a twentieth of that.
+ * Additional dispatch timeout as a fraction of the task's expected run time. The shard's admission
+ * control (arq.h) may delay a task by up to a twentieth of its run time.
  */
 static const double TIMEOUT_RUN_TIME_FRACTION = 0.1;
 
@@ -21,13 +21,13 @@
     return (DISPATCH_TIMEOUT_S + run_time_s * TIMEOUT_RUN_TIME_FRACTION) * 1000;
 }
 
-/** A dispatch of the job that has timed out, or NULL. */
+/** Returns a dispatch of the job that has timed out, or NULL if there is none. */
 static const struct pending_dispatch *find_timed_out_dispatch(struct leader *leader,
                                                               const struct ledger_job *job)
 {
     mono_time now = loop_now(leader->loop);
     double timeout_ms = dispatch_timeout_ms(leader, job);
-    /* Shards may have had to wait for the same outage. */
+    /* The shards may have been delayed by the same outage as the leader. */
     if ((double)time_ms_since(now, leader->last_outage_at) <= timeout_ms)
         return NULL;
     GHashTableIter it;
@@ -39,7 +39,7 @@
     return NULL;
 }
 
-/** Raises the epoch if any dispatch has timed out: its task would wait forever otherwise. */
+/** Raises the epoch if a dispatch has timed out, because its task would never run otherwise. */
 static void raise_epoch_on_timeout(struct leader *leader)
 {
     GHashTableIter it;
--- a/src/scheduler/feature_switch.c
+++ b/src/scheduler/feature_switch.c
@@ -1,4 +1,4 @@
-/** The switch of singleton roles. */
+/** Turns the cluster-wide switch of singleton roles on and off. */
 #include "feature_switch.h"
 
 #include "log.h"
@@ -7,7 +7,7 @@
 static void on_switch_committed(void *arg, const struct txn_outcome *outcome)
 {
     struct leader *leader = arg;
-    (void)outcome; /* the replica will show whether the switch was turned */
+    (void)outcome; /* the replica shows whether the switch has changed */
     leader->is_switching_features = false;
 }
 
@@ -17,7 +17,10 @@
     kv_client_commit(leader->kv, KV_LANE_NORMAL, txn, on_switch_committed, leader);
 }
 
-/** A transaction that fails if this node does not lead or the switch was turned meanwhile. */
+/**
+ * Returns a new transaction that fails if this node is no longer the leader or if the switch has
+ * changed in the meantime.
+ */
 static struct txn *new_switch_txn(const struct leader *leader)
 {
     struct txn *txn = txn_new();
@@ -36,7 +39,10 @@
     commit_switch(leader, txn);
 }
 
-/** Removes the autoscaler's intent pages, which are empty by now, as far as one transaction can. */
+/**
+ * Adds the removal of the autoscaler's intent pages, which are empty at this point, to the
+ * transaction. Pages that exceed the limit of operations in one transaction are left.
+ */
 static void remove_intent_pages(struct leader *leader, struct txn *txn)
 {
     GPtrArray *pages = role_records_list_pages(leader->replica->singleton_roles, ROLE_AUTOSCALER);
@@ -52,9 +58,10 @@
 }
 
 /**
- * Turns the switch off under the fencing token of the autoscaler's role, so that nothing can be
- * recorded in its name afterwards. The record of the role is removed as well: what its holder has
- * sent to the intent pages and is still on its way will be refused.
+ * Turns the switch off in a transaction that is guarded by the fencing token of the autoscaler's
+ * role, so it fails if this node has lost the role. The transaction also removes the record of the
+ * role, so that nothing can be recorded under the token afterwards: writes to the intent pages that
+ * are still in flight are rejected.
  */
 static void disable_singleton_roles(struct leader *leader)
 {
@@ -69,7 +76,7 @@
     commit_switch(leader, txn);
 }
 
-/** Whether the operators of any live node want singleton roles. */
+/** Returns whether the operators of any live node have enabled singleton roles. */
 static bool is_requested_by_any_node(const struct leader *leader)
 {
     GHashTableIter it;
@@ -81,25 +88,27 @@
     return false;
 }
 
-/** Whether this node's operators want singleton roles and every node understands them. */
+/**
+ * Returns whether this node's operators have enabled singleton roles and every node supports them.
+ */
 static bool may_enable(const struct leader *leader)
 {
     return leader->features->singleton_roles.is_enabled &&
            membership_all_nodes_support(leader->membership, NODE_VERSION_SINGLETON_ROLES);
 }
 
-/** Whether this node holds the autoscaler's role and none of its intents is open. */
+/** Returns whether this node may act as the autoscaler and has no queued or recorded intents. */
 static bool may_disable(const struct leader *leader)
 {
     return role_manager_may_act(leader->role_manager, ROLE_AUTOSCALER) &&
            cloud_provider_is_settled(leader->cloud);
 }
 
-/** Follows the switch as the replica shows it, whoever has turned it. */
+/** Applies the state of the switch in the replica, whichever node has changed it. */
 static void apply_switch(struct leader *leader, bool is_enabled, bool is_requested)
 {
     cloud_provider_pause_recording(leader->cloud, is_enabled && !is_requested);
-    /* Machines that were cordoned before their return are not cordoned in the new epoch. */
+    /* A new epoch uncordons the machines that were cordoned for their return. */
     if (leader->had_singleton_roles && !is_enabled)
         membership_raise_epoch(leader->membership, "singleton roles are disabled");
     leader->had_singleton_roles = is_enabled;
--- a/src/scheduler/garbage_collector.c
+++ b/src/scheduler/garbage_collector.c
@@ -1,4 +1,4 @@
-/** Garbage collection of departed nodes. */
+/** Removes the keys of departed nodes from the key-value store, one at a time. */
 #include "garbage_collector.h"
 
 #include "record_page_codec.h"
@@ -12,18 +12,18 @@
     struct membership *membership;
     struct role_manager *role_manager;
     struct timer tick_timer;
-    /** A key is being removed; the next one waits for the outcome. */
+    /** The removal of a key is in flight. No other removal is started until it has completed. */
     bool removal_in_flight;
 };
 
 static void on_key_removed(void *arg, const struct txn_outcome *outcome)
 {
     struct garbage_collector *collector = arg;
-    (void)outcome; /* if it failed, the key is found again later */
+    (void)outcome; /* after a failure, a later tick finds the key again */
     collector->removal_in_flight = false;
 }
 
-/** A search for completions of jobs that have not ended yet. */
+/** The state of a search for completions of jobs whose end is not recorded yet. */
 struct active_job_search {
     struct replica *replica;
     bool found;
@@ -40,8 +40,8 @@
 }
 
 /**
- * Removes a key. The transaction fails if this node may not collect any more, the key has changed,
- * or the shard map has, in which the key's node may be back.
+ * Removes a key. The transaction fails if this node is no longer the collector, if the key has
+ * changed, or if the shard map has changed, as it may contain the departed node again.
  */
 static void remove_key(struct garbage_collector *collector, const char *key, revision mod_revision)
 {
@@ -57,7 +57,7 @@
     kv_client_commit(collector->kv, KV_LANE_NORMAL, txn, on_key_removed, collector);
 }
 
-/** Whether the shard map does not contain the node. */
+/** Returns whether the node is missing from the shard map. */
 static bool is_node_departed(const struct garbage_collector *collector, const char *label)
 {
     const GArray *shard_map = collector->replica->shard_map;
@@ -67,7 +67,7 @@
     return true;
 }
 
-/** Whether the page has completions of jobs that have not ended yet. */
+/** Returns whether the page contains completions of jobs whose end is not recorded yet. */
 static bool has_completions_of_active_jobs(const struct garbage_collector *collector,
                                            const struct record_page *page)
 {
@@ -77,7 +77,10 @@
     return search.found;
 }
 
-/** Removes a record page of a departed node once nothing on it is needed any more. */
+/**
+ * Removes a record page of a departed node that contains neither run records nor completions of
+ * jobs whose end is not recorded yet.
+ */
 static void collect_record_pages(struct garbage_collector *collector)
 {
     GHashTableIter it;
@@ -90,7 +93,7 @@
     }
 }
 
-/** Whether a task has a run record on any machine of the inventory. */
+/** Returns whether any machine of the inventory has run records. */
 static bool has_run_records(const struct machine_inventory *inventory)
 {
     for (guint i = 0; i < inventory->machines->len; i++) {
@@ -102,8 +105,8 @@
 }
 
 /**
- * Removes an inventory of a departed node once none of its machines has run records: the machines'
- * new owners list them as well.
+ * Removes a machine inventory of a departed node if none of its machines has run records. The new
+ * owners of the machines list them in their own inventories.
  */
 static void collect_inventories(struct garbage_collector *collector)
 {
@@ -117,7 +120,7 @@
     }
 }
 
-/** Whether this node is the one that collects, and the key-value store can be reached. */
+/** Returns whether this node is the active collector and the key-value store is available. */
 static bool may_collect(struct garbage_collector *collector)
 {
     if (kv_client_is_unavailable(collector->kv))
--- a/src/scheduler/job_completion.c
+++ b/src/scheduler/job_completion.c
@@ -1,21 +1,24 @@
-/** Recording the end of jobs in the key-value store. */
+/** Writes the final state of jobs to the key-value store. */
 #include "job_completion.h"
 
 #include "quota_ledger.h"
 
 enum {
-    /** Ends of cancelled jobs that are recorded at a time. */
+    /** Limits the transactions in flight that record the end of cancelled jobs. */
     MAX_CANCELLED_ENDS_IN_FLIGHT = 4,
 };
 
-/** A transaction that records the end of a job. */
+/** A transaction in flight that records the end of a job. */
 struct job_end_write {
     struct leader *leader;
     job_id job;
     bool is_cancelled;
 };
 
-/** The replica shows by now whether the end was recorded; if not, job_completion_check retries. */
+/**
+ * Called once the replica shows whether the end was recorded. If it was not, job_completion_check
+ * retries.
+ */
 static void on_end_outcome_known(void *arg, bool is_caught_up)
 {
     (void)is_caught_up;
@@ -28,14 +31,14 @@
     g_free(end_write);
 }
 
-/** Waits until the replica shows the outcome, which is unknown after an error. */
+/** Waits until the replica shows the outcome, because it is unknown after an error. */
 static void on_end_committed(void *arg, const struct txn_outcome *outcome)
 {
     struct job_end_write *end_write = arg;
     replica_await_outcome(end_write->leader->replica, outcome, on_end_outcome_known, end_write);
 }
 
-/** Records the end of a job, on condition that neither the job nor the leader has changed. */
+/** Records the end of a job, unless the job or the leader has changed in the meantime. */
 static void write_job_end(struct leader *leader, struct ledger_job *job,
                           const struct job *job_record, enum job_state final_state)
 {
@@ -65,8 +68,8 @@
     bool has_run_records = job_record->run_records || g_hash_table_size(job->allocations);
     if (job_record->state == JOB_ACTIVE && is_completed)
         write_job_end(leader, job, job_record, JOB_DONE);
-    /* One cancellation may end many jobs. All nodes know of it already, so that recording the ends
-     * can wait for other writes. */
+    /* One cancellation may end many jobs. Every node already knows that they are cancelled, so
+     * recording their ends has a lower priority than other writes. */
     else if (job_record->state == JOB_CANCELLED && !has_run_records &&
              leader->cancelled_ends_in_flight < MAX_CANCELLED_ENDS_IN_FLIGHT)
         write_job_end(leader, job, job_record, JOB_CANCELLED);
--- a/src/scheduler/machine_health.c
+++ b/src/scheduler/machine_health.c
@@ -1,46 +1,49 @@
-/** Machine health, as the ends of tasks show it. */
+/** Detects faulty and slow machines, and faulty jobs, by how tasks end. */
 #include "machine_health.h"
 
 #include "log.h"
 #include "quota_ledger.h"
 
 enum {
-    /** A machine needs this many compared tasks before it can be called slow. */
+    /** Slowdown samples of a machine that are needed before it can be considered slow. */
     MIN_MACHINE_SAMPLES = 5,
-    /** A job needs this many tasks that succeeded before others are compared with them. */
+    /** Succeeded tasks of a job that are needed before later ones are compared with them. */
     MIN_JOB_SAMPLES = 3,
-    /** Bounds the table of run times by job. */
+    /** Limits the table of run times by job, which is cleared when it grows larger. */
     MAX_TRACKED_JOBS = 10000,
-    /** A machine is quarantined once tasks of this many jobs have failed on it. */
+    /** A machine is quarantined once tasks of this many different jobs have failed on it. */
     QUARANTINE_JOB_COUNT = 2,
-    /** The autoscaler returns quarantined machines; one that it keeps is used again after this. */
+    /**
+     * Duration of the quarantine. The autoscaler returns quarantined machines once they are idle; a
+     * machine that is still there afterwards is used again.
+     */
     QUARANTINE_MS = 120000,
-    /** A job is faulty once it has failed on this many machines where no other job has. */
+    /** A job is faulty once it has failed on this many machines where no other job has failed. */
     FAULTY_JOB_MACHINE_COUNT = 3,
-    /** Delay before the next tasks of a faulty job; doubled with each failure, ... */
+    /** Base of the delay before the next tasks of a faulty job; each failure doubles the delay. */
     RETRY_BASE_DELAY_MS = 4000,
-    /** ... this many times at most, ... */
+    /** Limits how often the retry delay is doubled. */
     MAX_RETRY_DOUBLINGS = 5,
-    /** ... and never longer than this. */
+    /** Limits the retry delay itself. */
     MAX_RETRY_DELAY_MS = 40000,
     /** How long a machine is avoided after a task was lost on it. */
     AVOID_AFTER_LOSS_MS = 5000,
     /** How long a machine is avoided after a task exited with an error on it. */
     AVOID_AFTER_ERROR_MS = 10000,
-    /** The same when a task of that job had already failed on it earlier. */
+    /** How long a machine is avoided after a task of a job that had already failed on it fails. */
     AVOID_AFTER_REPEATED_ERROR_MS = 60000,
 };
 
-/** A machine is slow when its tasks take this many times as long as on the median machine. */
+/** A machine is slow if its slowdown exceeds the median slowdown by this factor. */
 static const double SLOWDOWN_LIMIT = 1.7;
 
-/** Tasks of jobs with a shorter mean are no measure of a machine. */
+/** Tasks of jobs with a shorter mean run time are not used to measure machines. */
 static const double MIN_MEAN_RUN_TIME_S = 0.5;
 
 /** Weight of the latest task in the moving average of its machine's slowdown. */
 static const double SLOWDOWN_WEIGHT = 0.25;
 
-/** The run times of a job, added if there were none. */
+/** Returns the run times of a job, which are added if they do not exist. */
 static struct job_run_time *ensure_job_run_time(struct leader *leader, const char *job_name)
 {
     GHashTable *by_job = leader->run_times.by_job;
@@ -101,7 +104,7 @@
            machine->health.slowdown > SLOWDOWN_LIMIT * MAX(leader->run_times.median_slowdown, 1);
 }
 
-/** Whether tasks of other jobs have failed on the machine, too. */
+/** Returns whether tasks of other jobs have failed on the machine, or it is quarantined. */
 static bool has_other_failed_jobs(struct leader *leader, const char *machine_name,
                                   const char *job_name)
 {
@@ -118,8 +121,9 @@
 }
 
 /**
- * Number of machines on which only this job has failed, as far as is known. When several machines
- * are faulty at once, a large job tries all of them within moments, and is not to blame.
+ * Returns the number of machines on which, as far as is known, only this job has failed. If several
+ * machines become faulty at the same time, a large job fails on all of them within moments without
+ * being faulty itself.
  */
 static guint count_exclusive_failures(struct leader *leader, struct ledger_job *job)
 {
@@ -133,9 +137,9 @@
 }
 
 /**
- * Avoids a machine on which a task exited with an error. If a task of the same job had failed there
- * in an earlier attempt, the machine is avoided for longer: it has the job's image by now, and
- * placement would prefer it.
+ * Avoids a machine on which a task exited with an error. If a task of the same job failed there
+ * earlier, and not together with this one, the machine is avoided for longer: it has cached the
+ * job's image by then, so placement would prefer it.
  */
 static void avoid_failed_machine(struct leader *leader, struct ledger_job *job,
                                  struct ledger_machine *machine)
@@ -150,7 +154,10 @@
         machine->health.avoid_until = until;
 }
 
-/** Whether the job itself is at fault: no task of it ever succeeded, and only it fails. */
+/**
+ * Returns whether the job itself is faulty: none of its tasks has succeeded, and it has failed on
+ * several machines where no other job has.
+ */
 static bool is_job_faulty(struct leader *leader, struct ledger_job *job)
 {
     const struct job *job_record = replica_get_job(leader->replica, job->id.text);
@@ -158,11 +165,11 @@
            count_exclusive_failures(leader, job) >= FAULTY_JOB_MACHINE_COUNT;
 }
 
-/** Delays the next tasks of a faulty job, the longer the more often it has failed. */
+/** Delays the next tasks of a faulty job, with exponential backoff. */
 static void delay_faulty_job(struct leader *leader, struct ledger_job *job)
 {
     mono_time now = loop_now(leader->loop);
-    /* Tasks that were started together fail together: that counts as one failure. */
+    /* Tasks that were started together also fail together, which counts as one failure. */
     if (time_before(now, job->failures.retry_at))
         return;
     job->failures.count++;
@@ -174,7 +181,7 @@
              g_hash_table_size(job->failures.machines), delay_ms);
 }
 
-/** Notes that the job failed on the machine, and quarantines the machine after several jobs. */
+/** Records that the job failed on the machine; quarantines it once several jobs have failed. */
 static void quarantine_after_several_jobs(struct leader *leader, struct ledger_machine *machine,
                                           const char *job_name)
 {
--- a/src/scheduler/scheduling_policy.c
+++ b/src/scheduler/scheduling_policy.c
@@ -1,12 +1,12 @@
-/** What objectives, machine types and the operators' policy file prescribe to the scheduler. */
+/** Evaluates objectives, machine types and the operators' policy for the scheduler. */
 #include "scheduling_policy.h"
 
 #include <math.h>
 
-/** Patience of a job whose class has no objective for waiting times. */
+/** Limit of the waiting time of jobs, which applies if no objective of their class is shorter. */
 enum { DEFAULT_PATIENCE_S = 60 };
 
-/** The quickest boot while no machine type is known: longer than any objective. */
+/** The shortest boot time while no machine type is known; it is longer than any objective. */
 static const double NO_MACHINE_TYPE_BOOT_S = 1e9;
 
 const GArray *scheduling_policy_machine_types(struct leader *leader)
@@ -15,7 +15,9 @@
     return listed ? listed : leader->replica->machine_types;
 }
 
-/** The shortest boot time of all machine types; NO_MACHINE_TYPE_BOOT_S without any. */
+/**
+ * Returns the shortest boot time of all machine types, or NO_MACHINE_TYPE_BOOT_S if none is known.
+ */
 static double quickest_boot_s(struct leader *leader)
 {
     double quickest_s = NO_MACHINE_TYPE_BOOT_S;
@@ -34,7 +36,10 @@
     return slowest_s;
 }
 
-/** How long a task may wait if the objective is to be met; `default_s` if it sets no limit. */
+/**
+ * Returns how long a task may wait if the objective is to be met, or `default_s` if the objective
+ * does not limit the waiting time.
+ */
 static double max_wait_s(const struct objective *objective, const struct job_spec *spec,
                          double default_s)
 {
@@ -51,8 +56,11 @@
     return default_s;
 }
 
-/** The shortest wait that an objective of the job's class allows and a new machine can meet, which
- * boots in `quickest_s` at best. */
+/**
+ * Returns the shortest waiting time that the objectives of the job's class allow. Objectives that
+ * allow no more than `quickest_s`, the shortest boot time, are ignored, because no new machine
+ * could meet them.
+ */
 static double class_patience_s(const struct leader *leader, const struct job_spec *spec,
                                double quickest_s)
 {
@@ -76,7 +84,7 @@
     double patience_s = class_patience_s(leader, spec, quickest_s);
     if (spec->deadline_s >= 0 || job_record->inherited_deadline.ms == NO_DEADLINE.ms)
         return patience_s;
-    /* Jobs that depend on this one have deadlines: it has to leave them enough time. */
+    /* Jobs that depend on this one have deadlines, so it must leave them enough time. */
     double due_s = (double)(job_record->inherited_deadline.ms - job_record->eligible_at.ms) / 1000;
     return MIN(patience_s, MAX(due_s - spec->expected_run_s, quickest_s));
 }
@@ -95,7 +103,7 @@
     inputs[INPUT_PEAK_CPUS].number = leader->autoscaler.peak_cpus;
 }
 
-/** Sets the inputs that describe the load and a job. */
+/** Sets the inputs of a policy expression that describe the cluster's load and a job. */
 static void set_job_inputs(struct leader *leader, const struct ledger_job *job,
                            const struct job_spec *spec, struct policy_value *inputs)
 {
--- a/src/scheduler/service_relocation.c
+++ b/src/scheduler/service_relocation.c
@@ -1,4 +1,4 @@
-/** Moving replicas of services to other zones. */
+/** Stops replicas of services that could run in other zones. */
 #include "service_relocation.h"
 
 #include "log.h"
@@ -7,13 +7,12 @@
 #include "shard_dispatcher.h"
 
 enum {
-    /** Replicas are not moved before they have run this long, as they count as started only then.
-     */
+    /** Replicas are not moved before this age, at which they count as started. */
     MIN_RELOCATION_AGE_MS = 35000,
     RELOCATION_BACKOFF_MS = 1000,
 };
 
-/** Whether a task of the service could be placed on a machine outside the zone. */
+/** Returns whether a task of the service could be placed on a machine outside the zone. */
 static bool can_run_in_other_zone(struct leader *leader, const struct ledger_job *service,
                                   const struct job_spec *spec, int zone_index)
 {
@@ -30,9 +29,11 @@
     return false;
 }
 
-/** The allocation of a replica that may be stopped to make place for a task of the requester on
- * its machine; NULL when it may not, or when that would not free enough. service: the replica's
- * job; NULL when the ledger does not have it. */
+/**
+ * Returns the allocation of a replica that may be stopped to free resources for a task of the
+ * requester on the same machine. Returns NULL if the replica may not be stopped or uses too little.
+ * `service` is the replica's job, or NULL if the ledger does not contain it.
+ */
 static struct allocation *find_relocatable_allocation(struct leader *leader,
                                                       const struct ledger_machine *machine,
                                                       const struct run_record *run_record,
@@ -50,8 +51,10 @@
     return resources_fit(free, requester->task_resources) ? allocation : NULL;
 }
 
-/** Stops one replica on the machine that could run in another zone. Adds services that could not
- * leave the zone to immovable_jobs, a set of struct job. Returns whether it stopped one. */
+/**
+ * Stops one replica on the machine that could run in another zone. Adds services that cannot run in
+ * another zone to `immovable_jobs`, a set of struct job. Returns whether a replica was stopped.
+ */
 static bool relocate_from_machine(struct leader *leader, const struct ledger_machine *machine,
                                   const struct ledger_job *requester, GHashTable *immovable_jobs)
 {
@@ -80,7 +83,10 @@
     return false;
 }
 
-/** Stops one replica in the zone that could run in another one; returns whether it did. */
+/**
+ * Stops one replica in the zone that could run in another zone. Returns whether a replica was
+ * stopped.
+ */
 static bool relocate_from_zone(struct leader *leader, const struct ledger_job *requester,
                                const struct job_spec *spec, int zone_index)
 {
@@ -105,7 +111,7 @@
     int zone_count = (int)leader->settings->zones->len;
     for (int zone_index = 0; zone_index < zone_count; zone_index++) {
         struct relocation_backoff *backoff = &leader->relocation_backoffs[zone_index];
-        /* The search in the zone before has counted the tasks of other jobs. */
+        /* The search in the previous zone has overwritten the counts with those of other jobs. */
         placement_count_zone_tasks(leader, job, spec);
         if (!placement_is_zone_allowed(leader, job, spec, zone_index) ||
             (time_before(now, backoff->until) &&
--- a/src/scheduler/shard_dispatcher.c
+++ b/src/scheduler/shard_dispatcher.c
@@ -1,4 +1,4 @@
-/** The leader's message channels to the shards. */
+/** Queues and sends the leader's messages to the shards, and handles the responses. */
 #include "shard_dispatcher.h"
 
 #include "placement.h"
@@ -7,7 +7,7 @@
 
 enum {
     MESSAGE_TIMEOUT_MS = 1500,
-    /** A node that has not answered for this long is excluded from the shard map. */
+    /** A node whose requests have failed for longer than this is excluded from the shard map. */
     UNREACHABLE_TIMEOUT_MS = 4000,
     NODE_EXCLUSION_MS = 20000,
 };
@@ -92,8 +92,10 @@
     shard_dispatcher_append(&channel->stops, stop_item_encode(&item));
 }
 
-/** The channel to the owner of a machine, if it can take the machine's name now. It cannot while a
- * message is outstanding, as that message or its answer may contain the name. */
+/**
+ * Returns the channel to the owner of a machine if no message is outstanding on it, else NULL. The
+ * outstanding message or its response may already contain the machine's name.
+ */
 static struct shard_channel *find_idle_owner_channel(struct leader *leader, const char *machine)
 {
     const char *owner = shard_map_get_owner(leader->replica, machine);
@@ -119,13 +121,13 @@
     g_ptr_array_unref(to_announce);
 }
 
-/** Whether there is anything to put into a new message. */
+/** Returns whether any item is queued for the next message. */
 static bool has_queued_items(const struct shard_channel *channel)
 {
     return channel->dispatches || channel->stops || channel->returned || channel->to_cordon;
 }
 
-/** The shard has cordoned the machines that its answer names, so their return can go on. */
+/** Tells the cloud provider which machines the shard has cordoned, so that it can return them. */
 static void note_cordoned_machines(struct leader *leader, const cJSON *response)
 {
     GPtrArray *names = dispatch_answer_decode(response);
@@ -134,7 +136,7 @@
     g_ptr_array_unref(names);
 }
 
-/** The shard has learned from the last message which machines no longer exist. */
+/** Tells the cloud provider that the shard has learned of the returned machines in the message. */
 static void note_announced_returns(struct leader *leader, const struct shard_channel *channel)
 {
     const cJSON *name;
@@ -143,14 +145,14 @@
         cloud_provider_note_announced(leader->cloud, name->valuestring);
 }
 
-/** Moves a list, if it is not empty, into a message. */
+/** Moves a list into a message, unless the list is NULL. */
 static void move_list_to_message(cJSON *message, const char *name, cJSON **list)
 {
     if (*list)
         cJSON_AddItemToObject(message, name, g_steal_pointer(list));
 }
 
-/** A message made of everything that is queued. */
+/** Builds a message from all queued items, and clears the queues. */
 static cJSON *build_message(const struct leader *leader, struct shard_channel *channel)
 {
     cJSON *message = dispatch_message_new(leader->epoch, ++channel->message_sequence);
@@ -161,7 +163,7 @@
     return message;
 }
 
-/** A message that was sent to a shard. Its answer is ignored when the generation has changed. */
+/** A message that was sent to a shard. Its response is ignored if the generation has changed. */
 struct shard_request {
     struct leader *leader;
     uint64_t generation;
@@ -170,7 +172,7 @@
 
 static void send_message(struct leader *leader, struct shard_channel *channel);
 
-/** The message was acknowledged: the next one can be sent. */
+/** Handles the acknowledgement of a message, and sends the next one if any items are queued. */
 static void on_acknowledged(struct leader *leader, struct shard_channel *channel,
                             const cJSON *response)
 {
@@ -183,8 +185,11 @@
         send_message(leader, channel);
 }
 
-/** The message failed; it is sent again with the next flush. A node that has failed for long is
- * excluded from the shard map, so that its machines get other owners. */
+/**
+ * Handles the failure of a message, which the next flush sends again. If requests have failed for
+ * longer than UNREACHABLE_TIMEOUT_MS, the node is excluded from the shard map, so that other nodes
+ * become the owners of its machines.
+ */
 static void on_failed(struct leader *leader, struct shard_channel *channel)
 {
     mono_time now = loop_now(leader->loop);
@@ -216,8 +221,10 @@
     g_free(request);
 }
 
-/** Sends the outstanding message again, or a new one. The shard applies a message only once, by its
- * sequence number; see shard_handle_dispatch_message(). */
+/**
+ * Sends the outstanding message again or, if there is none, a new message. The shard applies each
+ * message only once, by its sequence number; see shard_handle_dispatch_message().
+ */
 static void send_message(struct leader *leader, struct shard_channel *channel)
 {
     if (!channel->unacknowledged_message)
--- a/src/scheduler/shard_status_receiver.c
+++ b/src/scheduler/shard_status_receiver.c
@@ -1,4 +1,4 @@
-/** Applying the shards' status reports to the ledger. */
+/** Applies the shards' status reports to the quota ledger and to machine health. */
 #include "shard_status_receiver.h"
 
 #include "autoscaler.h"
@@ -9,13 +9,13 @@
 #include "shard_messages.h"
 
 enum {
-    /** For how long nothing is dispatched to a machine whose shard rejected a task. */
+    /** How long nothing is dispatched to a machine after its shard rejected a dispatch to it. */
     REJECTED_DISPATCH_AVOID_MS = 1500,
-    /** A shard's wish for a new epoch is ignored in an epoch younger than this. */
+    /** Requests of shards to raise the epoch are ignored while it is younger than this. */
     MIN_EPOCH_AGE_MS = 5000,
 };
 
-/** Learns from the end of a task: from its run time, or from the cause of its failure. */
+/** Records the run time of a completed task, or the cause of a failure, in machine health. */
 static void apply_task_event(struct leader *leader, const struct task_event *event)
 {
     struct ledger_machine *machine = quota_ledger_find_machine(leader, event->machine.text);
@@ -35,7 +35,7 @@
         image_cache_add(machine->image_cache, images->pdata[i]);
 }
 
-/** Updates a machine's description, flags and owner, and its images if they have changed. */
+/** Updates a machine's description, flags and owner, and its cached images if they are reported. */
 static void apply_machine(struct leader *leader, const char *from,
                           const struct machine_status *status)
 {
@@ -49,7 +49,7 @@
         update_image_cache(machine, status->images);
 }
 
-/** Takes back a dispatch that the shard could not place. */
+/** Removes a dispatch that the shard could not place, so that its task is waiting again. */
 static void apply_rejected_dispatch(struct leader *leader, const struct rejected_dispatch *rejected)
 {
     const struct message_task *task = &rejected->task;
@@ -57,8 +57,8 @@
     struct pending_dispatch *dispatch = job ? quota_ledger_find_dispatch(job, task->index) : NULL;
     if (!dispatch || dispatch->attempt.value != task->attempt.value)
         return;
-    /* Tasks of a gang may be dispatched again under the same attempt, and a repeated report must
-     * not take back the later dispatch. */
+    /* Tasks of a gang may be dispatched again with the same attempt number, and a repeated report
+     * must not remove the later dispatch. */
     if (rejected->has_number && rejected->number != dispatch->number)
         return;
     dispatch->machine->health.avoid_until =
@@ -71,7 +71,7 @@
     return machine->owner_label && strcmp(machine->owner_label, owner) == 0;
 }
 
-/** The answer to a shard: its machines on which nothing more may be placed. */
+/** Builds the response to a shard: its machines on which nothing more may be placed. */
 static cJSON *build_response(struct leader *leader, const char *owner)
 {
     cJSON *response = status_answer_new();
@@ -86,7 +86,7 @@
     return response;
 }
 
-/** Marks all machines of the shard as not reported, before a full report is applied. */
+/** Marks all machines of the shard as not reported before a full report is applied. */
 static void clear_reported_flags(struct leader *leader, const char *owner)
 {
     GHashTableIter it;
@@ -97,7 +97,7 @@
             machine->is_reported = false;
 }
 
-/** Drops machines that the full report omitted, unless they are in use or have a record. */
+/** Drops machines that a full report omits, unless they are in use or in the replica. */
 static void drop_unreported_machines(struct leader *leader, const char *owner)
 {
     GHashTableIter it;
@@ -110,7 +110,7 @@
             g_hash_table_iter_remove(&it);
 }
 
-/** Applies the lists of a report. */
+/** Applies the machines, rejected dispatches and task events of a report. */
 static void apply_status(struct leader *leader, const char *from,
                          const struct status_message *status)
 {
@@ -127,14 +127,14 @@
         drop_unreported_machines(leader, from);
 }
 
-/** Whether a report of this epoch is for this leader and its present ledger. */
+/** Returns whether a report of this epoch applies to this leader and its current ledger. */
 static bool is_for_current_ledger(const struct leader *leader, uint64_t epoch)
 {
     return membership_is_leader(leader->membership) && leader->is_leading &&
            epoch == leader->epoch.value && epoch == leader->replica->shard_map_epoch.value;
 }
 
-/** Raises the epoch if the shard asks for it, as an agent may still receive an old command. */
+/** Raises the epoch if the shard requests it, because an agent may still receive an old command. */
 static void raise_epoch_if_requested(struct leader *leader, const struct status_message *status)
 {
     if (status->wants_epoch_raise &&
@@ -142,8 +142,11 @@
         membership_raise_epoch(leader->membership, "a command may still be on its way");
 }
 
-/** Applies a report, unless it is of another epoch, a repeated one, or only changes where a full
- * one is missing. Returns an HTTP status; after HTTP_STATUS_CONFLICT the shard sends a full one. */
+/**
+ * Applies a report, unless it belongs to another epoch, is repeated, or is partial without a
+ * preceding full report. Returns an HTTP status; after HTTP_STATUS_CONFLICT the shard sends a full
+ * report.
+ */
 static int accept_status(struct leader *leader, const char *from,
                          const struct status_message *status, cJSON **response)
 {
