--- a/src/scheduler/garbage_collector.c
+++ b/src/scheduler/garbage_collector.c
@@ -24,14 +24,14 @@
 }
 
 /** The state of a search for completions of jobs whose end is not recorded yet. */
-struct active_job_search {
+struct unfinished_job_search {
     struct replica *replica;
     bool found;
 };
 
 static void visit_completion(void *arg, job_id job, uint32_t unit, const GByteArray *bits)
 {
-    struct active_job_search *search = arg;
+    struct unfinished_job_search *search = arg;
     (void)unit;
     (void)bits;
     const struct job *job_record = replica_get_job(search->replica, job.text);
@@ -68,10 +68,10 @@
 }
 
 /** Returns whether the page contains completions of jobs whose end is not recorded yet. */
-static bool has_completions_of_active_jobs(const struct garbage_collector *collector,
-                                           const struct record_page *page)
+static bool has_completions_of_unfinished_jobs(const struct garbage_collector *collector,
+                                               const struct record_page *page)
 {
-    struct active_job_search search = {collector->replica, false};
+    struct unfinished_job_search search = {collector->replica, false};
     completions_decode(page->completions_text ? page->completions_text : "", visit_completion,
                        &search);
     return search.found;
@@ -88,7 +88,7 @@
     g_hash_table_iter_init(&it, collector->replica->pages);
     while (!collector->removal_in_flight && g_hash_table_iter_next(&it, NULL, (gpointer *)&page)) {
         if (!page->run_records->len && is_node_departed(collector, page->label) &&
-            !has_completions_of_active_jobs(collector, page))
+            !has_completions_of_unfinished_jobs(collector, page))
             remove_key(collector, page->key, page->mod_revision);
     }
 }
