--- a/src/scheduler/autoscaler_capacity.c
+++ b/src/scheduler/autoscaler_capacity.c
@@ -1,4 +1,4 @@
-/** Pending and free capacity, as the autoscaler counts on it. */
+/** Computes the pending and the free capacity of the cluster for the autoscaler. */
 #include "autoscaler_capacity.h"
 
 #include "placement.h"
@@ -7,10 +7,10 @@
 #include "shard.h"
 
 /**
- * How long a rented machine may take to report, as a multiple of its type's boot time in
- * thousandths. After that it is not counted on any more, and another one is rented in its place.
+ * How long a rented machine may take to report, in milliseconds for each second of its type's boot
+ * time. After that the machine no longer counts as pending, and a replacement is rented.
  */
-enum { MAX_BOOT_TIME_MILLI = 1700 };
+enum { REPORT_TIMEOUT_MS_PER_BOOT_S = 1700 };
 
 void pending_capacity_add(GArray *pending, const char *type_name, const char *zone, bool is_spot,
                           struct resources available)
@@ -19,7 +19,7 @@
     g_array_append_val(pending, capacity);
 }
 
-/** Whether a rented machine has not reported yet and may still do so. */
+/** Returns whether a rented machine has not reported yet but is still expected to. */
 static bool is_expected_to_report(struct leader *leader, const struct cloud_machine *rented,
                                   const struct machine_type *type)
 {
@@ -30,7 +30,7 @@
     if (machine && machine->is_reported && (machine->flags & MACHINE_KNOWN))
         return false;
     return time_ms_since(loop_now(leader->loop), rented->requested_at) <=
-           (int64_t)(type->boot_time_s * MAX_BOOT_TIME_MILLI);
+           (int64_t)(type->boot_time_s * REPORT_TIMEOUT_MS_PER_BOOT_S);
 }
 
 static void add_rented_machines(struct leader *leader, GArray *pending)
@@ -76,8 +76,8 @@
     return pending;
 }
 
-static bool is_usable(const struct pending_capacity *capacity,
-                      const struct capacity_request *request)
+static bool satisfies_request(const struct pending_capacity *capacity,
+                              const struct capacity_request *request)
 {
     return resources_fit(capacity->available, request->task_resources) &&
            job_spec_allows_machine(request->spec, capacity->type_name, capacity->zone,
@@ -85,13 +85,16 @@
            (!request->zone || strcmp(request->zone, capacity->zone) == 0);
 }
 
-/** Claims capacity on machines of one kind; returns how many tasks found none. */
-static int64_t claim_on_kind(GArray *pending, const struct capacity_request *request,
-                             int64_t task_count, bool is_spot)
+/**
+ * Claims pending capacity on spot machines or on on-demand machines. Returns the number of tasks
+ * for which there was not enough.
+ */
+static int64_t claim_spot_or_on_demand(GArray *pending, const struct capacity_request *request,
+                                       int64_t task_count, bool is_spot)
 {
     for (guint i = 0; i < pending->len && task_count > 0; i++) {
         struct pending_capacity *capacity = &g_array_index(pending, struct pending_capacity, i);
-        if (capacity->is_spot != is_spot || !is_usable(capacity, request))
+        if (capacity->is_spot != is_spot || !satisfies_request(capacity, request))
             continue;
         int64_t fitting_tasks =
             MIN(task_count, resources_fit_count(capacity->available, request->task_resources));
@@ -105,12 +108,12 @@
 int64_t pending_capacity_claim(GArray *pending, const struct capacity_request *request,
                                int64_t task_count)
 {
-    /* Spot machines first: services need the on-demand ones. */
-    task_count = claim_on_kind(pending, request, task_count, true);
-    return claim_on_kind(pending, request, task_count, false);
+    /* Spot machines are used first, because services need the on-demand ones. */
+    task_count = claim_spot_or_on_demand(pending, request, task_count, true);
+    return claim_spot_or_on_demand(pending, request, task_count, false);
 }
 
-struct resources autoscaler_total_free(struct leader *leader)
+struct resources autoscaler_total_free_resources(struct leader *leader)
 {
     struct resources sum = {0};
     GHashTableIter it;
--- a/src/scheduler/autoscaler_offers.c
+++ b/src/scheduler/autoscaler_offers.c
@@ -1,20 +1,24 @@
-/** Choice among the cloud's offers, and the zones where nothing should be rented. */
+/** Selects offers by price, and avoids unreachable zones. */
 #include "autoscaler_offers.h"
 
 #include "scheduling_policy.h"
 #include "shard.h"
 
 enum {
-    /** Fewer unreachable machines than this may have failed by themselves. */
+    /** Fewer unreachable machines in a zone may be independent failures. */
     MIN_UNREACHABLE_MACHINES = 3,
-    /** How long a zone counts as silent after the last sign of it. */
-    SILENT_ZONE_MS = 30000,
+    /** How long a zone is avoided after it was last found unreachable. */
+    UNREACHABLE_ZONE_AVOID_MS = 30000,
 };
 
-/** A boot that takes this long makes an offer count as twice as expensive. */
+/** A boot time of this length doubles the weighted price of an offer. */
 static const double BOOT_TIME_DOUBLING_PRICE_S = 300;
 
-static bool is_zone_silent(struct leader *leader, const char *zone)
+/**
+ * Returns whether enough machines of the zone are unreachable to suspect a network partition, and
+ * more than are available.
+ */
+static bool is_zone_unreachable(struct leader *leader, const char *zone)
 {
     int unreachable_count = 0;
     int available_count = 0;
@@ -31,18 +35,18 @@
     return unreachable_count >= MIN_UNREACHABLE_MACHINES && unreachable_count > available_count;
 }
 
-/* A zone stays silent for a while, as its machines are returned one after the other: the sign of an
- * outage passes sooner than the outage does. */
-void autoscaler_update_silent_zones(struct leader *leader)
+/* The zone is avoided for a while after it was last found unreachable: its machines are returned
+ * one after the other, so the symptom of an outage disappears before the outage ends. */
+void autoscaler_update_unreachable_zones(struct leader *leader)
 {
     mono_time now = loop_now(leader->loop);
     const GPtrArray *zones = leader->settings->zones;
     for (guint i = 0; i < zones->len; i++)
-        if (is_zone_silent(leader, zones->pdata[i]))
-            leader->autoscaler.zone_silent_until[i] = time_add_ms(now, SILENT_ZONE_MS);
+        if (is_zone_unreachable(leader, zones->pdata[i]))
+            leader->autoscaler.zone_silent_until[i] = time_add_ms(now, UNREACHABLE_ZONE_AVOID_MS);
 }
 
-/** Whether the zone is silent, or was until recently. */
+/** Returns whether the zone is unreachable, or was until recently. */
 static bool is_zone_avoided(struct leader *leader, const char *zone)
 {
     const GPtrArray *zones = leader->settings->zones;
@@ -52,29 +56,32 @@
     return false;
 }
 
-/** A search for the cheapest offer. */
+/** The state of a search for the cheapest offer. */
 struct offer_search {
     struct leader *leader;
     const struct capacity_request *request;
     int64_t task_count;
-    bool avoid_silent_zones;
-    /** The best offer so far; its type is NULL while there is none. */
+    bool avoid_unreachable_zones;
+    /** The cheapest offer so far; its type is NULL until one is found. */
     struct machine_offer *best;
     double lowest_price;
 };
 
-/** Whether the tasks may use the offer, and the cloud has not refused it lately. */
-static bool is_available(const struct offer_search *search, const struct machine_offer *offer)
+/**
+ * Returns whether the tasks may use the offer, the cloud has not refused it recently, and its zone
+ * is not to be avoided.
+ */
+static bool is_offer_available(const struct offer_search *search, const struct machine_offer *offer)
 {
     const struct capacity_request *request = search->request;
     return job_spec_allows_machine(request->spec, offer->type->name, offer->zone, offer->is_spot) &&
            (!request->zone || strcmp(request->zone, offer->zone) == 0) &&
            !cloud_provider_is_refused(search->leader->cloud, offer->type->name, offer->zone,
                                       offer->is_spot) &&
-           !(search->avoid_silent_zones && is_zone_avoided(search->leader, offer->zone));
+           !(search->avoid_unreachable_zones && is_zone_avoided(search->leader, offer->zone));
 }
 
-/** Price for each task, raised for slow boots. */
+/** Returns the price per task, increased in proportion to the boot time. */
 static double weighted_price(const struct machine_offer *offer, int64_t tasks_per_machine)
 {
     const struct machine_type *type = offer->type;
@@ -85,7 +92,7 @@
 static void consider_offer(struct offer_search *search, const struct machine_offer *offer,
                            int64_t tasks_per_machine)
 {
-    if (!is_available(search, offer))
+    if (!is_offer_available(search, offer))
         return;
     double price = weighted_price(offer, tasks_per_machine);
     if (search->best->type && price >= search->lowest_price)
@@ -94,7 +101,7 @@
     *search->best = *offer;
 }
 
-/** Considers a machine type in all its zones, as on-demand and as spot machine. */
+/** Considers the offers of a machine type in all its zones, on demand and as spot machines. */
 static void consider_type(struct offer_search *search, const struct machine_type *type)
 {
     int64_t tasks_per_machine =
@@ -111,11 +118,11 @@
     }
 }
 
-static bool find_lowest_price(struct leader *leader, const struct capacity_request *request,
-                              int64_t task_count, bool avoid_silent_zones,
-                              struct machine_offer *best)
+static bool find_cheapest(struct leader *leader, const struct capacity_request *request,
+                          int64_t task_count, bool avoid_unreachable_zones,
+                          struct machine_offer *best)
 {
-    struct offer_search search = {leader, request, task_count, avoid_silent_zones, best, 0};
+    struct offer_search search = {leader, request, task_count, avoid_unreachable_zones, best, 0};
     const GArray *types = scheduling_policy_machine_types(leader);
     best->type = NULL;
     for (guint i = 0; i < types->len; i++)
@@ -123,9 +130,9 @@
     return best->type != NULL;
 }
 
-bool machine_offer_find(struct leader *leader, const struct capacity_request *request,
-                        int64_t task_count, struct machine_offer *best)
+bool machine_offer_find_cheapest(struct leader *leader, const struct capacity_request *request,
+                                 int64_t task_count, struct machine_offer *best)
 {
-    return find_lowest_price(leader, request, task_count, true, best) ||
-           find_lowest_price(leader, request, task_count, false, best);
+    return find_cheapest(leader, request, task_count, true, best) ||
+           find_cheapest(leader, request, task_count, false, best);
 }
--- a/src/scheduler/autoscaler_scale_out.c
+++ b/src/scheduler/autoscaler_scale_out.c
@@ -1,4 +1,4 @@
-/** The decision how many machines to rent: what waiting jobs, services and spare CPUs lack. */
+/** Plans machines for waiting jobs, for the headroom of services and for spare CPUs. */
 #include "autoscaler_scale_out.h"
 
 #include "autoscaler_services.h"
@@ -10,25 +10,26 @@
 #include <math.h>
 
 /**
- * Capacity for services to come is planned before the jobs of this rank: after the services that
- * wait, and before all other jobs.
+ * The headroom for services is planned before the jobs of this rank: after the waiting services and
+ * before all other jobs.
  */
 enum { FIRST_RANK_AFTER_SERVICES = 1 };
 
-/** Spare CPUs are planned as tasks of this size, on whatever is cheapest. */
-static const struct resources SPARE_TASK = {{1000}, {0}, {1500}};
+/** Spare CPUs are planned as tasks with these resources, on the cheapest spot offers. */
+static const struct resources SPARE_TASK_RESOURCES = {{1000}, {0}, {1500}};
 
-/** How long the machines would need for the jobs planned so far. */
+/** The work of the jobs planned so far, and the CPUs that will do it. */
 struct backlog {
     /** Work of the waiting tasks, in CPU seconds. */
     double cpu_s;
-    /** CPUs that will do it. */
+    /** CPUs of reported and pending machines that are available to batch jobs. */
     double available_cpus;
 };
 
 /**
- * Plans machines for tasks of a job, in one zone (NULL: anywhere). On-demand machines are rented
- * for jobs that may use spot machines only once no more of these are to be had.
+ * Plans machines for tasks of a job, in one zone or, if `zone` is NULL, in any zone. If the job may
+ * use spot machines, on-demand machines are planned only if `may_use_on_demand` is set, and only
+ * for the tasks that get no spot machine.
  */
 static void plan_tasks(struct scale_out_plan *plan, const struct ledger_job *job, const char *zone,
                        int64_t task_count, bool may_use_on_demand)
@@ -41,17 +42,18 @@
         .spot_only = spec->may_use_spot,
     };
     if (spec->may_use_spot)
-        task_count = scale_out_plan_request(plan, &request, task_count);
+        task_count = scale_out_plan_add_tasks(plan, &request, task_count);
     request.spot_only = false;
     if (!spec->may_use_spot || may_use_on_demand)
-        scale_out_plan_request(plan, &request, task_count);
+        scale_out_plan_add_tasks(plan, &request, task_count);
 }
 
 /**
- * Number of the job's waiting tasks that its team's limit allows, after the jobs that come before
- * it in the team's queue. Adds them to the team's demand.
+ * Returns the number of the job's waiting tasks that need capacity: those that the team's limit
+ * allows in addition to the demand of the jobs before it in the queue. Adds their resources to the
+ * team's demand.
  */
-static int64_t take_team_demand(struct leader *leader, struct ledger_job *job)
+static int64_t add_team_demand(struct leader *leader, struct ledger_job *job)
 {
     struct ledger_team *team = quota_ledger_team_of(leader, job);
     struct resources remaining =
@@ -59,17 +61,17 @@
     int64_t allowed_tasks =
         MIN(quota_ledger_count_allowed_tasks(leader, job, job->queue.job_record),
             resources_fit_count(remaining, job->task_resources));
-    /* Tasks of a gang for which resources are reserved need no machines. */
+    /* Resources are already reserved for these tasks of a gang, so they need no machines. */
     int64_t task_count = MAX(allowed_tasks - job->gang.reserved_task_count, 0);
     resources_add(&team->demand, quota_ledger_limited_request(job, task_count));
     return task_count;
 }
 
 /**
- * The zone in which a job that needs a single zone has tasks already, where the others must go;
- * NULL when there is none.
+ * Returns the zone in which all remaining tasks must run: that of the tasks placed so far, if the
+ * job needs a single zone. Returns NULL if there is no such restriction.
  */
-static const char *find_settled_zone(struct leader *leader, struct ledger_job *job)
+static const char *find_required_zone(struct leader *leader, struct ledger_job *job)
 {
     if (!job->queue.job_record->spec->needs_single_zone)
         return NULL;
@@ -80,7 +82,7 @@
     return NULL;
 }
 
-/** Spreads the tasks of a job that needs separate zones: each takes half of its tasks at most. */
+/** Plans a job whose tasks must be spread over zones: no zone gets more than half of them. */
 static void plan_separate_zones(struct scale_out_plan *plan, struct ledger_job *job,
                                 int64_t task_count, bool may_use_on_demand)
 {
@@ -89,8 +91,8 @@
     for (guint i = 0; i < zones->len && task_count > 0; i++) {
         const char *zone = zones->pdata[i];
         int64_t tasks_in_zone = placement_count_tasks_in_zone(plan->leader, job, zone);
-        int64_t max_more_tasks = (spec->task_count + 1) / 2 - tasks_in_zone;
-        int64_t zone_tasks = CLAMP(max_more_tasks, 0, task_count);
+        int64_t max_additional_tasks = (spec->task_count + 1) / 2 - tasks_in_zone;
+        int64_t zone_tasks = CLAMP(max_additional_tasks, 0, task_count);
         plan_tasks(plan, job, zone, zone_tasks, may_use_on_demand);
         task_count -= zone_tasks;
     }
@@ -98,14 +100,14 @@
 
 static void plan_job(struct scale_out_plan *plan, struct ledger_job *job, bool may_use_on_demand)
 {
-    int64_t task_count = take_team_demand(plan->leader, job);
+    int64_t task_count = add_team_demand(plan->leader, job);
     if (job->queue.job_record->spec->needs_separate_zones)
         plan_separate_zones(plan, job, task_count, may_use_on_demand);
     else
-        plan_tasks(plan, job, find_settled_zone(plan->leader, job), task_count, may_use_on_demand);
+        plan_tasks(plan, job, find_required_zone(plan->leader, job), task_count, may_use_on_demand);
 }
 
-/** Work of the job's waiting tasks that its team's limit allows, in CPU seconds. */
+/** Returns the work, in CPU seconds, of the job's waiting tasks that its team's limit allows. */
 static double waiting_cpu_s(struct leader *leader, struct ledger_job *job)
 {
     struct job *job_record = job->queue.job_record;
@@ -113,7 +115,7 @@
            job_record->spec->expected_run_s * (double)job->task_resources.cpus.milli / 1000;
 }
 
-/** Plans all waiting jobs of a rank, team by team in the order of their queues. */
+/** Plans all waiting jobs of a rank, one team after the other, each in the order of its queue. */
 static void plan_rank(struct scale_out_plan *plan, int rank, struct backlog *backlog)
 {
     struct leader *leader = plan->leader;
@@ -137,18 +139,18 @@
     const struct job_spec any_job = {.may_use_spot = true};
     const struct capacity_request request = {
         .spec = &any_job,
-        .task_resources = SPARE_TASK,
+        .task_resources = SPARE_TASK_RESOURCES,
         .spot_only = true,
     };
     double missing_cpus = scheduling_policy_spare_cpus(plan->leader) -
-                          resources_cpus(autoscaler_total_free(plan->leader));
+                          resources_cpus(autoscaler_total_free_resources(plan->leader));
     if (missing_cpus > 0)
-        scale_out_plan_request(plan, &request, (int64_t)ceil(missing_cpus));
+        scale_out_plan_add_tasks(plan, &request, (int64_t)ceil(missing_cpus));
 }
 
 struct scale_out_plan *autoscaler_plan_scale_out(struct leader *leader)
 {
-    autoscaler_update_silent_zones(leader);
+    autoscaler_update_unreachable_zones(leader);
     for (int i = 0; i < leader->ledger.team_count; i++)
         leader->ledger.teams[i].demand = (struct resources){0};
     struct scale_out_plan *plan = scale_out_plan_new(leader);
@@ -157,7 +159,7 @@
     };
     for (int rank = 0; rank < RANK_COUNT; rank++) {
         if (rank == FIRST_RANK_AFTER_SERVICES)
-            autoscaler_plan_for_services(plan);
+            autoscaler_plan_service_headroom(plan);
         plan_rank(plan, rank, &backlog);
     }
     plan_spare_cpus(plan);
--- a/src/scheduler/service_relocation.c
+++ b/src/scheduler/service_relocation.c
@@ -1,4 +1,4 @@
-/** Moving replicas of services to other zones. */
+/** Stops replicas of services that could run in other zones. */
 #include "service_relocation.h"
 
 #include "log.h"
@@ -7,15 +7,14 @@
 #include "shard_dispatcher.h"
 
 enum {
-    /** Replicas are not moved before they have run this long, as they count as started only then.
-     */
+    /** Replicas are not moved before this age, at which they count as started. */
     MIN_RELOCATION_AGE_MS = 35000,
     RELOCATION_BACKOFF_MS = 1000,
 };
 
-/** Whether a task of the service could be placed on a machine outside the zone. */
-static bool could_leave_zone(struct leader *leader, const struct ledger_job *service,
-                             const struct job_spec *spec, int zone_index)
+/** Returns whether a task of the service could be placed on a machine outside the zone. */
+static bool can_run_in_other_zone(struct leader *leader, const struct ledger_job *service,
+                                  const struct job_spec *spec, int zone_index)
 {
     const GPtrArray *machines = leader->pass.schedulable_machines;
     placement_count_zone_tasks(leader, service, spec);
@@ -30,14 +29,16 @@
     return false;
 }
 
-/** The allocation of a replica that may be stopped to make place for a task of the requester on
- * its machine; NULL when it may not, or when that would not free enough. service: the replica's
- * job; NULL when the ledger does not have it. */
-static struct allocation *find_relocatable(struct leader *leader,
-                                           const struct ledger_machine *machine,
-                                           const struct run_record *run_record,
-                                           const struct ledger_job *service,
-                                           const struct ledger_job *requester)
+/**
+ * Returns the allocation of a replica that may be stopped to free resources for a task of the
+ * requester on the same machine. Returns NULL if the replica may not be stopped or uses too little.
+ * `service` is the replica's job, or NULL if the ledger does not contain it.
+ */
+static struct allocation *find_relocatable_allocation(struct leader *leader,
+                                                      const struct ledger_machine *machine,
+                                                      const struct run_record *run_record,
+                                                      const struct ledger_job *service,
+                                                      const struct ledger_job *requester)
 {
     if (!service || !service->is_service || service == requester || !run_record->job->spec)
         return NULL;
@@ -50,8 +51,10 @@
     return resources_fit(free, requester->task_resources) ? allocation : NULL;
 }
 
-/** Stops one replica on the machine that could run in another zone. Adds services that could not
- * leave the zone to immovable_jobs, a set of struct job. Returns whether it stopped one. */
+/**
+ * Stops one replica on the machine that could run in another zone. Adds services that cannot run in
+ * another zone to `immovable_jobs`, a set of struct job. Returns whether a replica was stopped.
+ */
 static bool relocate_from_machine(struct leader *leader, const struct ledger_machine *machine,
                                   const struct ledger_job *requester, GHashTable *immovable_jobs)
 {
@@ -63,11 +66,11 @@
             continue;
         const struct ledger_job *service = quota_ledger_find_job(leader, run_record->job->id.text);
         struct allocation *allocation =
-            find_relocatable(leader, machine, run_record, service, requester);
+            find_relocatable_allocation(leader, machine, run_record, service, requester);
         if (!allocation)
             continue;
         const struct job_spec *spec = run_record->job->spec;
-        if (!could_leave_zone(leader, service, spec, machine->zone_index)) {
+        if (!can_run_in_other_zone(leader, service, spec, machine->zone_index)) {
             g_hash_table_add(immovable_jobs, run_record->job);
             continue;
         }
@@ -80,7 +83,10 @@
     return false;
 }
 
-/** Stops one replica in the zone that could run in another one; returns whether it did. */
+/**
+ * Stops one replica in the zone that could run in another zone. Returns whether a replica was
+ * stopped.
+ */
 static bool relocate_from_zone(struct leader *leader, const struct ledger_job *requester,
                                const struct job_spec *spec, int zone_index)
 {
@@ -105,7 +111,7 @@
     int zone_count = (int)leader->settings->zones->len;
     for (int zone_index = 0; zone_index < zone_count; zone_index++) {
         struct relocation_backoff *backoff = &leader->relocation_backoffs[zone_index];
-        /* The search in the zone before has counted the tasks of other jobs. */
+        /* The search in the previous zone has overwritten the counts with those of other jobs. */
         placement_count_zone_tasks(leader, job, spec);
         if (!placement_is_zone_allowed(leader, job, spec, zone_index) ||
             (time_before(now, backoff->until) &&
