--- a/src/scheduler/autoscaler_offers.c
+++ b/src/scheduler/autoscaler_offers.c
@@ -39,7 +39,7 @@
     const GPtrArray *zones = leader->settings->zones;
     for (guint i = 0; i < zones->len; i++)
         if (is_zone_silent(leader, zones->pdata[i]))
-            leader->autoscaler.zone_silent_until[i] = time_add_ms(now, SILENT_ZONE_MS);
+            leader->autoscaler.zone_avoid_until[i] = time_add_ms(now, SILENT_ZONE_MS);
 }
 
 /** Whether the zone is silent, or was until recently. */
@@ -48,7 +48,7 @@
     const GPtrArray *zones = leader->settings->zones;
     for (guint i = 0; i < zones->len; i++)
         if (strcmp(zones->pdata[i], zone) == 0)
-            return time_before(loop_now(leader->loop), leader->autoscaler.zone_silent_until[i]);
+            return time_before(loop_now(leader->loop), leader->autoscaler.zone_avoid_until[i]);
     return false;
 }
 
--- a/src/scheduler/autoscaler_scale_out.c
+++ b/src/scheduler/autoscaler_scale_out.c
@@ -53,7 +53,7 @@
  */
 static int64_t take_team_demand(struct leader *leader, struct ledger_job *job)
 {
-    struct ledger_team *team = quota_ledger_team_of(leader, job);
+    struct ledger_team *team = quota_ledger_get_team(leader, job);
     struct resources remaining =
         resources_remaining(quota_ledger_remaining_limit(team), team->demand);
     int64_t allowed_tasks =
@@ -61,7 +61,7 @@
             resources_fit_count(remaining, job->task_resources));
     /* Tasks of a gang for which resources are reserved need no machines. */
     int64_t task_count = MAX(allowed_tasks - job->gang.reserved_task_count, 0);
-    resources_add(&team->demand, quota_ledger_limited_request(job, task_count));
+    resources_add(&team->demand, quota_ledger_quota_request(job, task_count));
     return task_count;
 }
 
--- a/src/scheduler/gang_scheduler.c
+++ b/src/scheduler/gang_scheduler.c
@@ -12,17 +12,17 @@
     /** In place of a zone index. */
     ANY_ZONE = -1,
     /** Gangs that may reserve machines in use, per pass. */
-    MAX_RESERVING_GANGS = 4,
+    MAX_DRAINING_GANGS = 4,
     MAX_NEW_MACHINE_WAIT_MS = 60000,
     /** Tasks of a stopped gang are stopped again after this time, if they are still there. */
     STOP_RETRY_MS = 10000,
     /** Time for tasks that a shard rejected to be dispatched to another machine. */
-    COMPLETION_TIMEOUT_MS = 2000,
+    REDISPATCH_TIMEOUT_MS = 2000,
 };
 
 /** Time for a new machine to start up, in multiples of the slowest boot and of the interval between
  * heartbeats. */
-static const double NEW_MACHINE_BOOTS = 3;
+static const double NEW_MACHINE_BOOT_TIMES = 3;
 static const double NEW_MACHINE_HEARTBEATS = 1.25;
 
 static bool is_in_zone(const struct ledger_machine *machine, int zone_index)
@@ -71,7 +71,7 @@
                         uint32_t max_tasks)
 {
     bool is_preempting_here =
-        job->preemption.pending_count && zone_index == job->gang.preemption_zone_index;
+        job->preemption.pending_victim_count && zone_index == job->gang.preemption_zone_index;
     if (fitting_tasks == max_tasks)
         return 2 * max_tasks;
     return fitting_tasks + (is_preempting_here ? max_tasks : 0);
@@ -143,21 +143,21 @@
 
 /** Stops a gang that is incomplete: one that has lost a task at once, so that it can start again as
  * a whole; one that has not begun to run when it is not completed in time. */
-static void stop_if_incomplete(struct leader *leader, struct ledger_job *job,
-                               const struct job *job_record)
+static void stop_if_partially_allocated(struct leader *leader, struct ledger_job *job,
+                                        const struct job *job_record)
 {
     mono_time now = loop_now(leader->loop);
     guint allocated_tasks = g_hash_table_size(job->allocations);
     if (!allocated_tasks || g_hash_table_size(job->dispatches) ||
         allocated_tasks + job_record->completed_count >= job_record->task_count) {
-        job->gang.incomplete_since = (mono_time){0};
+        job->gang.partially_allocated_since = (mono_time){0};
         return;
     }
-    if (!job->gang.incomplete_since.us)
-        job->gang.incomplete_since = now;
-    bool may_be_completed = job->gang.attempt.value && !job->gang.has_lost_task;
-    if (!may_be_completed ||
-        time_ms_since(now, job->gang.incomplete_since) >= COMPLETION_TIMEOUT_MS)
+    if (!job->gang.partially_allocated_since.us)
+        job->gang.partially_allocated_since = now;
+    bool may_redispatch = job->gang.attempt.value && !job->gang.has_lost_task;
+    if (!may_redispatch ||
+        time_ms_since(now, job->gang.partially_allocated_since) >= REDISPATCH_TIMEOUT_MS)
         stop_gang(leader, job, job_record);
 }
 
@@ -171,7 +171,8 @@
 
 /** Dispatches tasks again that a shard rejected, under the attempt of the others. As they never had
  * run records, the gang has not begun to run and still waits for them. */
-static void complete_gang(struct leader *leader, struct ledger_job *job, struct job *job_record)
+static void redispatch_rejected_tasks(struct leader *leader, struct ledger_job *job,
+                                      struct job *job_record)
 {
     int64_t waiting_tasks = quota_ledger_count_allowed_tasks(leader, job, job_record);
     if (!job->gang.attempt.value || job->gang.has_lost_task || waiting_tasks <= 0)
@@ -278,7 +279,7 @@
  * so long that other jobs are kept from free resources for too long. */
 static double new_machine_wait_ms(struct leader *leader)
 {
-    double startup_s = scheduling_policy_slowest_boot_s(leader) * NEW_MACHINE_BOOTS +
+    double startup_s = scheduling_policy_slowest_boot_s(leader) * NEW_MACHINE_BOOT_TIMES +
                        leader->settings->heartbeat_interval_s * NEW_MACHINE_HEARTBEATS;
     return MIN(startup_s * 1000, MAX_NEW_MACHINE_WAIT_MS);
 }
@@ -294,13 +295,13 @@
 
 /** Dispatches all tasks that are not completed, one to each entry of `machines`, under a new
  * attempt. */
-static void start_gang(struct leader *leader, struct ledger_job *job, const struct job *job_record,
-                       const GPtrArray *machines)
+static void dispatch_whole_gang(struct leader *leader, struct ledger_job *job,
+                                const struct job *job_record, const GPtrArray *machines)
 {
     guint used_machines = 0;
     job->gang.attempt = quota_ledger_next_attempt(leader);
     job->gang.has_lost_task = false;
-    job->gang.unschedulable_since = job->gang.incomplete_since = (mono_time){0};
+    job->gang.unschedulable_since = job->gang.partially_allocated_since = (mono_time){0};
     for (uint32_t i = 0; i < job_record->task_count; i++)
         if (!job_is_task_completed(job_record, i))
             dispatch_task(leader, job, i, machines->pdata[used_machines++]);
@@ -329,8 +330,8 @@
     job->gang.reserved_zone_index = first ? first->zone_index : ANY_ZONE;
     job->queue.is_blocked = true;
     bool may_wait = may_wait_for_machines(leader, job);
-    bool may_drain = job->queue.wait_stage >= WAIT_AGED &&
-                     leader->pass.reserving_gang_count < MAX_RESERVING_GANGS;
+    bool may_drain =
+        job->queue.wait_stage >= WAIT_AGED && leader->pass.draining_gang_count < MAX_DRAINING_GANGS;
     int zone_index = ANY_ZONE;
     bool could_fit = (!may_wait || may_drain) &&
                      could_fit_whole_gang(leader, job, spec, needed_tasks, &zone_index);
@@ -341,7 +342,7 @@
     if (may_reserve)
         preemption_free_resources(leader, job, job_record, false);
     if (could_fit && may_drain) {
-        leader->pass.reserving_gang_count++;
+        leader->pass.draining_gang_count++;
         reserve_draining_machines(leader, job, spec, machines,
                                   (int64_t)needed_tasks - machines->len, zone_index);
     }
@@ -351,23 +352,23 @@
 {
     if (g_hash_table_size(job->allocations) || g_hash_table_size(job->dispatches) ||
         job_record->run_records) {
-        complete_gang(leader, job, job_record);
-        stop_if_incomplete(leader, job, job_record);
+        redispatch_rejected_tasks(leader, job, job_record);
+        stop_if_partially_allocated(leader, job, job_record);
         return false;
     }
     uint32_t needed_tasks = job_record->task_count - job_record->completed_count;
     if (!needed_tasks ||
-        !quota_ledger_is_within_limit(quota_ledger_team_of(leader, job),
-                                      quota_ledger_limited_request(job, needed_tasks)))
+        !quota_ledger_is_within_limit(quota_ledger_get_team(leader, job),
+                                      quota_ledger_quota_request(job, needed_tasks)))
         return false;
     GPtrArray *machines = placement_is_unschedulable(leader, job_record->spec)
                               ? g_ptr_array_new()
                               : find_gang_machines(leader, job, job_record->spec, needed_tasks);
-    bool is_complete = machines->len == needed_tasks;
-    if (is_complete)
-        start_gang(leader, job, job_record, machines);
+    bool fits_whole_gang = machines->len == needed_tasks;
+    if (fits_whole_gang)
+        dispatch_whole_gang(leader, job, job_record, machines);
     else
         reserve_for_gang(leader, job, job_record, machines, needed_tasks);
     g_ptr_array_unref(machines);
-    return is_complete;
+    return fits_whole_gang;
 }
--- a/src/scheduler/job_queue.c
+++ b/src/scheduler/job_queue.c
@@ -27,10 +27,10 @@
 
 /** A job that has waited this long regains its place in the queue even if it is late, as the
  * largest jobs, too, must start within a few minutes. */
-static const double AGED_S = 150;
+static const double AGED_AFTER_S = 150;
 
 /** A job that has waited this long precedes all borrowed work and is preempted by services only. */
-static const double OVERDUE_S = 190;
+static const double OVERDUE_AFTER_S = 190;
 
 /** A job lets jobs pass that become eligible after it within this multiple of the time for which it
  * would occupy its team's whole limit: small jobs pass large ones, but none passes forever. */
@@ -41,18 +41,18 @@
                                        const struct job *job_record)
 {
     double waited_s = (double)(loop_wall_time(leader->loop).ms - job_record->eligible_at.ms) / 1000;
-    if (waited_s > OVERDUE_S)
+    if (waited_s > OVERDUE_AFTER_S)
         return WAIT_OVERDUE;
-    if (waited_s > AGED_S)
+    if (waited_s > AGED_AFTER_S)
         return WAIT_AGED;
-    return waited_s < job->patience_s ? WAIT_TIMELY : WAIT_LATE;
+    return waited_s < job->patience_s ? WAIT_ON_TIME : WAIT_LATE;
 }
 
 int job_queue_rank(struct leader *leader, const struct ledger_job *job)
 {
     if (job->priority == PRIORITY_PROD)
         return RANK_SERVICE;
-    if (quota_ledger_is_within_guarantee(quota_ledger_team_of(leader, job), job->task_resources))
+    if (quota_ledger_is_within_guarantee(quota_ledger_get_team(leader, job), job->task_resources))
         return job->priority;
     /* Overdue jobs precede all others that borrow, or high-priority ones could starve them. */
     if (job->queue.wait_stage == WAIT_OVERDUE)
@@ -84,8 +84,8 @@
 
 /** Dispatches up to max_tasks tasks of a job to the best machines; returns how many. With
  * needs_image only to machines that have the job's image cached. */
-static int dispatch_to_best(struct leader *leader, struct ledger_job *job, struct job *job_record,
-                            int max_tasks, bool needs_image)
+static int dispatch_to_best_machines(struct leader *leader, struct ledger_job *job,
+                                     struct job *job_record, int max_tasks, bool needs_image)
 {
     if (placement_is_unschedulable(leader, job_record->spec))
         return 0;
@@ -114,8 +114,9 @@
     if (allowed_tasks <= 0)
         return 0;
     placement_count_zone_tasks(leader, job, job_record->spec);
-    bool needs_image = preemption_waits_for_image(leader, job, job_record);
-    int dispatched_tasks = dispatch_to_best(leader, job, job_record, allowed_tasks, needs_image);
+    bool needs_image = preemption_should_wait_for_image(leader, job, job_record);
+    int dispatched_tasks =
+        dispatch_to_best_machines(leader, job, job_record, allowed_tasks, needs_image);
     if (!dispatched_tasks) {
         job->queue.is_blocked = true;
         preemption_free_resources(leader, job, job_record, needs_image);
@@ -129,10 +130,10 @@
 }
 
 /** For how long the job would occupy its team's whole limit. */
-static double limit_busy_time_s(struct leader *leader, const struct ledger_job *job,
-                                const struct job *job_record)
+static double run_time_at_team_limit_s(struct leader *leader, const struct ledger_job *job,
+                                       const struct job *job_record)
 {
-    const struct team *quota = quota_ledger_team_of(leader, job)->quota;
+    const struct team *quota = quota_ledger_get_team(leader, job)->quota;
     double cpus = (double)job->task_resources.cpus.milli * job_record->task_count;
     double gpus = (double)job->task_resources.gpus.milli * job_record->task_count;
     double share = MAX(fraction(cpus, (double)quota->cpus_max.milli),
@@ -141,24 +142,24 @@
 }
 
 /** Jobs that are aged or overdue come first, then those in time, then those that are late. */
-static int queue_order(enum wait_stage stage)
+static int wait_stage_order(enum wait_stage stage)
 {
     if (stage >= WAIT_AGED)
         return 0;
-    return stage == WAIT_TIMELY ? 1 : 2;
+    return stage == WAIT_ON_TIME ? 1 : 2;
 }
 
 /** Sorts by wait stage, then by position, then by job id. */
-static gint compare_queue_position(gconstpointer a, gconstpointer b)
+static gint compare_queue_order(gconstpointer a, gconstpointer b)
 {
     const struct ledger_job *first = *(struct ledger_job *const *)a;
     const struct ledger_job *second = *(struct ledger_job *const *)b;
-    int first_order = queue_order(first->queue.wait_stage);
-    int second_order = queue_order(second->queue.wait_stage);
+    int first_order = wait_stage_order(first->queue.wait_stage);
+    int second_order = wait_stage_order(second->queue.wait_stage);
     if (first_order != second_order)
         return first_order < second_order ? -1 : 1;
-    if (first->queue.position_ms != second->queue.position_ms)
-        return first->queue.position_ms < second->queue.position_ms ? -1 : 1;
+    if (first->queue.sort_key_ms != second->queue.sort_key_ms)
+        return first->queue.sort_key_ms < second->queue.sort_key_ms ? -1 : 1;
     return strcmp(first->id.text, second->id.text);
 }
 
@@ -167,19 +168,19 @@
 static void interleave_aged_jobs(GPtrArray *ready_jobs)
 {
     guint aged_count = 0;
-    guint timely_count = 0;
+    guint on_time_count = 0;
     for (guint i = 0; i < ready_jobs->len; i++) {
         const struct ledger_job *job = ready_jobs->pdata[i];
         aged_count += job->queue.wait_stage >= WAIT_AGED;
-        timely_count += job->queue.wait_stage == WAIT_TIMELY;
+        on_time_count += job->queue.wait_stage == WAIT_ON_TIME;
     }
-    if (!aged_count || !timely_count)
+    if (!aged_count || !on_time_count)
         return;
     GPtrArray *interleaved = g_ptr_array_sized_new(ready_jobs->len);
-    for (guint i = 0; i < MAX(aged_count, timely_count); i++) {
+    for (guint i = 0; i < MAX(aged_count, on_time_count); i++) {
         if (i < aged_count)
             g_ptr_array_add(interleaved, ready_jobs->pdata[i]);
-        if (i < timely_count)
+        if (i < on_time_count)
             g_ptr_array_add(interleaved, ready_jobs->pdata[aged_count + i]);
     }
     memcpy(ready_jobs->pdata, interleaved->pdata, interleaved->len * sizeof *interleaved->pdata);
@@ -272,11 +273,11 @@
 /** Adds the job to its team's queue. */
 static void enqueue(struct leader *leader, struct ledger_job *job, struct job *job_record)
 {
-    double size_penalty_s = JOB_SIZE_WEIGHT * limit_busy_time_s(leader, job, job_record);
+    double size_penalty_s = JOB_SIZE_WEIGHT * run_time_at_team_limit_s(leader, job, job_record);
     job->queue.wait_stage = find_wait_stage(leader, job, job_record);
     job->queue.job_record = job_record;
-    job->queue.position_ms = job_record->eligible_at.ms + (int64_t)(size_penalty_s * 1000);
-    g_ptr_array_add(quota_ledger_team_of(leader, job)->ready_jobs, job);
+    job->queue.sort_key_ms = job_record->eligible_at.ms + (int64_t)(size_penalty_s * 1000);
+    g_ptr_array_add(quota_ledger_get_team(leader, job)->ready_jobs, job);
 }
 
 bool job_queue_collect_ready(struct leader *leader)
@@ -298,7 +299,7 @@
         has_ready_jobs = true;
     }
     for (int i = 0; i < ledger->team_count; i++) {
-        g_ptr_array_sort(ledger->teams[i].ready_jobs, compare_queue_position);
+        g_ptr_array_sort(ledger->teams[i].ready_jobs, compare_queue_order);
         interleave_aged_jobs(ledger->teams[i].ready_jobs);
     }
     return has_ready_jobs;
--- a/src/scheduler/leader.c
+++ b/src/scheduler/leader.c
@@ -15,7 +15,7 @@
 
 enum {
     /** After a new epoch, how long to wait for the status reports of all shards. */
-    STATUS_WAIT_MS = 1500,
+    FIRST_STATUS_TIMEOUT_MS = 1500,
     TICK_INTERVAL_MS = 200,
     /** Delay of a requested pass, so that it serves several events. */
     PASS_DELAY_MS = 8,
@@ -65,7 +65,7 @@
 {
     guint zone_count = leader->settings->zones->len;
     leader->autoscaler.service_shortfall_tasks = g_new0(int64_t, zone_count);
-    leader->autoscaler.zone_silent_until = g_new0(mono_time, zone_count);
+    leader->autoscaler.zone_avoid_until = g_new0(mono_time, zone_count);
     leader->pass.zone_cpus = g_new0(double, zone_count);
     leader->pass.zone_task_counts = g_new0(uint32_t, zone_count);
     leader->pass.schedulable_machines = g_ptr_array_new();
@@ -76,7 +76,7 @@
 static void free_arrays(struct leader *leader)
 {
     g_free(leader->autoscaler.service_shortfall_tasks);
-    g_free(leader->autoscaler.zone_silent_until);
+    g_free(leader->autoscaler.zone_avoid_until);
     g_free(leader->pass.zone_cpus);
     g_free(leader->pass.zone_task_counts);
     g_ptr_array_unref(leader->pass.schedulable_machines);
@@ -133,7 +133,7 @@
         leader->epoch.value != leader->replica->shard_map_epoch.value ||
         !leader->replica->machine_types)
         return false;
-    if (time_ms_since(loop_now(leader->loop), leader->epoch_began_at) > STATUS_WAIT_MS)
+    if (time_ms_since(loop_now(leader->loop), leader->epoch_began_at) > FIRST_STATUS_TIMEOUT_MS)
         return true;
     GHashTableIter it;
     struct shard_channel *channel;
@@ -200,8 +200,8 @@
     case REPLICA_EVENT_JOB:
         job_record = replica_get_job(leader->replica, event->job.text);
         if (job_record && job_record->is_known && job_record->spec)
-            quota_ledger_update_inherited(leader, quota_ledger_ensure_job(leader, event->job),
-                                          job_record);
+            quota_ledger_update_priority(leader, quota_ledger_ensure_job(leader, event->job),
+                                         job_record);
         break;
     case REPLICA_EVENT_RELOADED:
         /* A run record may have been written and removed unseen, and its dispatch would remain
@@ -222,7 +222,7 @@
     /* The shards see the same change and drop the dispatches, too. */
     if (job_record && job_record->state != JOB_ACTIVE)
         for (uint32_t i = 0; g_hash_table_size(job->dispatches) && i < job_record->task_count; i++)
-            quota_ledger_drop_dispatch(leader, job, i);
+            quota_ledger_remove_dispatch(leader, job, i);
     job_completion_check(leader, job);
     if (job_completion_is_over(leader, job))
         quota_ledger_remove_job(leader, job->id);
--- a/src/scheduler/ledger_job.h
+++ b/src/scheduler/ledger_job.h
@@ -41,7 +41,7 @@
     /** A task had a run record and lost it, so the gang may already have begun to run. */
     bool has_lost_task;
     /** Since when only some tasks have run records and none is dispatched; 0 when not so. */
-    mono_time incomplete_since;
+    mono_time partially_allocated_since;
     /** The epoch in which the remaining tasks were last stopped; 0 when they never were. */
     epoch_no stopped_in_epoch;
     /** When the remaining tasks were last stopped. */
@@ -61,7 +61,7 @@
     /** The objective is already missed; also the value before the job is first queued. */
     WAIT_LATE,
     /** The objective can still be met. */
-    WAIT_TIMELY,
+    WAIT_ON_TIME,
     /** It has waited so long that lateness no longer pushes it back. */
     WAIT_AGED,
     /** It has waited so long that it precedes all borrowed work and is preempted by services only.
@@ -78,7 +78,7 @@
     /** Per pass: no machine has enough free resources, so the job is skipped. */
     bool is_blocked;
     /** Sort key within the wait stage: time of eligibility plus a penalty for size, in ms. */
-    int64_t position_ms;
+    int64_t sort_key_ms;
 };
 
 /** Preemption of other jobs' tasks on behalf of this job. */
@@ -86,7 +86,7 @@
     /** When preemption was last attempted; 0 when never. */
     mono_time last_attempt_at;
     /** Tasks stopped for this job whose run records still exist. */
-    int pending_count;
+    int pending_victim_count;
 };
 
 /** Failures that are attributed to the job and not to its machines. */
@@ -96,7 +96,7 @@
     /** Consecutive failures, which double the delay up to a maximum. */
     int count;
     /** Set of names of machines on which tasks of the job failed; NULL while empty. */
-    GHashTable *machines;
+    GHashTable *failed_machines;
 };
 
 /** A job in the quota ledger. Owned by quota_ledger.jobs. */
--- a/src/scheduler/machine_health.c
+++ b/src/scheduler/machine_health.c
@@ -126,7 +126,7 @@
     guint machine_count = 0;
     GHashTableIter it;
     const char *machine_name;
-    g_hash_table_iter_init(&it, job->failures.machines);
+    g_hash_table_iter_init(&it, job->failures.failed_machines);
     while (g_hash_table_iter_next(&it, (gpointer *)&machine_name, NULL))
         machine_count += !has_failed_other_jobs(leader, machine_name, job->id.text);
     return machine_count;
@@ -142,7 +142,8 @@
 {
     mono_time now = loop_now(leader->loop);
     bool is_same_attempt = time_before(now, machine->health.avoid_until);
-    bool has_failed_before = !g_hash_table_add(job->failures.machines, g_strdup(machine->id.text));
+    bool has_failed_before =
+        !g_hash_table_add(job->failures.failed_machines, g_strdup(machine->id.text));
     int64_t avoid_ms =
         has_failed_before && !is_same_attempt ? AVOID_AFTER_REPEAT_MS : AVOID_AFTER_ERROR_MS;
     mono_time until = time_add_ms(now, avoid_ms);
@@ -171,7 +172,7 @@
     delay_ms = MIN(delay_ms, MAX_RETRY_DELAY_MS);
     job->failures.retry_at = time_add_ms(now, delay_ms);
     LOG_INFO("job_retry_delayed", "job=%s machines=%u delay_ms=%" G_GINT64_FORMAT, job->id.text,
-             g_hash_table_size(job->failures.machines), delay_ms);
+             g_hash_table_size(job->failures.failed_machines), delay_ms);
 }
 
 /** Notes that the job failed on the machine, and quarantines the machine after several jobs. */
@@ -198,8 +199,9 @@
         machine->health.avoid_until = time_add_ms(loop_now(leader->loop), AVOID_AFTER_LOSS_MS);
         return;
     }
-    if (!job->failures.machines)
-        job->failures.machines = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    if (!job->failures.failed_machines)
+        job->failures.failed_machines =
+            g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     avoid_failed_machine(leader, job, machine);
     if (is_job_faulty(leader, job))
         delay_faulty_job(leader, job);
--- a/src/scheduler/placement.c
+++ b/src/scheduler/placement.c
@@ -112,7 +112,7 @@
     memset(pass->zone_cpus, 0, sizeof *pass->zone_cpus * leader->settings->zones->len);
     g_ptr_array_set_size(pass->schedulable_machines, 0);
     g_array_set_size(pass->unschedulable_requests, 0);
-    pass->reserving_gang_count = 0;
+    pass->draining_gang_count = 0;
     loop_add_work(leader->loop, g_hash_table_size(leader->ledger.machines));
     GHashTableIter it;
     struct ledger_machine *machine;
--- a/src/scheduler/preemption.c
+++ b/src/scheduler/preemption.c
@@ -11,7 +11,7 @@
 
 enum {
     /** Tasks for which resources are freed at a time, per job. */
-    MAX_PREEMPTED_TASKS = 32,
+    MAX_TASKS_PER_ATTEMPT = 32,
     /** Between two attempts for one job, so that run records of stopped tasks can be removed. */
     PREEMPTION_INTERVAL_MS = 1000,
     /** How long a service waits for a machine that has its image cached. */
@@ -20,15 +20,15 @@
 
 /** After a new epoch nothing is preempted for this many heartbeat intervals, until shards have
  * reported the free resources. */
-static const double REPORT_INTERVALS = 1.25;
+static const double EPOCH_GRACE_HEARTBEATS = 1.25;
 
 /** Whether all waiting tasks of a job lie within its team's guarantee. */
 static bool is_within_guarantee(struct leader *leader, const struct ledger_job *job,
                                 const struct job *job_record)
 {
     int64_t waiting_tasks = quota_ledger_count_waiting_tasks(job, job_record);
-    return quota_ledger_is_within_guarantee(quota_ledger_team_of(leader, job),
-                                            quota_ledger_limited_request(job, waiting_tasks));
+    return quota_ledger_is_within_guarantee(quota_ledger_get_team(leader, job),
+                                            quota_ledger_quota_request(job, waiting_tasks));
 }
 
 /** Stops a task for the preemptor. */
@@ -42,7 +42,7 @@
              victim->job->id.text, victim->index, victim->allocation->machine.text,
              preemptor->job->id.text, has_lower_priority ? "priority" : "guarantee");
     victim->allocation->preemptor_job = preemptor->job->id;
-    preemptor->job->preemption.pending_count++;
+    preemptor->job->preemption.pending_victim_count++;
     shard_dispatcher_queue_stop(leader, victim->job, victim->index, victim->allocation, grace_s);
 }
 
@@ -147,10 +147,10 @@
      * resources. While few writes are allowed this takes several seconds, and without counting them
      * more and more tasks would be stopped. */
     int64_t task_count = quota_ledger_count_allowed_tasks(leader, job, preemptor->job_record) -
-                         job->gang.reserved_task_count - job->preemption.pending_count;
+                         job->gang.reserved_task_count - job->preemption.pending_victim_count;
     if (preemptor->job_record->spec->form == FORM_GANG && task_count > 0)
         task_count = plan_gang_preemption(leader, preemptor, candidates, task_count);
-    return MIN(task_count, MAX_PREEMPTED_TASKS);
+    return MIN(task_count, MAX_TASKS_PER_ATTEMPT);
 }
 
 /** Whether a task may be preempted for the job now: not too soon after the last attempt, nor after
@@ -161,8 +161,9 @@
     mono_time last_attempt_at = job->preemption.last_attempt_at;
     if (last_attempt_at.us && time_ms_since(now, last_attempt_at) < PREEMPTION_INTERVAL_MS)
         return false;
-    double report_ms = leader->settings->heartbeat_interval_s * (REPORT_INTERVALS * 1000);
-    return time_ms_since(now, leader->epoch_began_at) >= (int64_t)report_ms;
+    double epoch_grace_ms =
+        leader->settings->heartbeat_interval_s * (EPOCH_GRACE_HEARTBEATS * 1000);
+    return time_ms_since(now, leader->epoch_began_at) >= (int64_t)epoch_grace_ms;
 }
 
 /** Preempts for up to task_count tasks, one after the other, where the least work is lost. Returns
@@ -205,14 +206,14 @@
         return;
     GArray *candidates = preemption_find_candidates(leader, &preemptor);
     int64_t task_count = plan_task_count(leader, &preemptor, candidates);
-    bool was_preempted = preempt_for_tasks(leader, &preemptor, candidates, task_count);
-    if (task_count > 0 && !was_preempted && may_relocate)
+    bool has_preempted = preempt_for_tasks(leader, &preemptor, candidates, task_count);
+    if (task_count > 0 && !has_preempted && may_relocate)
         service_relocation_free_resources(leader, job, job_record);
     g_array_unref(candidates);
 }
 
-bool preemption_waits_for_image(struct leader *leader, const struct ledger_job *job,
-                                const struct job *job_record)
+bool preemption_should_wait_for_image(struct leader *leader, const struct ledger_job *job,
+                                      const struct job *job_record)
 {
     const struct job_spec *spec = job_record->spec;
     const GPtrArray *machines = leader->pass.schedulable_machines;
--- a/src/scheduler/preemption.h
+++ b/src/scheduler/preemption.h
@@ -20,7 +20,7 @@
  * holds for the first moments of a service, if there are such machines where tasks could be
  * preempted: users wait for it, and fetching the image takes longer than preempting.
  */
-bool preemption_waits_for_image(struct leader *leader, const struct ledger_job *job,
-                                const struct job *job_record);
+bool preemption_should_wait_for_image(struct leader *leader, const struct ledger_job *job,
+                                      const struct job *job_record);
 
 #endif
--- a/src/scheduler/preemption_victims.c
+++ b/src/scheduler/preemption_victims.c
@@ -4,13 +4,13 @@
 #include "quota_ledger.h"
 
 /** Weight of lost work on a machine without services that has the image cached. */
-static const double BASE_WEIGHT = 1.2;
+static const double BASE_LOST_WORK_WEIGHT = 1.2;
 
 /** Added to the weight when the image is not cached: the preemptor would start late. */
 static const double MISSING_IMAGE_WEIGHT = 1;
 
 /** What the team uses, without tasks that were asked to stop. */
-static struct resources remaining_use(const struct ledger_team *team)
+static struct resources usage_without_stopping_tasks(const struct ledger_team *team)
 {
     return resources_remaining(team->used, team->stopping);
 }
@@ -18,7 +18,7 @@
 /** Whether the team would still use all of its guarantee without a task of this size. */
 static bool stays_above_guarantee(const struct ledger_team *team, struct resources task)
 {
-    struct resources left = resources_remaining(remaining_use(team), task);
+    struct resources left = resources_remaining(usage_without_stopping_tasks(team), task);
     return left.cpus.milli >= team->quota->cpus.milli && left.gpus.milli >= team->quota->gpus.milli;
 }
 
@@ -33,7 +33,7 @@
     /* Services are not stopped for another team's guarantee. */
     return preemptor->may_stop_borrowed && victim->team_index != preemptor->job->team_index &&
            !victim->is_service &&
-           stays_above_guarantee(quota_ledger_team_of(leader, victim), victim->task_resources);
+           stays_above_guarantee(quota_ledger_get_team(leader, victim), victim->task_resources);
 }
 
 bool preemption_has_possible_victims(struct leader *leader, const struct preemptor *preemptor)
@@ -47,7 +47,7 @@
         return false;
     for (int i = 0; i < ledger->team_count; i++) {
         const struct ledger_team *team = &ledger->teams[i];
-        struct resources used = remaining_use(team);
+        struct resources used = usage_without_stopping_tasks(team);
         if (i != preemptor->job->team_index && (used.cpus.milli > team->quota->cpus.milli ||
                                                 used.gpus.milli > team->quota->gpus.milli))
             return true;
@@ -56,7 +56,7 @@
 }
 
 /** Sorts the youngest first, as the least work is lost with them. */
-static gint compare_by_youth(gconstpointer a, gconstpointer b)
+static gint compare_newest_first(gconstpointer a, gconstpointer b)
 {
     const struct preemption_victim *first = a;
     const struct preemption_victim *second = b;
@@ -66,7 +66,7 @@
 }
 
 /** Fills *victim with the task of a run record; false when it must not be stopped. */
-static bool read_victim(struct leader *leader, const struct ledger_machine *machine,
+static bool find_victim(struct leader *leader, const struct ledger_machine *machine,
                         const struct run_record *run_record, const struct preemptor *preemptor,
                         struct preemption_victim *victim)
 {
@@ -94,10 +94,10 @@
     loop_add_work(leader->loop, record->run_records->len);
     for (guint i = 0; i < record->run_records->len; i++) {
         struct preemption_victim victim;
-        if (read_victim(leader, machine, record->run_records->pdata[i], preemptor, &victim))
+        if (find_victim(leader, machine, record->run_records->pdata[i], preemptor, &victim))
             g_array_append_val(victims, victim);
     }
-    g_array_sort(victims, compare_by_youth);
+    g_array_sort(victims, compare_newest_first);
     return victims;
 }
 
@@ -106,7 +106,7 @@
 static double lost_work_weight(const struct ledger_machine *machine, const struct job_spec *spec)
 {
     double service_share = resources_dominant_share(machine->usage.services, machine->capacity);
-    return BASE_WEIGHT - service_share +
+    return BASE_LOST_WORK_WEIGHT - service_share +
            (placement_has_image(machine, spec) ? 0 : MISSING_IMAGE_WEIGHT);
 }
 
--- a/src/scheduler/quota_ledger.c
+++ b/src/scheduler/quota_ledger.c
@@ -26,8 +26,8 @@
     struct ledger_job *job = data;
     g_hash_table_unref(job->allocations);
     g_hash_table_unref(job->dispatches);
-    if (job->failures.machines)
-        g_hash_table_unref(job->failures.machines);
+    if (job->failures.failed_machines)
+        g_hash_table_unref(job->failures.failed_machines);
     g_free(job);
 }
 
@@ -112,13 +112,13 @@
     g_hash_table_remove(leader->ledger.jobs, id.text);
 }
 
-struct ledger_team *quota_ledger_team_of(struct leader *leader, const struct ledger_job *job)
+struct ledger_team *quota_ledger_get_team(struct leader *leader, const struct ledger_job *job)
 {
     return &leader->ledger.teams[job->team_index];
 }
 
-void quota_ledger_update_inherited(struct leader *leader, struct ledger_job *job,
-                                   const struct job *job_record)
+void quota_ledger_update_priority(struct leader *leader, struct ledger_job *job,
+                                  const struct job *job_record)
 {
     if (!job)
         return;
@@ -195,16 +195,16 @@
     g_strlcpy(dispatch->zone, machine->zone, sizeof dispatch->zone);
     g_hash_table_insert(job->dispatches, task_key(index), dispatch);
     resources_add(&machine->usage.dispatched, job->task_resources);
-    resources_add(&quota_ledger_team_of(leader, job)->used, job->task_resources);
+    resources_add(&quota_ledger_get_team(leader, job)->used, job->task_resources);
 }
 
-void quota_ledger_drop_dispatch(struct leader *leader, struct ledger_job *job, uint32_t index)
+void quota_ledger_remove_dispatch(struct leader *leader, struct ledger_job *job, uint32_t index)
 {
     struct pending_dispatch *dispatch = quota_ledger_find_dispatch(job, index);
     if (!dispatch)
         return;
     resources_subtract(&dispatch->machine->usage.dispatched, job->task_resources);
-    resources_subtract(&quota_ledger_team_of(leader, job)->used, job->task_resources);
+    resources_subtract(&quota_ledger_get_team(leader, job)->used, job->task_resources);
     g_hash_table_remove(job->dispatches, task_key(index));
     job->first_waiting_index = MIN(job->first_waiting_index, index);
 }
@@ -223,21 +223,21 @@
 }
 
 void quota_ledger_add_allocation(struct leader *leader, job_id id, uint32_t index,
-                                 attempt_no attempt, machine_id location)
+                                 attempt_no attempt, machine_id allocated_machine)
 {
     struct ledger_job *job = quota_ledger_ensure_job(leader, id);
     if (!job || quota_ledger_find_allocation(job, index))
         return;
     const struct pending_dispatch *dispatch = quota_ledger_find_dispatch(job, index);
     if (dispatch && dispatch->attempt.value == attempt.value)
-        quota_ledger_drop_dispatch(leader, job, index);
+        quota_ledger_remove_dispatch(leader, job, index);
     struct allocation *allocation = g_new(struct allocation, 1);
     *allocation = (struct allocation){
-        .attempt = attempt, .machine = location, .allocated_at = loop_now(leader->loop)};
+        .attempt = attempt, .machine = allocated_machine, .allocated_at = loop_now(leader->loop)};
     g_hash_table_insert(job->allocations, task_key(index), allocation);
-    resources_add(&quota_ledger_team_of(leader, job)->used, job->task_resources);
+    resources_add(&quota_ledger_get_team(leader, job)->used, job->task_resources);
     leader->ledger.allocated_by_priority[job->priority]++;
-    struct ledger_machine *machine = ensure_recorded_machine(leader, location);
+    struct ledger_machine *machine = ensure_recorded_machine(leader, allocated_machine);
     if (!machine)
         return;
     resources_add(&machine->usage.allocated, job->task_resources);
@@ -246,8 +246,8 @@
 }
 
 /** The task no longer uses the machine it was allocated to. */
-static void release_machine(struct leader *leader, const struct ledger_job *job,
-                            const struct allocation *allocation)
+static void release_machine_resources(struct leader *leader, const struct ledger_job *job,
+                                      const struct allocation *allocation)
 {
     struct ledger_machine *machine = quota_ledger_find_machine(leader, allocation->machine.text);
     if (!machine)
@@ -262,7 +262,7 @@
 static void release_quota(struct leader *leader, const struct ledger_job *job,
                           const struct allocation *allocation)
 {
-    struct ledger_team *team = quota_ledger_team_of(leader, job);
+    struct ledger_team *team = quota_ledger_get_team(leader, job);
     resources_subtract(&team->used, job->task_resources);
     if (allocation->is_stopping)
         resources_subtract(&team->stopping, job->task_resources);
@@ -277,13 +277,13 @@
     if (!allocation || allocation->attempt.value != attempt.value)
         return;
     job->gang.has_lost_task = true;
-    release_machine(leader, job, allocation);
+    release_machine_resources(leader, job, allocation);
     release_quota(leader, job, allocation);
     const char *preemptor_id = allocation->preemptor_job.text;
     struct ledger_job *preemptor =
         preemptor_id[0] ? quota_ledger_find_job(leader, preemptor_id) : NULL;
     if (preemptor)
-        preemptor->preemption.pending_count--;
+        preemptor->preemption.pending_victim_count--;
     g_hash_table_remove(job->allocations, task_key(index));
     job->first_waiting_index = MIN(job->first_waiting_index, index);
 }
@@ -316,32 +316,33 @@
 int64_t quota_ledger_count_allowed_tasks(struct leader *leader, const struct ledger_job *job,
                                          const struct job *job_record)
 {
-    struct resources remaining = quota_ledger_remaining_limit(quota_ledger_team_of(leader, job));
+    struct resources remaining = quota_ledger_remaining_limit(quota_ledger_get_team(leader, job));
     return MIN((int64_t)quota_ledger_count_waiting_tasks(job, job_record),
                resources_fit_count(remaining, job->task_resources));
 }
 
-struct resources quota_ledger_limited_request(const struct ledger_job *job, int64_t task_count)
+struct resources quota_ledger_quota_request(const struct ledger_job *job, int64_t task_count)
 {
     return (struct resources){{job->task_resources.cpus.milli * task_count},
                               {job->task_resources.gpus.milli * task_count},
                               {0}};
 }
 
-static bool is_sum_within(struct resources used, struct resources more, amount cpus, amount gpus)
+static bool is_total_within(struct resources used, struct resources additional, amount cpus,
+                            amount gpus)
 {
-    return used.cpus.milli + more.cpus.milli <= cpus.milli &&
-           used.gpus.milli + more.gpus.milli <= gpus.milli;
+    return used.cpus.milli + additional.cpus.milli <= cpus.milli &&
+           used.gpus.milli + additional.gpus.milli <= gpus.milli;
 }
 
-bool quota_ledger_is_within_guarantee(const struct ledger_team *team, struct resources more)
+bool quota_ledger_is_within_guarantee(const struct ledger_team *team, struct resources additional)
 {
-    return is_sum_within(team->used, more, team->quota->cpus, team->quota->gpus);
+    return is_total_within(team->used, additional, team->quota->cpus, team->quota->gpus);
 }
 
-bool quota_ledger_is_within_limit(const struct ledger_team *team, struct resources more)
+bool quota_ledger_is_within_limit(const struct ledger_team *team, struct resources additional)
 {
-    return is_sum_within(team->used, more, team->quota->cpus_max, team->quota->gpus_max);
+    return is_total_within(team->used, additional, team->quota->cpus_max, team->quota->gpus_max);
 }
 
 struct resources quota_ledger_remaining_limit(const struct ledger_team *team)
--- a/src/scheduler/quota_ledger.h
+++ b/src/scheduler/quota_ledger.h
@@ -30,10 +30,10 @@
 void quota_ledger_remove_job(struct leader *leader, job_id id);
 /** Updates priority and patience, which a job inherits from those that depend on it and which
  * therefore change as these come and go. Does nothing when job is NULL. */
-void quota_ledger_update_inherited(struct leader *leader, struct ledger_job *job,
-                                   const struct job *job_record);
+void quota_ledger_update_priority(struct leader *leader, struct ledger_job *job,
+                                  const struct job *job_record);
 /** The accounts of the job's team. */
-struct ledger_team *quota_ledger_team_of(struct leader *leader, const struct ledger_job *job);
+struct ledger_team *quota_ledger_get_team(struct leader *leader, const struct ledger_job *job);
 
 /** The machine, or NULL. */
 struct ledger_machine *quota_ledger_find_machine(struct leader *leader, const char *id);
@@ -49,11 +49,11 @@
 void quota_ledger_add_dispatch(struct leader *leader, struct ledger_job *job, uint32_t index,
                                attempt_no attempt, struct ledger_machine *machine);
 /** Removes the dispatch of a task, if there is one: the task is waiting again, or allocated. */
-void quota_ledger_drop_dispatch(struct leader *leader, struct ledger_job *job, uint32_t index);
+void quota_ledger_remove_dispatch(struct leader *leader, struct ledger_job *job, uint32_t index);
 /** Accounts for the run record of a task on a machine, and removes its dispatch if that has the
  * same attempt. Does nothing when the task is allocated already. */
 void quota_ledger_add_allocation(struct leader *leader, job_id id, uint32_t index,
-                                 attempt_no attempt, machine_id location);
+                                 attempt_no attempt, machine_id allocated_machine);
 /** Accounts for the removal of a run record. Does nothing for any other attempt. */
 void quota_ledger_remove_allocation(struct leader *leader, job_id id, uint32_t index,
                                     attempt_no attempt);
@@ -76,11 +76,11 @@
                                          const struct job *job_record);
 
 /** The resources of so many tasks of the job, as far as quotas limit them: CPUs and GPUs. */
-struct resources quota_ledger_limited_request(const struct ledger_job *job, int64_t task_count);
+struct resources quota_ledger_quota_request(const struct ledger_job *job, int64_t task_count);
 /** Whether the team's use stays within its guarantee when `more` is added. */
-bool quota_ledger_is_within_guarantee(const struct ledger_team *team, struct resources more);
+bool quota_ledger_is_within_guarantee(const struct ledger_team *team, struct resources additional);
 /** Whether the team's use stays within its limit when `more` is added. */
-bool quota_ledger_is_within_limit(const struct ledger_team *team, struct resources more);
+bool quota_ledger_is_within_limit(const struct ledger_team *team, struct resources additional);
 /** What the team may still use. Memory is not limited, and has a very large value. */
 struct resources quota_ledger_remaining_limit(const struct ledger_team *team);
 
--- a/src/scheduler/quota_ledger_rebuild.c
+++ b/src/scheduler/quota_ledger_rebuild.c
@@ -6,7 +6,7 @@
 #include "shard_dispatcher.h"
 
 /** Clears what teams and machines use, and which shards own the machines. */
-static void reset_counts(struct leader *leader)
+static void reset_usage(struct leader *leader)
 {
     const struct resources none = {0};
     memset(leader->ledger.allocated_by_priority, 0, sizeof leader->ledger.allocated_by_priority);
@@ -49,7 +49,7 @@
         return;
     job->failures.count = previous->failures.count;
     job->failures.retry_at = previous->failures.retry_at;
-    job->failures.machines = g_steal_pointer(&previous->failures.machines);
+    job->failures.failed_machines = g_steal_pointer(&previous->failures.failed_machines);
 }
 
 void quota_ledger_rebuild(struct leader *leader)
@@ -60,7 +60,7 @@
     leader->ledger.attempts_issued = 0;
     GHashTable *previous_jobs = leader->ledger.jobs;
     leader->ledger.jobs = quota_ledger_new_job_table();
-    reset_counts(leader);
+    reset_usage(leader);
     shard_dispatcher_reset(leader);
     GHashTableIter it;
     struct machine_record *machine_record;
--- a/src/scheduler/scheduler_internal.h
+++ b/src/scheduler/scheduler_internal.h
@@ -66,7 +66,7 @@
     /** Tasks of the job that is being placed, by zone; see placement_count_zone_tasks. */
     uint32_t *zone_task_counts;
     /** Gangs that reserve whole machines. Belongs to gang_scheduler.c. */
-    int reserving_gang_count;
+    int draining_gang_count;
 };
 
 /** Statistics from which slow machines are recognized. Belongs to machine_health.c. */
@@ -97,7 +97,7 @@
     /** Service tasks for which a zone lacks capacity, by zone; negative when it has some spare. */
     int64_t *service_shortfall_tasks;
     /** By zone: most of its machines are unreachable, or were until recently. */
-    mono_time *zone_silent_until;
+    mono_time *zone_avoid_until;
 };
 
 /** In a zone, no replica could be relocated for a service that requested this much. */
--- a/src/scheduler/shard_dispatcher.c
+++ b/src/scheduler/shard_dispatcher.c
@@ -80,7 +80,7 @@
     if (!machine || !machine->owner_label)
         return;
     if (!allocation->is_stopping)
-        resources_add(&quota_ledger_team_of(leader, job)->stopping, job->task_resources);
+        resources_add(&quota_ledger_get_team(leader, job)->stopping, job->task_resources);
     allocation->is_stopping = true;
     struct stop_item item = {
         .task = {job->id, index, allocation->attempt},
--- a/src/scheduler/shard_status_receiver.c
+++ b/src/scheduler/shard_status_receiver.c
@@ -63,7 +63,7 @@
         return;
     dispatch->machine->health.avoid_until =
         time_add_ms(loop_now(leader->loop), REJECTED_DISPATCH_AVOID_MS);
-    quota_ledger_drop_dispatch(leader, job, task->index);
+    quota_ledger_remove_dispatch(leader, job, task->index);
 }
 
 static bool is_owned_by(const struct ledger_machine *machine, const char *owner)
--- a/tests/test_autoscaler.c
+++ b/tests/test_autoscaler.c
@@ -99,7 +99,7 @@
     struct capacity_request anywhere = {&spec, HALF_MACHINE, NULL, true};
     struct capacity_request in_zone = {&spec, HALF_MACHINE, "a", true};
     struct machine_offer offer;
-    leader->autoscaler.zone_silent_until[0] = time_add_ms(loop_now(leader->loop), 1000);
+    leader->autoscaler.zone_avoid_until[0] = time_add_ms(loop_now(leader->loop), 1000);
     assert_true(machine_offer_find(leader, &anywhere, 1, &offer));
     assert_string_equal(offer.zone, "b");
     assert_true(machine_offer_find(leader, &in_zone, 1, &offer));
