--- a/src/scheduler/gang_scheduler.c
+++ b/src/scheduler/gang_scheduler.c
@@ -1,4 +1,4 @@
-/** Dispatching, reserving for, completing and stopping gangs. */
+/** Dispatches gangs, reserves resources for them, and stops gangs that have lost tasks. */
 #include "gang_scheduler.h"
 
 #include "log.h"
@@ -9,19 +9,24 @@
 #include "shard_dispatcher.h"
 
 enum {
-    /** In place of a zone index. */
+    /** Used instead of a zone index to mean all zones. */
     ANY_ZONE = -1,
-    /** Gangs that may reserve machines in use, per pass. */
+    /** Maximum number of gangs per pass that may reserve machines still in use by other tasks. */
     MAX_DRAINING_GANGS = 4,
     MAX_NEW_MACHINE_WAIT_MS = 60000,
-    /** Tasks of a stopped gang are stopped again after this time, if they are still there. */
+    /** Delay after which tasks of a stopped gang are stopped again if they are still allocated. */
     STOP_RETRY_MS = 10000,
-    /** Time for tasks that a shard rejected to be dispatched to another machine. */
+    /**
+     * How long a gang waits for tasks that a shard rejected to be allocated elsewhere, before it is
+     * stopped.
+     */
     REDISPATCH_TIMEOUT_MS = 2000,
 };
 
-/** Time for a new machine to start up, in multiples of the slowest boot and of the interval between
- * heartbeats. */
+/**
+ * Startup time to expect of a new machine, in multiples of the slowest boot time and of the
+ * heartbeat interval.
+ */
 static const double NEW_MACHINE_BOOT_TIMES = 3;
 static const double NEW_MACHINE_HEARTBEATS = 1.25;
 
@@ -30,8 +35,10 @@
     return zone_index == ANY_ZONE || machine->zone_index == zone_index;
 }
 
-/** Adds the machine to the list once for each task that it can take, until the list has max_tasks
- * entries. */
+/**
+ * Appends the machine to the list once for each task that fits on it, until the list has max_tasks
+ * entries.
+ */
 static void add_machine(struct leader *leader, const struct ledger_job *job,
                         const struct job_spec *spec, struct ledger_machine *machine,
                         uint32_t max_tasks, GPtrArray *machines)
@@ -42,14 +49,16 @@
         if (!placement_is_zone_allowed(leader, job, spec, machine->zone_index))
             return;
         g_ptr_array_add(machines, machine);
-        /* For a single zone the caller sees to it that all tasks get the same one. */
+        /* For gangs that need a single zone, the caller adds machines of only one zone. */
         if (machine->zone_index >= 0 && spec->needs_separate_zones)
             leader->pass.zone_task_counts[machine->zone_index]++;
     }
 }
 
-/** Chooses machines for up to max_tasks tasks among the candidates, in one zone or in any. A
- * machine is listed once for each task that it is to take. */
+/**
+ * Chooses machines from the candidates for up to max_tasks tasks, in the given zone or in ANY_ZONE.
+ * A machine is listed once for each task that it is to run.
+ */
 static GPtrArray *pick_machines(struct leader *leader, const struct ledger_job *job,
                                 const struct job_spec *spec, const GArray *candidates,
                                 uint32_t max_tasks, int zone_index)
@@ -65,8 +74,11 @@
     return machines;
 }
 
-/** How well a zone suits a gang, if it has resources for so many of its max_tasks tasks. Zones with
- * resources for all tasks come first, then the one in which tasks are preempted for the gang. */
+/**
+ * Returns how well a zone suits a gang if fitting_tasks of max_tasks tasks fit there. Zones that
+ * have room for all tasks score highest, followed by the zone in which tasks are being preempted
+ * for the gang.
+ */
 static guint score_zone(const struct ledger_job *job, int zone_index, guint fitting_tasks,
                         uint32_t max_tasks)
 {
@@ -77,7 +89,7 @@
     return fitting_tasks + (is_preempting_here ? max_tasks : 0);
 }
 
-/** Like pick_machines, in the zone that suits the gang best. */
+/** Variant of pick_machines that uses only the zone that suits the gang best. */
 static GPtrArray *pick_machines_in_one_zone(struct leader *leader, const struct ledger_job *job,
                                             const struct job_spec *spec, const GArray *candidates,
                                             uint32_t max_tasks)
@@ -98,7 +110,7 @@
     return best;
 }
 
-/** The best machines for up to max_tasks tasks of a gang; fewer when resources are short. */
+/** Returns the best machines for up to max_tasks tasks of a gang, fewer if resources are short. */
 static GPtrArray *find_gang_machines(struct leader *leader, const struct ledger_job *job,
                                      const struct job_spec *spec, uint32_t max_tasks)
 {
@@ -111,10 +123,10 @@
 }
 
 /**
- * Stops the tasks of a gang that have run records. Shards repeat a stop by themselves until the
- * record is removed, so tasks that were stopped in this epoch are stopped again only after
- * STOP_RETRY_MS: shards forget a stop when the epoch changes, and ignore one that arrives before
- * they know of the task.
+ * Stops the tasks of a gang that have run records. Shards repeat a stop until the run record is
+ * removed, but forget it when the epoch changes, and ignore it if it arrives before they know the
+ * task. Tasks that were already stopped in this epoch are therefore stopped again only after
+ * STOP_RETRY_MS.
  */
 static void stop_gang(struct leader *leader, struct ledger_job *job, const struct job *job_record)
 {
@@ -141,8 +153,11 @@
                  stopped_count, g_hash_table_size(job->allocations), job_record->task_count);
 }
 
-/** Stops a gang that is incomplete: one that has lost a task at once, so that it can start again as
- * a whole; one that has not begun to run when it is not completed in time. */
+/**
+ * Stops a gang of which only some tasks are allocated. A gang that has lost a task is stopped at
+ * once, so that it can be started again as a whole. A gang that has not begun to run is stopped if
+ * its other tasks are not allocated in time.
+ */
 static void stop_if_partially_allocated(struct leader *leader, struct ledger_job *job,
                                         const struct job *job_record)
 {
@@ -161,7 +176,7 @@
         stop_gang(leader, job, job_record);
 }
 
-/** Dispatches a task of a gang, bound to the machine, under the gang's attempt. */
+/** Dispatches a task of a gang under the gang's attempt, bound to the machine. */
 static void dispatch_task(struct leader *leader, struct ledger_job *job, uint32_t index,
                           struct ledger_machine *machine)
 {
@@ -169,8 +184,10 @@
     shard_dispatcher_queue_dispatch(leader, job, index, true);
 }
 
-/** Dispatches tasks again that a shard rejected, under the attempt of the others. As they never had
- * run records, the gang has not begun to run and still waits for them. */
+/**
+ * Dispatches tasks again that were rejected by a shard, under the same attempt as the other tasks.
+ * Rejected tasks never had run records, so the gang has not begun to run and still waits for them.
+ */
 static void redispatch_rejected_tasks(struct leader *leader, struct ledger_job *job,
                                       struct job *job_record)
 {
@@ -186,14 +203,19 @@
     g_ptr_array_unref(machines);
 }
 
-/** How many tasks of a gang the machine could run beside services alone. */
+/**
+ * Returns how many tasks of the gang would fit on the machine if only its services were running.
+ */
 static int64_t machine_task_capacity(const struct ledger_machine *machine,
                                      const struct ledger_job *job)
 {
     return resources_fit_count(placement_capacity_without_services(machine), job->task_resources);
 }
 
-/** How many tasks of a gang all machines in a zone could run beside services alone. */
+/**
+ * Returns how many tasks of the gang would fit on the machines of a zone if only their services
+ * were running.
+ */
 static int64_t zone_task_capacity(struct leader *leader, const struct ledger_job *job,
                                   const struct job_spec *spec, int zone_index)
 {
@@ -209,8 +231,11 @@
     return task_count;
 }
 
-/** Whether the existing machines could run the gang beside services alone. For a gang that needs a
- * single zone *zone_index is set to such a zone, preferably to that with its reservations. */
+/**
+ * Returns whether the whole gang would fit on the existing machines if only their services were
+ * running. For a gang that needs a single zone, sets *zone_index to such a zone, preferring the one
+ * where it has reservations; otherwise to ANY_ZONE.
+ */
 static bool could_fit_whole_gang(struct leader *leader, const struct ledger_job *job,
                                  const struct job_spec *spec, uint32_t needed_tasks,
                                  int *zone_index)
@@ -229,7 +254,10 @@
     return false;
 }
 
-/** Machines that could run tasks of a gang beside services alone, the least used ones first. */
+/**
+ * Returns the machines that could run tasks of the gang if only their services were running, least
+ * used first.
+ */
 static GArray *find_drainable_machines(struct leader *leader, const struct ledger_job *job,
                                        const struct job_spec *spec, int zone_index)
 {
@@ -252,10 +280,10 @@
 }
 
 /**
- * Reserves all that is free on further machines, until these could run the missing tasks once their
- * own tasks have ended. Smaller tasks would otherwise take what becomes free on a machine before it
- * is enough for a task of the gang. reserved_machines: one entry for each task that has a
- * reservation already.
+ * Reserves the free resources of additional machines until these machines could run the missing
+ * tasks once their current tasks have ended. Without the reservation, smaller tasks would take the
+ * resources of a machine as they become free, before there is enough for a task of the gang.
+ * reserved_machines has one entry for each task that already has a reservation.
  */
 static void reserve_draining_machines(struct leader *leader, const struct ledger_job *job,
                                       const struct job_spec *spec,
@@ -275,8 +303,10 @@
     g_array_unref(drainable);
 }
 
-/** How long a gang may wait for new machines: long enough for slow ones to boot and report, but not
- * so long that other jobs are kept from free resources for too long. */
+/**
+ * Returns how long a gang may wait for new machines. The time is long enough for slow machine types
+ * to boot and report, but limited because reservations keep other jobs from using free resources.
+ */
 static double new_machine_wait_ms(struct leader *leader)
 {
     double startup_s = scheduling_policy_slowest_boot_s(leader) * NEW_MACHINE_BOOT_TIMES +
@@ -284,7 +314,10 @@
     return MIN(startup_s * 1000, MAX_NEW_MACHINE_WAIT_MS);
 }
 
-/** Whether the gang has been short of resources for less time than it may wait for new machines. */
+/**
+ * Returns whether the gang has lacked resources for less time than it may wait for new machines.
+ * Starts that time if necessary.
+ */
 static bool may_wait_for_machines(struct leader *leader, struct ledger_job *job)
 {
     mono_time now = loop_now(leader->loop);
@@ -293,8 +326,9 @@
     return (double)time_ms_since(now, job->gang.unschedulable_since) < new_machine_wait_ms(leader);
 }
 
-/** Dispatches all tasks that are not completed, one to each entry of `machines`, under a new
- * attempt. */
+/**
+ * Dispatches all tasks that are not completed under a new attempt, one to each entry of `machines`.
+ */
 static void dispatch_whole_gang(struct leader *leader, struct ledger_job *job,
                                 const struct job *job_record, const GPtrArray *machines)
 {
@@ -307,7 +341,9 @@
             dispatch_task(leader, job, i, machines->pdata[used_machines++]);
 }
 
-/** Notes the machines that the gang could use, and reserves resources there if it may. */
+/**
+ * Marks the machines as usable by the gang and, if may_reserve is set, reserves resources on them.
+ */
 static void reserve_machines(struct ledger_job *job, const GPtrArray *machines, bool may_reserve)
 {
     for (guint i = 0; i < machines->len; i++) {
@@ -318,9 +354,12 @@
     }
 }
 
-/** Reserves `machines`, which suffice for some of the gang's tasks only, and preempts tasks for the
- * others. A gang that has waited for new machines in vain does neither, unless the existing ones
- * could run all of it. An aged gang reserves machines in use, too. */
+/**
+ * Reserves `machines`, which suffice for only some tasks of the gang, and preempts tasks to make
+ * room for the others. A gang for which no new machines arrived in time does neither, unless the
+ * whole gang would fit on the existing machines. A gang that has waited for long also reserves
+ * machines that are still in use.
+ */
 static void reserve_for_gang(struct leader *leader, struct ledger_job *job, struct job *job_record,
                              const GPtrArray *machines, uint32_t needed_tasks)
 {
--- a/src/scheduler/job_queue.c
+++ b/src/scheduler/job_queue.c
@@ -1,4 +1,4 @@
-/** The teams' job queues and dispatching by deficit round robin. */
+/** Implementation of the job queues and of the deficit round robin between teams. */
 #include "job_queue.h"
 
 #include "gang_scheduler.h"
@@ -7,36 +7,48 @@
 #include "quota_ledger.h"
 #include "shard_dispatcher.h"
 
-/* In thousandths of a CPU. */
+/* Deficit round robin, in thousandths of a CPU. */
 enum {
     MAX_DEFICIT_MILLI_CPUS = 10000000,
-    /** Least credit that a team receives in a turn, even without a guarantee. */
+    /** Minimum quantum of a team, so that teams without a guarantee are served as well. */
     MIN_QUANTUM_MILLI_CPUS = 1000,
-    /** A team's credit for a turn is its guarantee divided by this. */
+    /** A team's quantum is its guarantee divided by this. */
     QUANTUM_DIVISOR = 16,
 };
 
-/** First ranks of each kind. Within a kind, jobs are ranked by priority. */
+/**
+ * First rank of each group of jobs. Within a group, the rank depends on the priority. The first
+ * group contains services and the jobs within the guarantee of their team.
+ */
 enum {
     RANK_SERVICE = 0,
     RANK_BORROWED = RANK_SERVICE + PRIORITY_COUNT,
     RANK_BORROWED_LATE = RANK_BORROWED + PRIORITY_COUNT,
 };
 
-_Static_assert(RANK_BORROWED_LATE + PRIORITY_COUNT == RANK_COUNT, "each rank has its place");
+_Static_assert(RANK_BORROWED_LATE + PRIORITY_COUNT == RANK_COUNT,
+               "RANK_COUNT does not match the ranks");
 
-/** A job that has waited this long regains its place in the queue even if it is late, as the
- * largest jobs, too, must start within a few minutes. */
+/**
+ * Waiting time in seconds after which a job is no longer placed behind others for having missed its
+ * objective. The largest jobs, too, must start within a few minutes.
+ */
 static const double AGED_AFTER_S = 150;
 
-/** A job that has waited this long precedes all borrowed work and is preempted by services only. */
+/**
+ * Waiting time in seconds after which a job precedes all jobs that borrow resources, and is
+ * preempted only by services.
+ */
 static const double OVERDUE_AFTER_S = 190;
 
-/** A job lets jobs pass that become eligible after it within this multiple of the time for which it
- * would occupy its team's whole limit: small jobs pass large ones, but none passes forever. */
+/**
+ * Weight of a job's size in the queue order. The job is queued as if it had become eligible later,
+ * by this multiple of the time for which it would use its team's whole limit: small jobs overtake
+ * large ones, but no job is overtaken indefinitely.
+ */
 static const double JOB_SIZE_WEIGHT = 4;
 
-/** How the job's waiting time compares with its objective now. */
+/** Compares the time for which the job has been waiting with its objective. */
 static enum wait_stage find_wait_stage(struct leader *leader, const struct ledger_job *job,
                                        const struct job *job_record)
 {
@@ -54,14 +66,15 @@
         return RANK_SERVICE;
     if (quota_ledger_is_within_guarantee(quota_ledger_get_team(leader, job), job->task_resources))
         return job->priority;
-    /* Overdue jobs precede all others that borrow, or high-priority ones could starve them. */
+    /* Overdue jobs precede all others that borrow resources, as jobs of high priority could
+     * otherwise starve them. */
     if (job->queue.wait_stage == WAIT_OVERDUE)
         return RANK_BORROWED;
     int first_rank = job->queue.wait_stage == WAIT_LATE ? RANK_BORROWED_LATE : RANK_BORROWED;
     return first_rank + (int)job->priority;
 }
 
-/** Dispatches up to max_tasks tasks of a job to one machine; returns how many. */
+/** Dispatches up to max_tasks tasks of the job to the machine. Returns the number dispatched. */
 static int dispatch_to_machine(struct leader *leader, struct ledger_job *job,
                                struct job *job_record, struct ledger_machine *machine,
                                attempt_no attempt, int max_tasks)
@@ -72,7 +85,7 @@
            placement_is_zone_allowed(leader, job, job_record->spec, machine->zone_index)) {
         uint32_t index = quota_ledger_next_waiting_task(job, job_record);
         if (index >= job_record->task_count)
-            break; /* fewer tasks are waiting than the count of allowed tasks says */
+            break; /* the allowed count may exceed the number of tasks that are actually waiting */
         quota_ledger_add_dispatch(leader, job, index, attempt, machine);
         shard_dispatcher_queue_dispatch(leader, job, index, false);
         if (machine->zone_index >= 0)
@@ -82,8 +95,10 @@
     return dispatched_tasks;
 }
 
-/** Dispatches up to max_tasks tasks of a job to the best machines; returns how many. With
- * needs_image only to machines that have the job's image cached. */
+/**
+ * Dispatches up to max_tasks tasks of the job to the best machines, and returns the number
+ * dispatched. With needs_image set, only machines that have the job's image cached are used.
+ */
 static int dispatch_to_best_machines(struct leader *leader, struct ledger_job *job,
                                      struct job *job_record, int max_tasks, bool needs_image)
 {
@@ -104,8 +119,11 @@
     return dispatched_tasks;
 }
 
-/** Dispatches up to max_tasks tasks of a job; returns how many. When there is no machine for any of
- * them, the job is blocked for this pass and other tasks may be preempted for it. */
+/**
+ * Dispatches up to max_tasks tasks of the job, and returns the number dispatched. If no machine can
+ * take any of them, the job is blocked for the rest of the pass and tasks of other jobs may be
+ * preempted for it.
+ */
 static int dispatch_or_preempt(struct leader *leader, struct ledger_job *job,
                                struct job *job_record, int max_tasks)
 {
@@ -124,12 +142,13 @@
     return dispatched_tasks;
 }
 
+/** Returns part / whole, or 0 if there is no whole to divide by. */
 static double fraction(double part, double whole)
 {
     return whole > 0 ? part / whole : 0;
 }
 
-/** For how long the job would occupy its team's whole limit. */
+/** Returns how long the job would run, in seconds, if it used the whole limit of its team. */
 static double run_time_at_team_limit_s(struct leader *leader, const struct ledger_job *job,
                                        const struct job *job_record)
 {
@@ -141,7 +160,10 @@
     return share * job_record->spec->expected_run_s;
 }
 
-/** Jobs that are aged or overdue come first, then those in time, then those that are late. */
+/**
+ * Sort order of wait stages: aged and overdue jobs first, then jobs that can still meet their
+ * objective, then jobs that have missed it.
+ */
 static int wait_stage_order(enum wait_stage stage)
 {
     if (stage >= WAIT_AGED)
@@ -149,7 +171,7 @@
     return stage == WAIT_ON_TIME ? 1 : 2;
 }
 
-/** Sorts by wait stage, then by position, then by job id. */
+/** Comparison function that sorts by wait stage, then by sort key, then by job id. */
 static gint compare_queue_order(gconstpointer a, gconstpointer b)
 {
     const struct ledger_job *first = *(struct ledger_job *const *)a;
@@ -163,8 +185,10 @@
     return strcmp(first->id.text, second->id.text);
 }
 
-/** Makes aged jobs and those in time alternate at the front of a sorted queue, as either kind alone
- * would make all jobs of the other one late. */
+/**
+ * Alternates aged jobs and on-time jobs at the front of a sorted queue. If one kind always preceded
+ * the other, all jobs of the other kind would miss their objective.
+ */
 static void interleave_aged_jobs(GPtrArray *ready_jobs)
 {
     guint aged_count = 0;
@@ -187,7 +211,7 @@
     g_ptr_array_unref(interleaved);
 }
 
-/** Whether the job has nothing more to dispatch in this rank and pass. */
+/** Returns whether the job has nothing more to dispatch in this rank and pass. */
 static bool is_done_with_rank(struct leader *leader, struct ledger_job *job, int rank)
 {
     const struct job *job_record = job->queue.job_record;
@@ -196,8 +220,10 @@
            job_queue_rank(leader, job) != rank;
 }
 
-/** Dispatches tasks of one team until its credit or the budget is spent, and adds their number to
- * *dispatched_tasks. Returns whether the team has more to dispatch in this rank. */
+/**
+ * Dispatches tasks of a team until its deficit or the budget is used up, and adds their number to
+ * *dispatched_tasks. Returns whether the team has more tasks to dispatch in this rank.
+ */
 static bool dispatch_team_turn(struct leader *leader, struct ledger_team *team, int rank,
                                int budget, int *dispatched_tasks)
 {
@@ -225,7 +251,7 @@
     return team->next_ready_index < team->ready_jobs->len;
 }
 
-/** Adds a turn's credit to the team's deficit. */
+/** Adds a round's quantum to the deficit of the team. */
 static void add_turn_credit(struct ledger_team *team)
 {
     int64_t quantum = MAX(team->quota->cpus.milli / QUANTUM_DIVISOR, MIN_QUANTUM_MILLI_CPUS);
@@ -255,22 +281,23 @@
     return dispatched_tasks;
 }
 
-/** Whether the job may have tasks to dispatch in this pass. */
+/** Returns whether the job may have tasks to dispatch in this pass. */
 static bool is_ready(struct leader *leader, struct ledger_job *job, const struct job *job_record)
 {
     if (!job_record || !job_record->is_known || job_record->state != JOB_ACTIVE ||
         !job_record->spec)
         return false;
-    /* The jobs it depends on must be completed on record, whichever node was the leader then. */
+    /* The completion of the jobs that this one depends on must be on record, as it may have
+     * happened under another leader. */
     if (job_record->has_pending_dependencies ||
         time_before(loop_now(leader->loop), job->failures.retry_at))
         return false;
-    /* A gang may have to be completed or stopped even when no task of it is waiting. */
+    /* A gang may have to be completed or stopped even if none of its tasks is waiting. */
     return job_record->spec->form == FORM_GANG ||
            quota_ledger_next_waiting_task(job, job_record) < job_record->task_count;
 }
 
-/** Adds the job to its team's queue. */
+/** Adds the job to the queue of its team. */
 static void enqueue(struct leader *leader, struct ledger_job *job, struct job *job_record)
 {
     double size_penalty_s = JOB_SIZE_WEIGHT * run_time_at_team_limit_s(leader, job, job_record);
--- a/src/scheduler/leader.c
+++ b/src/scheduler/leader.c
@@ -1,4 +1,4 @@
-/** The leader's actor: events of the replica, timers and the scheduling pass. */
+/** Implementation of the leader actor: replica events, timers and the scheduling pass. */
 #include "leader.h"
 
 #include "autoscaler.h"
@@ -14,12 +14,14 @@
 #include "shard_status_receiver.h"
 
 enum {
-    /** After a new epoch, how long to wait for the status reports of all shards. */
+    /**
+     * How long a new epoch waits for the first status reports of all shards before it dispatches.
+     */
     FIRST_STATUS_TIMEOUT_MS = 1500,
     TICK_INTERVAL_MS = 200,
-    /** Delay of a requested pass, so that it serves several events. */
+    /** Delay before a requested pass, so that one pass handles several events. */
     PASS_DELAY_MS = 8,
-    /** After so many dispatches other events have their turn. */
+    /** Limits the length of a pass, so that other events are handled in between. */
     MAX_DISPATCHES_PER_PASS = 64,
 };
 
@@ -60,7 +62,7 @@
     return cloud_provider_new(&cloud_setup);
 }
 
-/** Allocates the leader's arrays with one element for each zone, and its lists for a pass. */
+/** Allocates the arrays that have one element per zone, and the lists of the scheduling pass. */
 static void allocate_arrays(struct leader *leader)
 {
     guint zone_count = leader->settings->zones->len;
@@ -126,7 +128,10 @@
     timer_start(leader->loop, &leader->tick_timer, TICK_INTERVAL_MS);
 }
 
-/** Whether the ledger is up to date with the epoch, and all shards have reported or had time to. */
+/**
+ * Returns whether this node is the leader, the ledger matches the current epoch, the machine types
+ * are known, and all shards have reported or the time for their first reports is over.
+ */
 static bool is_ready_to_dispatch(struct leader *leader)
 {
     if (!membership_is_leader(leader->membership) ||
@@ -144,8 +149,10 @@
     return true;
 }
 
-/** Dispatches tasks by rank, runs the autoscaler, and sends the resulting messages. What exceeds
- * the budget is left for another pass. */
+/**
+ * Dispatches tasks in order of rank, runs the autoscaler, and sends the resulting messages. If the
+ * dispatch budget is used up, another pass is requested for the remaining tasks.
+ */
 static void run_scheduling_pass(void *arg)
 {
     struct leader *leader = arg;
@@ -165,7 +172,10 @@
         leader_request_pass(leader);
 }
 
-/** Another node may be the leader now: answers that are still to come are ignored. */
+/**
+ * Stops acting as the leader. Another node may lead now, so responses to outstanding requests are
+ * ignored.
+ */
 static void stop_leading(struct leader *leader)
 {
     if (!leader->is_leading)
@@ -175,7 +185,10 @@
     leader->generation++;
 }
 
-/** Forgets the machines, which are learned again from the replica and the status reports. */
+/**
+ * Starts acting as the leader. Clears the machines, which are loaded again from the replica and the
+ * status reports.
+ */
 static void start_leading(struct leader *leader)
 {
     leader->is_leading = true;
@@ -184,8 +197,10 @@
     leader->autoscaler.peak_cpus = 0;
 }
 
-/** Updates the ledger after a change of the replica. was_rebuilt: the ledger has just been rebuilt
- * from the replica. */
+/**
+ * Updates the ledger after a change of the replica. was_rebuilt tells that the ledger has just been
+ * rebuilt from the replica.
+ */
 static void apply_event(struct leader *leader, const struct replica_event *event, bool was_rebuilt)
 {
     struct job *job_record;
@@ -204,22 +219,24 @@
                                          job_record);
         break;
     case REPLICA_EVENT_RELOADED:
-        /* A run record may have been written and removed unseen, and its dispatch would remain
-         * pending; a new epoch drops it. */
+        /* A run record may have been written and removed again without events, which would leave
+         * its dispatch pending forever. A new epoch drops that dispatch. */
         if (!was_rebuilt)
-            membership_raise_epoch(leader->membership, "changes were lost");
+            membership_raise_epoch(leader->membership, "replica changes may have been missed");
         break;
     default:
         break;
     }
 }
 
-/** After a change of a job or its tasks: drops the dispatches of a job that is no longer active,
- * and ends the job if that is due. */
+/**
+ * Handles a change of a job or of its tasks: drops the dispatches of a job that is no longer
+ * active, records the end of the job when it is due, and removes a finished job from the ledger.
+ */
 static void update_job_state(struct leader *leader, struct ledger_job *job)
 {
     const struct job *job_record = replica_get_job(leader->replica, job->id.text);
-    /* The shards see the same change and drop the dispatches, too. */
+    /* The shards observe the same change and drop these dispatches as well. */
     if (job_record && job_record->state != JOB_ACTIVE)
         for (uint32_t i = 0; g_hash_table_size(job->dispatches) && i < job_record->task_count; i++)
             quota_ledger_remove_dispatch(leader, job, i);
@@ -228,7 +245,7 @@
         quota_ledger_remove_job(leader, job->id);
 }
 
-/** Whether the event is about a job or one of its tasks. */
+/** Returns whether the event concerns a job or one of its tasks. */
 static bool is_job_event(const struct replica_event *event)
 {
     return event->kind == REPLICA_EVENT_JOB || event->kind == REPLICA_EVENT_RUN_RECORDED ||
@@ -237,9 +254,9 @@
 
 static void on_replica_events(struct leader *leader, const GArray *events)
 {
-    /* During an outage the leader may be unable to act for a while. As long as no other node
-     * becomes the leader, which would raise the epoch, the ledger stays valid and is kept up to
-     * date: what was dispatched is still with the shards. */
+    /* The leader may be unable to act during an outage. The ledger stays valid and is kept up to
+     * date until another node becomes the leader, which raises the epoch: tasks that were
+     * dispatched are still held by the shards. */
     if (!membership_is_recorded_leader(leader->membership)) {
         stop_leading(leader);
         return;
@@ -261,7 +278,7 @@
     leader_request_pass(leader);
 }
 
-/** Retries what could not be done before, checks for timeouts, and runs a pass. */
+/** Retries work that failed before, checks for timeouts, and runs a scheduling pass. */
 static void on_tick(void *arg)
 {
     struct leader *leader = arg;
--- a/src/scheduler/leader.h
+++ b/src/scheduler/leader.h
@@ -1,9 +1,9 @@
 /**
- * The leader's actor: it schedules jobs and scales the set of machines. It exists on every node and
- * acts only while its node holds the leadership.
+ * The leader actor, which schedules jobs and scales the set of machines. It exists on every node
+ * but acts only while its node is the leader.
  *
- * It listens to the replica and to the shards' status reports, keeps the quota ledger up to date,
- * and runs a scheduling pass soon after each change.
+ * The actor receives changes of the replica and status reports of the shards, keeps the quota
+ * ledger up to date, and runs a scheduling pass shortly after each change.
  */
 #ifndef LL_LEADER_H
 #define LL_LEADER_H
@@ -14,7 +14,7 @@
 
 struct leader;
 
-/** What the leader works with; all of it belongs to the node and outlives the leader. */
+/** Dependencies of the leader. They all belong to the node and outlive the leader. */
 struct leader_setup {
     struct loop *loop;
     struct http_client *http_client;
@@ -29,10 +29,11 @@
     const struct policy *policy;
 };
 
-/** Creates the leader, which listens at once but acts only after leader_start. */
+/** Creates the leader. It receives events at once, but acts only after leader_start. */
 struct leader *leader_new(const struct leader_setup *setup);
+/** Stops the timers of the leader and frees it. */
 void leader_free(struct leader *leader);
-/** Starts the leader's timer. */
+/** Starts the leader's periodic timer. */
 void leader_start(struct leader *leader);
 
 #endif
--- a/src/scheduler/ledger_job.h
+++ b/src/scheduler/ledger_job.h
@@ -1,8 +1,8 @@
 /**
- * A job as the leader's quota ledger accounts for it: its tasks by state, its place in its team's
- * queue, and what preemption, gang scheduling and failures have left behind.
+ * The quota ledger's entry for a job: its tasks by state, its position in its team's queue, and its
+ * state for preemption, gang scheduling and failure handling.
  *
- * Fields marked "per pass" are recomputed by each scheduling pass and mean nothing outside it.
+ * Fields marked "per pass" are recomputed by each scheduling pass and are not valid outside it.
  */
 #ifndef LL_LEDGER_JOB_H
 #define LL_LEDGER_JOB_H
@@ -12,41 +12,52 @@
 
 struct ledger_machine;
 
-/** A task that has a run record, as the ledger accounts for it. Owned by ledger_job.allocations. */
+/** A task that has a run record. Owned by ledger_job.allocations. */
 struct allocation {
     attempt_no attempt;
     machine_id machine;
     mono_time allocated_at;
-    /** The shard that owns the machine was asked to stop the task. */
+    /** Whether the shard that owns the machine was asked to stop the task. */
     bool is_stopping;
-    /** The job for which the task was preempted; empty when it was not. */
+    /** Id of the job for which the task was preempted; empty if the task was not preempted. */
     job_id preemptor_job;
 };
 
-/** A task dispatched to a shard, without a run record yet. Owned by ledger_job.dispatches. */
+/**
+ * A task that was dispatched to a shard and has no run record yet. Owned by ledger_job.dispatches.
+ */
 struct pending_dispatch {
     attempt_no attempt;
-    /** The machine whose resources are booked; the shard may choose another one of its own. */
+    /**
+     * Machine to which the task's resources are charged. Unless the dispatch is bound to it, the
+     * shard may place the task on another of its machines.
+     */
     struct ledger_machine *machine;
-    /** Sequence number among all dispatches of this leader; tells repeated answers apart. */
+    /**
+     * Sequence number among all dispatches of this leader, by which outdated responses to an
+     * earlier dispatch of the task are recognized.
+     */
     uint64_t number;
     mono_time dispatched_at;
     char zone[48];
 };
 
-/** What only gangs need: jobs whose tasks start together or not at all. */
+/** Scheduling state of a gang, a job whose tasks are started all together or not at all. */
 struct gang_state {
-    /** The attempt under which this leader dispatched the whole gang; 0 when it has not. */
+    /** Attempt under which this leader dispatched the whole gang; 0 if it has not. */
     attempt_no attempt;
-    /** A task had a run record and lost it, so the gang may already have begun to run. */
+    /** Whether a task's run record was removed, so that the gang may already have begun to run. */
     bool has_lost_task;
-    /** Since when only some tasks have run records and none is dispatched; 0 when not so. */
+    /**
+     * Since when only some of the tasks have had run records with none dispatched; 0 if that is not
+     * the case.
+     */
     mono_time partially_allocated_since;
-    /** The epoch in which the remaining tasks were last stopped; 0 when they never were. */
+    /** Epoch in which the remaining tasks were last stopped; 0 if they never were. */
     epoch_no stopped_in_epoch;
     /** When the remaining tasks were last stopped. */
     mono_time stopped_at;
-    /** Since when there are not enough resources for all tasks; 0 when there are. */
+    /** Since when there have not been enough resources for all tasks; 0 if there are enough. */
     mono_time unschedulable_since;
     /** Per pass: number of tasks for which resources are reserved. */
     uint32_t reserved_task_count;
@@ -56,68 +67,90 @@
     int preemption_zone_index;
 };
 
-/** How a job's waiting time compares with the objective of its class, from worst to best. */
+/**
+ * Compares a job's waiting time with the objective of its class. The stages are in ascending order
+ * of precedence.
+ */
 enum wait_stage {
-    /** The objective is already missed; also the value before the job is first queued. */
+    /** The objective is already missed. Also the initial value, before the job is first queued. */
     WAIT_LATE,
     /** The objective can still be met. */
     WAIT_ON_TIME,
-    /** It has waited so long that lateness no longer pushes it back. */
+    /**
+     * The job has waited so long that it is no longer placed behind others for having missed its
+     * objective.
+     */
     WAIT_AGED,
-    /** It has waited so long that it precedes all borrowed work and is preempted by services only.
+    /**
+     * The job has waited so long that it precedes all jobs that borrow resources and is preempted
+     * only by services.
      */
     WAIT_OVERDUE,
 };
 
-/** A job's place in its team's queue. */
+/** Position of a job in its team's queue. */
 struct queue_entry {
     /** Per pass: the replica's record of the job. */
     struct job *job_record;
-    /** As of the last pass in which the job was ready; preemption reads it in later ones, too. */
+    /**
+     * Wait stage as of the last pass in which the job was ready. Unlike the "per pass" fields it is
+     * also read in later passes, by preemption.
+     */
     enum wait_stage wait_stage;
-    /** Per pass: no machine has enough free resources, so the job is skipped. */
+    /** Per pass: whether no machine has enough free resources, so that the job is skipped. */
     bool is_blocked;
-    /** Sort key within the wait stage: time of eligibility plus a penalty for size, in ms. */
+    /**
+     * Sort key within the wait stage, in milliseconds: the time at which the job became eligible
+     * plus a penalty for its size.
+     */
     int64_t sort_key_ms;
 };
 
-/** Preemption of other jobs' tasks on behalf of this job. */
+/** State of preemption on behalf of this job. */
 struct preemption_state {
-    /** When preemption was last attempted; 0 when never. */
+    /** When preemption was last attempted for this job; 0 if never. */
     mono_time last_attempt_at;
-    /** Tasks stopped for this job whose run records still exist. */
+    /** Number of tasks that were stopped for this job and whose run records still exist. */
     int pending_victim_count;
 };
 
-/** Failures that are attributed to the job and not to its machines. */
+/** Failures that are attributed to the job rather than to its machines. */
 struct job_failures {
-    /** Nothing is dispatched before then. */
+    /** Until when no task of the job is dispatched. */
     mono_time retry_at;
-    /** Consecutive failures, which double the delay up to a maximum. */
+    /** Number of consecutive failures. Each doubles the retry delay, up to a maximum. */
     int count;
-    /** Set of names of machines on which tasks of the job failed; NULL while empty. */
+    /** Set of ids of machines on which tasks of the job failed; NULL if empty. */
     GHashTable *failed_machines;
 };
 
-/** A job in the quota ledger. Owned by quota_ledger.jobs. */
+/** Entry for a job in the quota ledger. Owned by quota_ledger.jobs. */
 struct ledger_job {
     job_id id;
     /** Index into quota_ledger.teams. */
     int team_index;
-    /** Resources of one task. */
+    /** Resources requested by one task. */
     struct resources task_resources;
     bool is_service;
-    /** The job's own priority or an inherited one, whichever is higher. */
+    /** The higher one of the job's own and its inherited priority. */
     enum job_priority priority;
-    /** How long the job may wait without missing the objective of its class. */
+    /**
+     * How long the job may wait without missing the objective of its class; policy expressions read
+     * it as patience_s.
+     */
     double patience_s;
-    /** Task to struct allocation; quota_ledger_task_index() gives a key's task. */
+    /**
+     * Maps a task key to struct allocation; quota_ledger_task_index() converts a key to the task's
+     * index.
+     */
     GHashTable *allocations;
-    /** Task to struct pending_dispatch; keys of the same kind. */
+    /** Maps a task key to struct pending_dispatch; keys are the same as in allocations. */
     GHashTable *dispatches;
-    /** No task with a lower index is waiting. */
+    /**
+     * Lower bound for the index of the first waiting task: no task with a lower index is waiting.
+     */
     uint32_t first_waiting_index;
-    /** The transaction that records the end of the job is in flight. */
+    /** Whether the transaction that records the end of the job is in flight. */
     bool is_end_in_flight;
     struct queue_entry queue;
     struct preemption_state preemption;
--- a/src/scheduler/ledger_machine.h
+++ b/src/scheduler/ledger_machine.h
@@ -1,55 +1,67 @@
-/** A machine as the leader's quota ledger accounts for it, and its health as the leader sees it. */
+/** The quota ledger's entry for a machine: its usage, and its health as the leader observes it. */
 #ifndef LL_LEDGER_MACHINE_H
 #define LL_LEDGER_MACHINE_H
 
 #include "resources.h"
 
-/** How a machine's capacity is used. A task counts as dispatched or as allocated, never as both. */
+/**
+ * Breakdown of a machine's capacity by use. A task is counted as either dispatched or allocated,
+ * never as both.
+ */
 struct machine_usage {
-    /** By tasks with a run record. */
+    /** Resources of tasks that have a run record. */
     struct resources allocated;
-    /** By tasks dispatched to the shard, without a run record yet. */
+    /** Resources of tasks that were dispatched to the shard and have no run record yet. */
     struct resources dispatched;
-    /** The part of `allocated` that services use. */
+    /** The part of `allocated` that belongs to services. */
     struct resources services;
-    /** Per pass: set aside for gangs that are still short of resources. */
+    /** Per pass: resources reserved for gangs that cannot start yet. */
     struct resources reserved;
-    /** Per pass: a gang could use the machine but may not reserve it; it must not be returned. */
+    /**
+     * Per pass: whether a gang could use the machine. Set even if the gang may not reserve it, so
+     * that the machine is not returned to the cloud.
+     */
     bool is_wanted_by_gang;
 };
 
-/** What failures and run times have shown about a machine. */
+/** Health of a machine, as derived from task failures and run times. */
 struct machine_health {
-    /** Nothing is dispatched to it before then. */
+    /** Until when nothing is dispatched to the machine. */
     mono_time avoid_until;
-    /** Tasks of several jobs failed on it: it is quarantined until then. */
+    /** Until when the machine is quarantined because tasks of several jobs failed on it. */
     mono_time quarantined_until;
-    /** Moving average of run times, relative to those of the same jobs elsewhere; 1 is normal. */
+    /**
+     * Moving average of task run times on this machine, relative to the run times of the same jobs
+     * on all machines; 1 is normal.
+     */
     double slowdown;
     int slowdown_sample_count;
-    /** Set of job names with failures here since the last quarantine; NULL while empty. */
+    /** Set of ids of jobs that failed on this machine since its last quarantine; NULL if empty. */
     GHashTable *failed_jobs;
 };
 
-/** A machine in the quota ledger. Owned by quota_ledger.machines. */
+/** Entry for a machine in the quota ledger. Owned by quota_ledger.machines. */
 struct ledger_machine {
     machine_id id;
     char type_name[48];
     char zone[48];
-    /** Index into settings->zones, or -1 when the zone is not configured. */
+    /** Index into settings->zones; -1 if the zone is not configured. */
     int zone_index;
     bool is_spot;
-    /** Total resources by machine type; zero until the type is known. */
+    /** Total resources as given by the machine type; zero until the type is known. */
     struct resources capacity;
-    /** Interned names of the cached images. */
+    /** Interned names of the images that are cached on the machine. */
     GPtrArray *image_cache;
     /** Label of the node whose shard last reported the machine; NULL before the first report. */
     char *owner_label;
-    /** MACHINE_... flags (enum machine_flag) from the owner's last report. */
+    /** Flags (enum machine_flag) from the owner's last report. */
     int flags;
-    /** Its owner has reported it in this epoch, and did not omit it from a later full report. */
+    /**
+     * Whether the owning shard has reported the machine in this epoch and has not omitted it from a
+     * later full report.
+     */
     bool is_reported;
-    /** When a task last ended here, or when the machine became known. */
+    /** When a task last ended on the machine, or when the machine became known if none has. */
     mono_time idle_since;
     struct machine_usage usage;
     struct machine_health health;
--- a/src/scheduler/placement.c
+++ b/src/scheduler/placement.c
@@ -1,4 +1,4 @@
-/** Rules, scores and free resources by which the leader chooses machines. */
+/** Constraints, scores and free resources by which the leader chooses machines. */
 #include "placement.h"
 
 #include "image_cache.h"
@@ -39,7 +39,7 @@
     return image_cache_contains(machine->image_cache, spec->image);
 }
 
-/** The machine's zone, or NULL when neither the ledger nor the replica knows it. */
+/** Returns the zone of the machine, or NULL if neither the ledger nor the replica knows it. */
 static const char *find_machine_zone(struct leader *leader, machine_id id)
 {
     const struct ledger_machine *machine = quota_ledger_find_machine(leader, id.text);
@@ -58,7 +58,7 @@
     g_hash_table_iter_init(&it, job->allocations);
     while (g_hash_table_iter_next(&it, NULL, (gpointer *)&allocation)) {
         const char *machine_zone = find_machine_zone(leader, allocation->machine);
-        /* A task whose zone is unknown counts in every zone. */
+        /* If the zone of a task is unknown, the task is counted in every zone. */
         task_count += !machine_zone || strcmp(machine_zone, zone) == 0;
     }
     struct pending_dispatch *dispatch;
@@ -95,7 +95,7 @@
     uint32_t all_tasks = g_hash_table_size(job->allocations) + g_hash_table_size(job->dispatches);
     if (spec->needs_single_zone && tasks_in_zone != all_tasks)
         return false;
-    /* A zone may hold half of the tasks of a job that is to be spread. */
+    /* Of a job that must be spread over zones, a single zone may hold at most half of the tasks. */
     return !spec->needs_separate_zones || tasks_in_zone < (spec->task_count + 1) / 2;
 }
 
@@ -127,7 +127,10 @@
     }
 }
 
-/** The CPUs of a zone's on-demand machines, as a fraction of those of the largest zone. */
+/**
+ * Returns the CPUs of the zone's on-demand machines as a fraction of those of the largest zone; 1
+ * if unknown.
+ */
 static double relative_zone_capacity(struct leader *leader, int zone_index)
 {
     double largest_cpus = 0;
--- a/src/scheduler/preemption.c
+++ b/src/scheduler/preemption.c
@@ -1,4 +1,7 @@
-/** Preemption for one job; which tasks may be stopped for it is in preemption_victims.c. */
+/**
+ * Preemption on behalf of a job. The tasks that may be stopped for it are chosen in
+ * preemption_victims.c.
+ */
 #include "preemption.h"
 
 #include "log.h"
@@ -10,19 +13,29 @@
 #include "shard_dispatcher.h"
 
 enum {
-    /** Tasks for which resources are freed at a time, per job. */
+    /** Maximum number of the job's tasks for which an attempt frees resources. */
     MAX_TASKS_PER_ATTEMPT = 32,
-    /** Between two attempts for one job, so that run records of stopped tasks can be removed. */
+    /**
+     * Minimum time between two attempts for a job, during which run records of stopped tasks can be
+     * removed.
+     */
     PREEMPTION_INTERVAL_MS = 1000,
-    /** How long a service waits for a machine that has its image cached. */
+    /**
+     * How long a service waits, from when it is eligible, for a machine that has its image cached.
+     */
     IMAGE_WAIT_MS = 1200,
 };
 
-/** After a new epoch nothing is preempted for this many heartbeat intervals, until shards have
- * reported the free resources. */
+/**
+ * Number of heartbeat intervals after the start of an epoch during which nothing is preempted, as
+ * shards must first report which resources are free.
+ */
 static const double EPOCH_GRACE_HEARTBEATS = 1.25;
 
-/** Whether all waiting tasks of a job lie within its team's guarantee. */
+/**
+ * Returns whether the team's use would stay within its guarantee if all waiting tasks of the job
+ * ran.
+ */
 static bool is_within_guarantee(struct leader *leader, const struct ledger_job *job,
                                 const struct job *job_record)
 {
@@ -31,7 +44,7 @@
                                             quota_ledger_quota_request(job, waiting_tasks));
 }
 
-/** Stops a task for the preemptor. */
+/** Stops a task on behalf of the preemptor. */
 static void stop_victim(struct leader *leader, const struct preemptor *preemptor,
                         const struct preemption_victim *victim)
 {
@@ -46,7 +59,7 @@
     shard_dispatcher_queue_stop(leader, victim->job, victim->index, victim->allocation, grace_s);
 }
 
-/** Stops as many tasks on the machine as one task of the preemptor needs. */
+/** Stops as many tasks on the machine as are necessary for one task of the preemptor. */
 static void preempt_on_machine(struct leader *leader, const struct preemptor *preemptor,
                                struct preemption_candidate *candidate)
 {
@@ -65,8 +78,10 @@
     g_array_unref(victims);
 }
 
-/** How many tasks of the preemptor the candidates in a zone (-1: in all zones) could take if all
- * that may be preempted was. */
+/**
+ * Returns how many tasks of the preemptor the candidates in the zone (in all zones, if zone_index
+ * is -1) could run if every possible victim was stopped.
+ */
 static int64_t count_tasks_after_preemption(struct leader *leader,
                                             const struct preemptor *preemptor,
                                             const GArray *candidates, int zone_index)
@@ -88,7 +103,10 @@
     return task_count;
 }
 
-/** Excludes all candidates outside the zone; with -1 all candidates in known zones. */
+/**
+ * Excludes all candidates that are not in the zone. With -1, excludes all candidates whose zone is
+ * known.
+ */
 static void restrict_to_zone(GArray *candidates, int zone_index)
 {
     for (guint i = 0; i < candidates->len; i++) {
@@ -99,8 +117,11 @@
     }
 }
 
-/** Like plan_gang_preemption, for a gang that needs a single zone: chooses the zone where the
- * fewest tasks are missing and preemption suffices, and excludes all others. */
+/**
+ * Variant of plan_gang_preemption for gangs that need a single zone. Of the zones where preemption
+ * frees enough resources, chooses the one where the fewest tasks lack resources, and excludes the
+ * candidates in all others.
+ */
 static int64_t plan_single_zone_preemption(struct leader *leader, const struct preemptor *preemptor,
                                            GArray *candidates, int64_t missing_tasks)
 {
@@ -126,8 +147,10 @@
     return least_needed;
 }
 
-/** For how many tasks of a gang resources are to be freed, beside those with reservations: for all
- * missing ones, or for none if the gang would still not be complete. */
+/**
+ * Returns for how many tasks of a gang, not counting those with reservations, resources are to be
+ * freed: all missing tasks, or none if the gang could still not start as a whole.
+ */
 static int64_t plan_gang_preemption(struct leader *leader, const struct preemptor *preemptor,
                                     GArray *candidates, int64_t missing_tasks)
 {
@@ -138,14 +161,14 @@
     return missing_tasks;
 }
 
-/** For how many tasks of the job resources are to be freed now. */
+/** Returns for how many tasks of the job resources are to be freed now. */
 static int64_t plan_task_count(struct leader *leader, const struct preemptor *preemptor,
                                GArray *candidates)
 {
     const struct ledger_job *job = preemptor->job;
-    /* Tasks that were stopped for the job earlier and still have run records will free their
-     * resources. While few writes are allowed this takes several seconds, and without counting them
-     * more and more tasks would be stopped. */
+    /* Subtract the tasks that were stopped for the job earlier and still have run records: their
+     * resources are already being freed. Removing the records takes several seconds when the write
+     * rate is limited, and more and more tasks would be stopped in the meantime. */
     int64_t task_count = quota_ledger_count_allowed_tasks(leader, job, preemptor->job_record) -
                          job->gang.reserved_task_count - job->preemption.pending_victim_count;
     if (preemptor->job_record->spec->form == FORM_GANG && task_count > 0)
@@ -153,8 +176,10 @@
     return MIN(task_count, MAX_TASKS_PER_ATTEMPT);
 }
 
-/** Whether a task may be preempted for the job now: not too soon after the last attempt, nor after
- * a new epoch. */
+/**
+ * Returns whether preemption may be attempted for the job now, that is, neither shortly after the
+ * last attempt nor shortly after the start of an epoch.
+ */
 static bool is_attempt_due(struct leader *leader, const struct ledger_job *job)
 {
     mono_time now = loop_now(leader->loop);
@@ -166,8 +191,10 @@
     return time_ms_since(now, leader->epoch_began_at) >= (int64_t)epoch_grace_ms;
 }
 
-/** Preempts for up to task_count tasks, one after the other, where the least work is lost. Returns
- * whether it did for any. */
+/**
+ * Frees resources for up to task_count tasks, one after the other, each where the least work is
+ * lost. Returns whether resources were freed for any of them.
+ */
 static bool preempt_for_tasks(struct leader *leader, const struct preemptor *preemptor,
                               GArray *candidates, int64_t task_count)
 {
@@ -178,7 +205,8 @@
             return i > 0;
         preempt_on_machine(leader, preemptor, best);
         preemption_estimate_lost_work(leader, preemptor, best);
-        /* The zone of all other tasks is known once this one is placed. */
+        /* All other tasks must use the zone in which this one is placed, which is not known
+         * before. */
         if (spec->needs_single_zone && spec->form != FORM_GANG)
             return true;
         if (best->machine->zone_index >= 0 && spec->needs_separate_zones)
--- a/src/scheduler/preemption.h
+++ b/src/scheduler/preemption.h
@@ -1,5 +1,5 @@
 /**
- * Preemption: freeing resources for a job by stopping tasks of lower priority, or tasks that other
+ * Preemption: frees resources for a job by stopping tasks of lower priority, or tasks that other
  * teams run beyond their guarantee.
  */
 #ifndef LL_PREEMPTION_H
@@ -8,17 +8,19 @@
 #include "scheduler_internal.h"
 
 /**
- * Stops tasks of other jobs where the least work is lost, so that tasks of this job can be placed.
- * The resources become free once the run records are removed; the stopped tasks are queued again.
- * Does nothing within PREEMPTION_INTERVAL_MS of the last attempt. With needs_image only on machines
- * that have the job's image cached.
+ * Stops tasks of other jobs so that tasks of this job can be placed, preferring machines where the
+ * least work is lost. Resources become free once the run records of the stopped tasks are removed;
+ * these tasks are queued again. Does nothing if the last attempt for the job was less than
+ * PREEMPTION_INTERVAL_MS ago. With needs_image set, tasks are stopped only on machines that have
+ * the job's image cached.
  */
 void preemption_free_resources(struct leader *leader, struct ledger_job *job,
                                struct job *job_record, bool needs_image);
 /**
- * Whether the job should, for now, be placed only on machines that have its image cached. This
- * holds for the first moments of a service, if there are such machines where tasks could be
- * preempted: users wait for it, and fetching the image takes longer than preempting.
+ * Returns whether the job should, for now, be placed only on machines that have its image cached.
+ * This applies to a service for a short time after it becomes eligible, if on some machine with the
+ * image preemption could free enough resources: users are waiting for the service, and fetching the
+ * image takes longer than preempting tasks.
  */
 bool preemption_should_wait_for_image(struct leader *leader, const struct ledger_job *job,
                                       const struct job *job_record);
--- a/src/scheduler/preemption_internal.h
+++ b/src/scheduler/preemption_internal.h
@@ -1,18 +1,21 @@
-/** The search for victims of preemption, shared by the files of preemption. */
+/** Search for the tasks to preempt, shared by the source files of preemption. */
 #ifndef LL_PREEMPTION_INTERNAL_H
 #define LL_PREEMPTION_INTERNAL_H
 
 #include "scheduler_internal.h"
 
-/** A job that lacks resources, and what may be preempted for it. */
+/** A job that lacks resources, and which tasks may be preempted for it. */
 struct preemptor {
     struct ledger_job *job;
     struct job *job_record;
-    /** Tasks of lower priority. */
+    /** Whether it may stop tasks of lower priority. */
     bool may_stop_lower_priority;
-    /** Tasks that other teams run beyond their guarantee, as the job is within its own. */
+    /**
+     * Whether it may stop tasks that other teams run beyond their guarantee. This requires that the
+     * job is within the guarantee of its own team.
+     */
     bool may_stop_borrowed;
-    /** Only on machines that have the job's image cached. */
+    /** Whether tasks are preempted only on machines that have the job's image cached. */
     bool needs_image;
 };
 
@@ -23,29 +26,44 @@
     struct allocation *allocation;
 };
 
-/** A machine on which tasks may be preempted, and at what cost. */
+/** A machine on which tasks may be preempted, with the cost of doing so. */
 struct preemption_candidate {
     struct ledger_machine *machine;
-    /** Freed by preemption in this call, and not yet counted for a task of the preemptor. */
+    /**
+     * Resources freed by preemption in the current call that are not yet assigned to a task of the
+     * preemptor.
+     */
     struct resources freed_resources;
-    /** Weighted CPU time lost for one more task of the preemptor; negative when impossible. */
+    /**
+     * Weighted CPU time that would be lost to make room for one more task of the preemptor;
+     * negative if that is impossible.
+     */
     double lost_work;
 };
 
-/** Whether anything is allocated that the preemptor might stop. Cheap, and may be wrong when true.
+/**
+ * Returns whether any allocated task might be preempted for the preemptor. A cheap check that may
+ * return true although there are no victims, but never the opposite.
  */
 bool preemption_has_possible_victims(struct leader *leader, const struct preemptor *preemptor);
-/** The tasks on a machine that may be stopped for the preemptor: an array of struct
- * preemption_victim, youngest first, that the caller frees. */
+/**
+ * Returns the tasks on the machine that may be stopped for the preemptor, most recently allocated
+ * first, as an array of struct preemption_victim that the caller frees.
+ */
 GArray *preemption_find_victims(struct leader *leader, const struct ledger_machine *machine,
                                 const struct preemptor *preemptor);
-/** Updates the candidate's lost_work. */
+/** Recomputes the lost_work of the candidate. */
 void preemption_estimate_lost_work(struct leader *leader, const struct preemptor *preemptor,
                                    struct preemption_candidate *candidate);
-/** All machines on which one task of the preemptor could be placed after preemption: an array of
- * struct preemption_candidate that the caller frees. */
+/**
+ * Returns all machines on which preemption could make room for a task of the preemptor, as an array
+ * of struct preemption_candidate that the caller frees.
+ */
 GArray *preemption_find_candidates(struct leader *leader, const struct preemptor *preemptor);
-/** The candidate with the least lost work in a zone that the job may use, or NULL. */
+/**
+ * Returns the candidate with the least lost work in a zone that the job may use, or NULL if there
+ * is none.
+ */
 struct preemption_candidate *preemption_find_cheapest(struct leader *leader,
                                                       const struct preemptor *preemptor,
                                                       GArray *candidates);
--- a/src/scheduler/preemption_victims.c
+++ b/src/scheduler/preemption_victims.c
@@ -1,36 +1,40 @@
-/** Which tasks may be preempted for a job, and what work is lost with them. */
+/**
+ * Chooses the tasks that may be preempted for a job and estimates the work that is lost with them.
+ */
 #include "placement.h"
 #include "preemption_internal.h"
 #include "quota_ledger.h"
 
-/** Weight of lost work on a machine without services that has the image cached. */
+/** Weight of lost work on a machine that runs no services and has the image cached. */
 static const double BASE_LOST_WORK_WEIGHT = 1.2;
 
-/** Added to the weight when the image is not cached: the preemptor would start late. */
+/** Added to the weight if the image is not cached, as fetching it delays the preemptor. */
 static const double MISSING_IMAGE_WEIGHT = 1;
 
-/** What the team uses, without tasks that were asked to stop. */
+/** Returns the resources that the team uses, without those of tasks that were asked to stop. */
 static struct resources usage_without_stopping_tasks(const struct ledger_team *team)
 {
     return resources_remaining(team->used, team->stopping);
 }
 
-/** Whether the team would still use all of its guarantee without a task of this size. */
+/**
+ * Returns whether the team would still use its whole guarantee if a task of this size was stopped.
+ */
 static bool stays_above_guarantee(const struct ledger_team *team, struct resources task)
 {
     struct resources left = resources_remaining(usage_without_stopping_tasks(team), task);
     return left.cpus.milli >= team->quota->cpus.milli && left.gpus.milli >= team->quota->gpus.milli;
 }
 
-/** Whether tasks of the victim may be stopped for the preemptor. */
+/** Returns whether tasks of the victim may be stopped for the preemptor. */
 static bool may_preempt_job(struct leader *leader, const struct ledger_job *victim,
                             const struct preemptor *preemptor)
 {
-    /* Jobs that have waited very long are not stopped again and again, except for services. */
+    /* Only services preempt overdue jobs, which would otherwise be stopped over and over again. */
     if (victim->priority > preemptor->job->priority)
         return preemptor->may_stop_lower_priority &&
                (victim->queue.wait_stage != WAIT_OVERDUE || preemptor->job->is_service);
-    /* Services are not stopped for another team's guarantee. */
+    /* Services are never preempted to restore the guarantee of another team. */
     return preemptor->may_stop_borrowed && victim->team_index != preemptor->job->team_index &&
            !victim->is_service &&
            stays_above_guarantee(quota_ledger_get_team(leader, victim), victim->task_resources);
@@ -55,7 +59,10 @@
     return false;
 }
 
-/** Sorts the youngest first, as the least work is lost with them. */
+/**
+ * Comparison function that sorts the most recently allocated task first, as the least work is lost
+ * with it.
+ */
 static gint compare_newest_first(gconstpointer a, gconstpointer b)
 {
     const struct preemption_victim *first = a;
@@ -65,7 +72,7 @@
     return (first_us < second_us) - (first_us > second_us);
 }
 
-/** Fills *victim with the task of a run record; false when it must not be stopped. */
+/** Sets *victim to the task of the run record. Returns false if that task must not be stopped. */
 static bool find_victim(struct leader *leader, const struct ledger_machine *machine,
                         const struct run_record *run_record, const struct preemptor *preemptor,
                         struct preemption_victim *victim)
@@ -77,7 +84,7 @@
     if (!allocation || allocation->attempt.value != run_record->attempt.value ||
         !machine_id_equal(allocation->machine, machine->id) || allocation->is_stopping)
         return false;
-    /* To stop one task of a gang would stop all of them. */
+    /* Stopping one task of a gang would cause the whole gang to be stopped. */
     if (!spec || spec->form == FORM_GANG || !may_preempt_job(leader, job, preemptor))
         return false;
     *victim = (struct preemption_victim){job, run_record->task_index, allocation};
@@ -101,8 +108,10 @@
     return victims;
 }
 
-/** The factor by which lost work counts on a machine. Machines with services are kept running
- * anyway, so using them is cheaper. */
+/**
+ * Returns the factor by which lost work is weighted on the machine. It is lower on machines that
+ * run services: these machines are kept running anyway, so using them is cheaper.
+ */
 static double lost_work_weight(const struct ledger_machine *machine, const struct job_spec *spec)
 {
     double service_share = resources_dominant_share(machine->usage.services, machine->capacity);
--- a/src/scheduler/quota_ledger.c
+++ b/src/scheduler/quota_ledger.c
@@ -1,4 +1,7 @@
-/** Accounts of jobs, machines and teams, one task at a time; see quota_ledger_rebuild.c for all. */
+/**
+ * Incremental updates of the accounts of jobs, machines and teams. The ledger as a whole is rebuilt
+ * in quota_ledger_rebuild.c.
+ */
 #include "quota_ledger.h"
 
 #include "image_cache.h"
@@ -6,11 +9,17 @@
 #include "scheduling_policy.h"
 
 enum {
-    /** Low bits of an attempt number, which count within an epoch; the others are the epoch. */
+    /**
+     * Number of low bits of an attempt number that count attempts within an epoch. The high bits
+     * are the epoch.
+     */
     ATTEMPT_BITS = 20,
 };
 
-/** The key of a task in the tables of its job. Never NULL, so that lookups are unambiguous. */
+/**
+ * Returns the key of a task in the tables of its job. It is never NULL, which lookups could not
+ * tell from a missing key.
+ */
 static gpointer task_key(uint32_t index)
 {
     return GUINT_TO_POINTER(index + 1);
@@ -43,7 +52,7 @@
 
 GHashTable *quota_ledger_new_job_table(void)
 {
-    /* The keys are part of the jobs. */
+    /* The keys are stored in the jobs, so that they need not be freed. */
     return g_hash_table_new_full(g_str_hash, g_str_equal, NULL, ledger_job_free);
 }
 
@@ -75,7 +84,7 @@
     return g_hash_table_lookup(leader->ledger.jobs, id);
 }
 
-/** A ledger entry for the job, without any tasks. */
+/** Returns a new ledger entry for the job, with no allocations and no dispatches. */
 static struct ledger_job *new_ledger_job(struct leader *leader, const struct job *job_record,
                                          int team_index)
 {
@@ -134,7 +143,7 @@
     return g_hash_table_lookup(leader->ledger.machines, id);
 }
 
-/** The index of the zone in the settings, or -1. */
+/** Returns the index of the zone in the settings, or -1 if the zone is not configured. */
 static int find_zone_index(const struct leader *leader, const char *zone)
 {
     guint index;
@@ -177,9 +186,10 @@
 
 attempt_no quota_ledger_next_attempt(struct leader *leader)
 {
-    /* The epoch makes the number unique without a record of those that were used before. */
+    /* As the number contains the epoch, it is unique without a record of the numbers used
+     * before. */
     if (++leader->ledger.attempts_issued >> ATTEMPT_BITS)
-        membership_raise_epoch(leader->membership, "attempts used up");
+        membership_raise_epoch(leader->membership, "attempt numbers exhausted");
     return (attempt_no){leader->epoch.value << ATTEMPT_BITS |
                         (leader->ledger.attempts_issued & ((1 << ATTEMPT_BITS) - 1))};
 }
@@ -209,7 +219,10 @@
     job->first_waiting_index = MIN(job->first_waiting_index, index);
 }
 
-/** The machine, added from its record in the replica if necessary; NULL when there is none. */
+/**
+ * Returns the ledger's entry for the machine, adding it from its record in the replica if it is
+ * missing, or NULL if there is no such record either.
+ */
 static struct ledger_machine *ensure_recorded_machine(struct leader *leader, machine_id id)
 {
     struct ledger_machine *machine = quota_ledger_find_machine(leader, id.text);
@@ -245,7 +258,7 @@
         resources_add(&machine->usage.services, job->task_resources);
 }
 
-/** The task no longer uses the machine it was allocated to. */
+/** Releases the resources of the allocated task on its machine. */
 static void release_machine_resources(struct leader *leader, const struct ledger_job *job,
                                       const struct allocation *allocation)
 {
@@ -258,7 +271,7 @@
     machine->idle_since = loop_now(leader->loop);
 }
 
-/** The task no longer uses its team's quota. */
+/** Releases the resources of the allocated task in the account of its team. */
 static void release_quota(struct leader *leader, const struct ledger_job *job,
                           const struct allocation *allocation)
 {
@@ -309,7 +322,7 @@
 {
     uint32_t accounted_tasks = g_hash_table_size(job->allocations) +
                                g_hash_table_size(job->dispatches) + job_record->completed_count;
-    /* A task may be counted twice for a moment: as completed, and still as allocated. */
+    /* A task may briefly count twice, as completed and as still allocated. */
     return accounted_tasks >= job_record->task_count ? 0 : job_record->task_count - accounted_tasks;
 }
 
--- a/src/scheduler/quota_ledger_internal.h
+++ b/src/scheduler/quota_ledger_internal.h
@@ -1,10 +1,10 @@
-/** What the files of the quota ledger share. */
+/** Declarations shared by the source files of the quota ledger. */
 #ifndef LL_QUOTA_LEDGER_INTERNAL_H
 #define LL_QUOTA_LEDGER_INTERNAL_H
 
 #include <glib.h>
 
-/** A table of struct ledger_job by job id, which owns them. */
+/** Returns a new table that maps job id to struct ledger_job and owns the jobs. */
 GHashTable *quota_ledger_new_job_table(void);
 
 #endif
--- a/src/scheduler/quota_ledger_rebuild.c
+++ b/src/scheduler/quota_ledger_rebuild.c
@@ -1,11 +1,14 @@
-/** Rebuilding the quota ledger from the replica, for a new epoch or a new leader. */
+/** Rebuilds the quota ledger from the replica, for a new epoch or a new leader. */
 #include "image_cache.h"
 #include "log.h"
 #include "quota_ledger.h"
 #include "quota_ledger_internal.h"
 #include "shard_dispatcher.h"
 
-/** Clears what teams and machines use, and which shards own the machines. */
+/**
+ * Resets the resource usage of all teams and machines, and which machines were reported by their
+ * shards.
+ */
 static void reset_usage(struct leader *leader)
 {
     const struct resources none = {0};
@@ -22,7 +25,7 @@
     }
 }
 
-/** Accounts for a machine in the replica and for its run records. */
+/** Adds a machine record of the replica and its run records to the ledger. */
 static void load_machine_record(struct leader *leader, const struct machine_record *record)
 {
     struct ledger_machine *machine = quota_ledger_ensure_machine(
@@ -36,8 +39,10 @@
     }
 }
 
-/** Accounts for a job in the replica. The history of its failures is carried over from
- * previous_jobs, the jobs of the previous epoch. */
+/**
+ * Adds a job of the replica to the ledger. Its failure history is taken over from previous_jobs,
+ * the jobs of the ledger before the rebuild.
+ */
 static void load_job_record(struct leader *leader, const struct job *job_record,
                             GHashTable *previous_jobs)
 {
