--- a/src/scheduler/quota_ledger.c
+++ b/src/scheduler/quota_ledger.c
@@ -1,4 +1,7 @@
-/** Accounts of jobs, machines and teams, one task at a time; see quota_ledger_rebuild.c for all. */
+/**
+ * Incremental updates of the accounts of jobs, machines and teams. The ledger as a whole is rebuilt
+ * in quota_ledger_rebuild.c.
+ */
 #include "quota_ledger.h"
 
 #include "image_cache.h"
@@ -6,11 +9,17 @@
 #include "scheduling_policy.h"
 
 enum {
-    /** Low bits of an attempt number, which count within an epoch; the others are the epoch. */
+    /**
+     * Number of low bits of an attempt number that count attempts within an epoch. The high bits
+     * are the epoch.
+     */
     ATTEMPT_BITS = 20,
 };
 
-/** The key of a task in the tables of its job. Never NULL, so that lookups are unambiguous. */
+/**
+ * Returns the key of a task in the tables of its job. It is never NULL, which lookups could not
+ * tell from a missing key.
+ */
 static gpointer task_key(uint32_t index)
 {
     return GUINT_TO_POINTER(index + 1);
@@ -26,8 +35,8 @@
     struct ledger_job *job = data;
     g_hash_table_unref(job->allocations);
     g_hash_table_unref(job->dispatches);
-    if (job->failures.machines)
-        g_hash_table_unref(job->failures.machines);
+    if (job->failures.failed_machines)
+        g_hash_table_unref(job->failures.failed_machines);
     g_free(job);
 }
 
@@ -43,7 +52,7 @@
 
 GHashTable *quota_ledger_new_job_table(void)
 {
-    /* The keys are part of the jobs. */
+    /* The keys are stored in the jobs, so that they need not be freed. */
     return g_hash_table_new_full(g_str_hash, g_str_equal, NULL, ledger_job_free);
 }
 
@@ -75,7 +84,7 @@
     return g_hash_table_lookup(leader->ledger.jobs, id);
 }
 
-/** A ledger entry for the job, without any tasks. */
+/** Returns a new ledger entry for the job, with no allocations and no dispatches. */
 static struct ledger_job *new_ledger_job(struct leader *leader, const struct job *job_record,
                                          int team_index)
 {
@@ -112,13 +121,13 @@
     g_hash_table_remove(leader->ledger.jobs, id.text);
 }
 
-struct ledger_team *quota_ledger_team_of(struct leader *leader, const struct ledger_job *job)
+struct ledger_team *quota_ledger_get_team(struct leader *leader, const struct ledger_job *job)
 {
     return &leader->ledger.teams[job->team_index];
 }
 
-void quota_ledger_update_inherited(struct leader *leader, struct ledger_job *job,
-                                   const struct job *job_record)
+void quota_ledger_update_priority(struct leader *leader, struct ledger_job *job,
+                                  const struct job *job_record)
 {
     if (!job)
         return;
@@ -134,7 +143,7 @@
     return g_hash_table_lookup(leader->ledger.machines, id);
 }
 
-/** The index of the zone in the settings, or -1. */
+/** Returns the index of the zone in the settings, or -1 if the zone is not configured. */
 static int find_zone_index(const struct leader *leader, const char *zone)
 {
     guint index;
@@ -177,9 +186,10 @@
 
 attempt_no quota_ledger_next_attempt(struct leader *leader)
 {
-    /* The epoch makes the number unique without a record of those that were used before. */
+    /* As the number contains the epoch, it is unique without a record of the numbers used
+     * before. */
     if (++leader->ledger.attempts_issued >> ATTEMPT_BITS)
-        membership_raise_epoch(leader->membership, "attempts used up");
+        membership_raise_epoch(leader->membership, "attempt numbers exhausted");
     return (attempt_no){leader->epoch.value << ATTEMPT_BITS |
                         (leader->ledger.attempts_issued & ((1 << ATTEMPT_BITS) - 1))};
 }
@@ -195,21 +205,24 @@
     g_strlcpy(dispatch->zone, machine->zone, sizeof dispatch->zone);
     g_hash_table_insert(job->dispatches, task_key(index), dispatch);
     resources_add(&machine->usage.dispatched, job->task_resources);
-    resources_add(&quota_ledger_team_of(leader, job)->used, job->task_resources);
+    resources_add(&quota_ledger_get_team(leader, job)->used, job->task_resources);
 }
 
-void quota_ledger_drop_dispatch(struct leader *leader, struct ledger_job *job, uint32_t index)
+void quota_ledger_remove_dispatch(struct leader *leader, struct ledger_job *job, uint32_t index)
 {
     struct pending_dispatch *dispatch = quota_ledger_find_dispatch(job, index);
     if (!dispatch)
         return;
     resources_subtract(&dispatch->machine->usage.dispatched, job->task_resources);
-    resources_subtract(&quota_ledger_team_of(leader, job)->used, job->task_resources);
+    resources_subtract(&quota_ledger_get_team(leader, job)->used, job->task_resources);
     g_hash_table_remove(job->dispatches, task_key(index));
     job->first_waiting_index = MIN(job->first_waiting_index, index);
 }
 
-/** The machine, added from its record in the replica if necessary; NULL when there is none. */
+/**
+ * Returns the ledger's entry for the machine, adding it from its record in the replica if it is
+ * missing, or NULL if there is no such record either.
+ */
 static struct ledger_machine *ensure_recorded_machine(struct leader *leader, machine_id id)
 {
     struct ledger_machine *machine = quota_ledger_find_machine(leader, id.text);
@@ -223,21 +236,21 @@
 }
 
 void quota_ledger_add_allocation(struct leader *leader, job_id id, uint32_t index,
-                                 attempt_no attempt, machine_id location)
+                                 attempt_no attempt, machine_id allocated_machine)
 {
     struct ledger_job *job = quota_ledger_ensure_job(leader, id);
     if (!job || quota_ledger_find_allocation(job, index))
         return;
     const struct pending_dispatch *dispatch = quota_ledger_find_dispatch(job, index);
     if (dispatch && dispatch->attempt.value == attempt.value)
-        quota_ledger_drop_dispatch(leader, job, index);
+        quota_ledger_remove_dispatch(leader, job, index);
     struct allocation *allocation = g_new(struct allocation, 1);
     *allocation = (struct allocation){
-        .attempt = attempt, .machine = location, .allocated_at = loop_now(leader->loop)};
+        .attempt = attempt, .machine = allocated_machine, .allocated_at = loop_now(leader->loop)};
     g_hash_table_insert(job->allocations, task_key(index), allocation);
-    resources_add(&quota_ledger_team_of(leader, job)->used, job->task_resources);
+    resources_add(&quota_ledger_get_team(leader, job)->used, job->task_resources);
     leader->ledger.allocated_by_priority[job->priority]++;
-    struct ledger_machine *machine = ensure_recorded_machine(leader, location);
+    struct ledger_machine *machine = ensure_recorded_machine(leader, allocated_machine);
     if (!machine)
         return;
     resources_add(&machine->usage.allocated, job->task_resources);
@@ -245,9 +258,9 @@
         resources_add(&machine->usage.services, job->task_resources);
 }
 
-/** The task no longer uses the machine it was allocated to. */
-static void release_machine(struct leader *leader, const struct ledger_job *job,
-                            const struct allocation *allocation)
+/** Releases the resources of the allocated task on its machine. */
+static void release_machine_resources(struct leader *leader, const struct ledger_job *job,
+                                      const struct allocation *allocation)
 {
     struct ledger_machine *machine = quota_ledger_find_machine(leader, allocation->machine.text);
     if (!machine)
@@ -258,11 +271,11 @@
     machine->idle_since = loop_now(leader->loop);
 }
 
-/** The task no longer uses its team's quota. */
+/** Releases the resources of the allocated task in the account of its team. */
 static void release_quota(struct leader *leader, const struct ledger_job *job,
                           const struct allocation *allocation)
 {
-    struct ledger_team *team = quota_ledger_team_of(leader, job);
+    struct ledger_team *team = quota_ledger_get_team(leader, job);
     resources_subtract(&team->used, job->task_resources);
     if (allocation->is_stopping)
         resources_subtract(&team->stopping, job->task_resources);
@@ -277,13 +290,13 @@
     if (!allocation || allocation->attempt.value != attempt.value)
         return;
     job->gang.has_lost_task = true;
-    release_machine(leader, job, allocation);
+    release_machine_resources(leader, job, allocation);
     release_quota(leader, job, allocation);
     const char *preemptor_id = allocation->preemptor_job.text;
     struct ledger_job *preemptor =
         preemptor_id[0] ? quota_ledger_find_job(leader, preemptor_id) : NULL;
     if (preemptor)
-        preemptor->preemption.pending_count--;
+        preemptor->preemption.pending_victim_count--;
     g_hash_table_remove(job->allocations, task_key(index));
     job->first_waiting_index = MIN(job->first_waiting_index, index);
 }
@@ -309,39 +322,40 @@
 {
     uint32_t accounted_tasks = g_hash_table_size(job->allocations) +
                                g_hash_table_size(job->dispatches) + job_record->completed_count;
-    /* A task may be counted twice for a moment: as completed, and still as allocated. */
+    /* A task may briefly count twice, as completed and as still allocated. */
     return accounted_tasks >= job_record->task_count ? 0 : job_record->task_count - accounted_tasks;
 }
 
 int64_t quota_ledger_count_allowed_tasks(struct leader *leader, const struct ledger_job *job,
                                          const struct job *job_record)
 {
-    struct resources remaining = quota_ledger_remaining_limit(quota_ledger_team_of(leader, job));
+    struct resources remaining = quota_ledger_remaining_limit(quota_ledger_get_team(leader, job));
     return MIN((int64_t)quota_ledger_count_waiting_tasks(job, job_record),
                resources_fit_count(remaining, job->task_resources));
 }
 
-struct resources quota_ledger_limited_request(const struct ledger_job *job, int64_t task_count)
+struct resources quota_ledger_quota_request(const struct ledger_job *job, int64_t task_count)
 {
     return (struct resources){{job->task_resources.cpus.milli * task_count},
                               {job->task_resources.gpus.milli * task_count},
                               {0}};
 }
 
-static bool is_sum_within(struct resources used, struct resources more, amount cpus, amount gpus)
+static bool is_total_within(struct resources used, struct resources additional, amount cpus,
+                            amount gpus)
 {
-    return used.cpus.milli + more.cpus.milli <= cpus.milli &&
-           used.gpus.milli + more.gpus.milli <= gpus.milli;
+    return used.cpus.milli + additional.cpus.milli <= cpus.milli &&
+           used.gpus.milli + additional.gpus.milli <= gpus.milli;
 }
 
-bool quota_ledger_is_within_guarantee(const struct ledger_team *team, struct resources more)
+bool quota_ledger_is_within_guarantee(const struct ledger_team *team, struct resources additional)
 {
-    return is_sum_within(team->used, more, team->quota->cpus, team->quota->gpus);
+    return is_total_within(team->used, additional, team->quota->cpus, team->quota->gpus);
 }
 
-bool quota_ledger_is_within_limit(const struct ledger_team *team, struct resources more)
+bool quota_ledger_is_within_limit(const struct ledger_team *team, struct resources additional)
 {
-    return is_sum_within(team->used, more, team->quota->cpus_max, team->quota->gpus_max);
+    return is_total_within(team->used, additional, team->quota->cpus_max, team->quota->gpus_max);
 }
 
 struct resources quota_ledger_remaining_limit(const struct ledger_team *team)
--- a/src/scheduler/quota_ledger_rebuild.c
+++ b/src/scheduler/quota_ledger_rebuild.c
@@ -1,12 +1,15 @@
-/** Rebuilding the quota ledger from the replica, for a new epoch or a new leader. */
+/** Rebuilds the quota ledger from the replica, for a new epoch or a new leader. */
 #include "image_cache.h"
 #include "log.h"
 #include "quota_ledger.h"
 #include "quota_ledger_internal.h"
 #include "shard_dispatcher.h"
 
-/** Clears what teams and machines use, and which shards own the machines. */
-static void reset_counts(struct leader *leader)
+/**
+ * Resets the resource usage of all teams and machines, and which machines were reported by their
+ * shards.
+ */
+static void reset_usage(struct leader *leader)
 {
     const struct resources none = {0};
     memset(leader->ledger.allocated_by_priority, 0, sizeof leader->ledger.allocated_by_priority);
@@ -22,7 +25,7 @@
     }
 }
 
-/** Accounts for a machine in the replica and for its run records. */
+/** Adds a machine record of the replica and its run records to the ledger. */
 static void load_machine_record(struct leader *leader, const struct machine_record *record)
 {
     struct ledger_machine *machine = quota_ledger_ensure_machine(
@@ -36,8 +39,10 @@
     }
 }
 
-/** Accounts for a job in the replica. The history of its failures is carried over from
- * previous_jobs, the jobs of the previous epoch. */
+/**
+ * Adds a job of the replica to the ledger. Its failure history is taken over from previous_jobs,
+ * the jobs of the ledger before the rebuild.
+ */
 static void load_job_record(struct leader *leader, const struct job *job_record,
                             GHashTable *previous_jobs)
 {
@@ -49,7 +54,7 @@
         return;
     job->failures.count = previous->failures.count;
     job->failures.retry_at = previous->failures.retry_at;
-    job->failures.machines = g_steal_pointer(&previous->failures.machines);
+    job->failures.failed_machines = g_steal_pointer(&previous->failures.failed_machines);
 }
 
 void quota_ledger_rebuild(struct leader *leader)
@@ -60,7 +65,7 @@
     leader->ledger.attempts_issued = 0;
     GHashTable *previous_jobs = leader->ledger.jobs;
     leader->ledger.jobs = quota_ledger_new_job_table();
-    reset_counts(leader);
+    reset_usage(leader);
     shard_dispatcher_reset(leader);
     GHashTableIter it;
     struct machine_record *machine_record;
