--- a/src/node/node.c
+++ b/src/node/node.c
@@ -58,7 +58,7 @@
     node->rpc = node_rpc_new(loop, http_client, settings);
     create_peer_modules(node, loop);
     node->shard = shard_new(&(struct shard_setup){.loop = loop,
-                                                  .net = http_client,
+                                                  .http_client = http_client,
                                                   .kv = node->kv,
                                                   .replica = node->replica,
                                                   .membership = node->membership,
--- a/src/scheduler/autoscaler.c
+++ b/src/scheduler/autoscaler.c
@@ -44,7 +44,7 @@
     struct ledger_machine *machine;
     g_hash_table_iter_init(&it, leader->ledger.machines);
     while (g_hash_table_iter_next(&it, NULL, (gpointer *)&machine))
-        if (machine->is_reported && (machine->flags & MACHINE_KNOWN))
+        if (machine->is_reported && (machine->flags & MACHINE_REPORTED))
             add_machine_to_summary(machine->is_spot ? &spot : &on_demand, machine);
     GArray *pending = pending_capacity_list(leader);
     for (guint i = 0; i < pending->len; i++) {
--- a/src/scheduler/autoscaler_capacity.c
+++ b/src/scheduler/autoscaler_capacity.c
@@ -27,7 +27,7 @@
         rented->stage == CLOUD_MACHINE_FAILED)
         return false;
     const struct ledger_machine *machine = quota_ledger_find_machine(leader, rented->id.text);
-    if (machine && machine->is_reported && (machine->flags & MACHINE_KNOWN))
+    if (machine && machine->is_reported && (machine->flags & MACHINE_REPORTED))
         return false;
     return time_ms_since(loop_now(leader->loop), rented->requested_at) <=
            (int64_t)(type->boot_time_s * MAX_BOOT_TIME_MILLI);
@@ -129,7 +129,7 @@
     struct ledger_machine *machine;
     g_hash_table_iter_init(&it, leader->ledger.machines);
     while (g_hash_table_iter_next(&it, NULL, (gpointer *)&machine))
-        if (machine->is_reported && (machine->flags & MACHINE_KNOWN))
+        if (machine->is_reported && (machine->flags & MACHINE_REPORTED))
             cpus += resources_cpus(placement_capacity_without_services(machine));
     for (guint i = 0; i < pending->len; i++)
         cpus += resources_cpus(g_array_index(pending, struct pending_capacity, i).available);
--- a/src/scheduler/autoscaler_offers.c
+++ b/src/scheduler/autoscaler_offers.c
@@ -25,7 +25,7 @@
         if (!machine->is_reported || strcmp(machine->zone, zone) != 0)
             continue;
         unreachable_count += (machine->flags & MACHINE_UNREACHABLE) != 0;
-        available_count += (machine->flags & MACHINE_KNOWN) &&
+        available_count += (machine->flags & MACHINE_REPORTED) &&
                            !(machine->flags & (MACHINE_UNREACHABLE | MACHINE_UNAVAILABLE));
     }
     return unreachable_count >= MIN_UNREACHABLE_MACHINES && unreachable_count > available_count;
--- a/src/scheduler/autoscaler_scale_in.c
+++ b/src/scheduler/autoscaler_scale_in.c
@@ -74,7 +74,7 @@
         return false;
     if (time_before(loop_now(leader->loop), machine->health.quarantined_until))
         *reason = SCALE_IN_REASON_QUARANTINED;
-    else if (machine->flags & MACHINE_RECLAIMED)
+    else if (machine->flags & MACHINE_BEING_RECLAIMED)
         *reason = SCALE_IN_REASON_RECLAIMED;
     else if (machine_health_is_slow(leader, machine))
         *reason = SCALE_IN_REASON_SLOW;
@@ -99,7 +99,7 @@
 static bool has_reported(struct leader *leader, machine_id id)
 {
     const struct ledger_machine *machine = quota_ledger_find_machine(leader, id.text);
-    return (machine && machine->is_reported && (machine->flags & MACHINE_KNOWN)) ||
+    return (machine && machine->is_reported && (machine->flags & MACHINE_REPORTED)) ||
            replica_get_machine(leader->replica, id.text);
 }
 
--- a/src/scheduler/placement.c
+++ b/src/scheduler/placement.c
@@ -9,9 +9,10 @@
 
 bool placement_is_schedulable(struct leader *leader, struct ledger_machine *machine)
 {
-    const int unusable = MACHINE_UNREACHABLE | MACHINE_RECLAIMED | MACHINE_UNAVAILABLE;
+    const int unusable = MACHINE_UNREACHABLE | MACHINE_BEING_RECLAIMED | MACHINE_UNAVAILABLE;
     mono_time now = loop_now(leader->loop);
-    if (!machine->is_reported || !(machine->flags & MACHINE_KNOWN) || (machine->flags & unusable))
+    if (!machine->is_reported || !(machine->flags & MACHINE_REPORTED) ||
+        (machine->flags & unusable))
         return false;
     if (time_before(now, machine->health.quarantined_until) ||
         time_before(now, machine->health.avoid_until) || machine_health_is_slow(leader, machine))
--- a/src/scheduler/shard_dispatcher.c
+++ b/src/scheduler/shard_dispatcher.c
@@ -127,7 +127,7 @@
 /** The shard has cordoned the machines that its answer names, so their return can go on. */
 static void apply_cordoned(struct leader *leader, const cJSON *answer)
 {
-    GPtrArray *names = dispatch_answer_decode(answer);
+    GPtrArray *names = dispatch_response_decode(answer);
     for (guint i = 0; i < names->len; i++)
         cloud_provider_note_cordoned(leader->cloud, names->pdata[i], leader->epoch);
     g_ptr_array_unref(names);
--- a/src/scheduler/shard_status_receiver.c
+++ b/src/scheduler/shard_status_receiver.c
@@ -52,7 +52,7 @@
 /** Takes back a dispatch that the shard could not place. */
 static void apply_rejected_dispatch(struct leader *leader, const struct rejected_dispatch *rejected)
 {
-    const struct message_task *task = &rejected->task;
+    const struct task_attempt *task = &rejected->task;
     struct ledger_job *job = quota_ledger_find_job(leader, task->job.text);
     struct pending_dispatch *dispatch = job ? quota_ledger_find_dispatch(job, task->index) : NULL;
     if (!dispatch || dispatch->attempt.value != task->attempt.value)
@@ -74,7 +74,7 @@
 /** The answer to a shard: its machines on which nothing more may be placed. */
 static cJSON *build_answer(struct leader *leader, const char *owner)
 {
-    cJSON *answer = status_answer_new();
+    cJSON *answer = status_response_new();
     mono_time now = loop_now(leader->loop);
     GHashTableIter it;
     struct ledger_machine *machine;
@@ -82,7 +82,7 @@
     while (g_hash_table_iter_next(&it, NULL, (gpointer *)&machine))
         if (is_owned_by(machine, owner) && (machine_health_is_slow(leader, machine) ||
                                             time_before(now, machine->health.quarantined_until)))
-            status_answer_add(answer, machine->id.text);
+            status_response_add(answer, machine->id.text);
     return answer;
 }
 
--- a/src/shard/agent_commands.c
+++ b/src/shard/agent_commands.c
@@ -8,7 +8,7 @@
 
 enum {
     /** Of one request or response. */
-    MAX_COMMANDS = 300,
+    MAX_COMMANDS_PER_MESSAGE = 300,
     /** A command is sent again if its effect is not reported within this time. */
     RESEND_INTERVAL_MS = 1500,
 };
@@ -18,7 +18,7 @@
     uint64_t agent_token = machine->heartbeat.fencing_token;
     /* Commands of earlier owners are not counted as in flight: their tokens were lower. */
     bool none_in_flight =
-        run->start.in_flight == 0 && agent_token >= machine->lease.owner_epoch.value;
+        run->start.in_flight == 0 && agent_token >= machine->lease.owned_since_epoch.value;
     return none_in_flight || agent_token > run->start.fencing_token.value;
 }
 
@@ -107,8 +107,9 @@
 static void add_unknown_task_commands(const struct machine *machine, GArray *commands)
 {
     bool earlier_owner_fenced =
-        machine->heartbeat.fencing_token >= machine->lease.owner_epoch.value;
-    for (guint i = 0; i < machine->unknown_tasks->len && commands->len < MAX_COMMANDS; i++) {
+        machine->heartbeat.fencing_token >= machine->lease.owned_since_epoch.value;
+    for (guint i = 0; i < machine->unknown_tasks->len && commands->len < MAX_COMMANDS_PER_MESSAGE;
+         i++) {
         const struct heartbeat_task *task =
             &g_array_index(machine->unknown_tasks, struct heartbeat_task, i);
         if (task->state != TASK_EXITED) {
@@ -124,13 +125,13 @@
 GArray *shard_collect_commands(struct shard *shard, struct machine *machine, bool is_push)
 {
     GArray *commands = commands_new();
-    bool is_member = membership_has_valid_lease(shard->membership);
-    for (guint i = 0; i < machine->runs->len && commands->len < MAX_COMMANDS; i++) {
+    bool has_valid_lease = membership_has_valid_lease(shard->membership);
+    for (guint i = 0; i < machine->runs->len && commands->len < MAX_COMMANDS_PER_MESSAGE; i++) {
         struct task_run *run = machine->runs->pdata[i];
-        if (is_member || (run->stop.is_requested && shard_job_is_over(shard, run->job)))
+        if (has_valid_lease || (run->stop.is_requested && shard_job_is_finished(shard, run->job)))
             add_due_command(shard, machine, run, is_push, commands);
     }
-    if (!is_push && is_member)
+    if (!is_push && has_valid_lease)
         add_unknown_task_commands(machine, commands);
     return commands;
 }
@@ -138,10 +139,10 @@
 GArray *shard_collect_stop_commands(struct shard *shard, const struct heartbeat *heartbeat)
 {
     GArray *commands = commands_new();
-    for (guint i = 0; i < heartbeat->tasks->len && commands->len < MAX_COMMANDS; i++) {
+    for (guint i = 0; i < heartbeat->tasks->len && commands->len < MAX_COMMANDS_PER_MESSAGE; i++) {
         const struct heartbeat_task *task =
             &g_array_index(heartbeat->tasks, struct heartbeat_task, i);
-        if (task->state != TASK_EXITED && shard_job_is_over(shard, task->job))
+        if (task->state != TASK_EXITED && shard_job_is_finished(shard, task->job))
             add_task_command(commands, task, COMMAND_STOP);
     }
     return commands;
--- a/src/shard/agent_requests.c
+++ b/src/shard/agent_requests.c
@@ -20,7 +20,7 @@
 };
 
 /** A request to an agent. */
-struct agent_call {
+struct agent_request {
     struct shard *shard;
     machine_id machine;
     /** struct agent_command, with a push; else NULL. */
@@ -30,7 +30,7 @@
 /** Whether the answer to a probe counts less than what was known when the probe was sent. It cannot
  * be an old copy, so the agent has been restarted and has lost everything, though its epoch may
  * have the same number. */
-static bool shows_restart(const struct machine *machine, const struct heartbeat *heartbeat)
+static bool indicates_restart(const struct machine *machine, const struct heartbeat *heartbeat)
 {
     const struct machine_reachability *probe = &machine->reachability;
     return machine->heartbeat.has_reported &&
@@ -40,26 +40,26 @@
 }
 
 /** Applies the state that an agent answered with. Returns false if it is not this machine's. */
-static bool apply_answer(struct shard *shard, struct machine *machine,
-                         const struct heartbeat *heartbeat, bool is_probe)
+static bool apply_agent_state(struct shard *shard, struct machine *machine,
+                              const struct heartbeat *heartbeat, bool is_probe)
 {
     if (!machine_id_equal(heartbeat->machine, machine->id) ||
         !shard_heartbeat_is_consistent(shard, machine, heartbeat))
         return false;
-    bool was_restarted = is_probe && shows_restart(machine, heartbeat);
+    bool was_restarted = is_probe && indicates_restart(machine, heartbeat);
     if (was_restarted)
         LOG_INFO("agent_restarted", "machine=%s", machine->id.text);
     if (was_restarted || !machine->heartbeat.has_reported ||
         shard_heartbeat_is_newer(machine, heartbeat))
         shard_machine_apply_heartbeat(shard, machine, heartbeat);
-    shard_machine_reached(shard, machine);
+    shard_machine_mark_reachable(shard, machine);
     shard_request_placement(shard);
     return true;
 }
 
 /** Applies an agent's answer. Returns whether it was a valid one. */
-static bool handle_agent_answer(struct shard *shard, struct machine *machine,
-                                const struct http_response *response, bool is_probe)
+static bool handle_agent_response(struct shard *shard, struct machine *machine,
+                                  const struct http_response *response, bool is_probe)
 {
     if (response->status != HTTP_STATUS_OK && response->status != HTTP_STATUS_CONFLICT)
         return false;
@@ -69,14 +69,14 @@
     json_object_put(object);
     if (!is_valid)
         return false;
-    is_valid = apply_answer(shard, machine, &heartbeat, is_probe);
+    is_valid = apply_agent_state(shard, machine, &heartbeat, is_probe);
     heartbeat_clear(&heartbeat);
     return is_valid;
 }
 
 /** Counts the run commands of a push as no longer in flight. Those that were refused, or never
  * sent, are due again. */
-static void settle_run_commands(struct machine *machine, const GArray *commands, int status)
+static void finish_pushed_run_commands(struct machine *machine, const GArray *commands, int status)
 {
     if (status <= 0 && status != HTTP_NOT_SENT)
         return; /* they may still arrive */
@@ -92,44 +92,44 @@
     }
 }
 
-static void handle_push_answer(void *arg, const struct http_response *response)
+static void handle_push_response(void *arg, const struct http_response *response)
 {
-    struct agent_call *call = arg;
-    struct shard *shard = call->shard;
-    struct machine *machine = shard_find_machine(shard, call->machine.text);
+    struct agent_request *request = arg;
+    struct shard *shard = request->shard;
+    struct machine *machine = shard_find_machine(shard, request->machine.text);
     if (machine) {
-        bool push_again = machine->push == PUSH_IN_FLIGHT_AGAIN;
-        machine->push = PUSH_IDLE;
-        settle_run_commands(machine, call->commands, response->status);
-        handle_agent_answer(shard, machine, response, false);
+        bool push_again = machine->push_state == PUSH_IN_FLIGHT_AGAIN;
+        machine->push_state = PUSH_IDLE;
+        finish_pushed_run_commands(machine, request->commands, response->status);
+        handle_agent_response(shard, machine, response, false);
         if (push_again)
             shard_push_commands(shard, machine);
     }
-    g_array_unref(call->commands);
-    g_free(call);
+    g_array_unref(request->commands);
+    g_free(request);
 }
 
 /** Sends commands; takes the array. */
 static void send_push(struct shard *shard, struct machine *machine, GArray *commands)
 {
-    struct agent_call *call = g_new(struct agent_call, 1);
-    *call = (struct agent_call){shard, machine->id, commands};
+    struct agent_request *request = g_new(struct agent_request, 1);
+    *request = (struct agent_request){shard, machine->id, commands};
     char *body = agent_commands_encode(shard->epoch, machine->heartbeat.agent_epoch,
                                        (struct agent_command *)commands->data, commands->len);
-    struct http_client_request request = {machine->address, "POST",         "/commands", body,
-                                          strlen(body),     PUSH_TIMEOUT_MS};
-    machine->push = PUSH_IN_FLIGHT;
-    shard->net->request(shard->net, &request, handle_push_answer, call);
+    struct http_client_request http_request = {machine->address, "POST",         "/commands", body,
+                                               strlen(body),     PUSH_TIMEOUT_MS};
+    machine->push_state = PUSH_IN_FLIGHT;
+    shard->http_client->request(shard->http_client, &http_request, handle_push_response, request);
     g_free(body);
 }
 
 void shard_push_commands(struct shard *shard, struct machine *machine)
 {
-    if (machine->push != PUSH_IDLE) {
-        machine->push = PUSH_IN_FLIGHT_AGAIN;
+    if (machine->push_state != PUSH_IDLE) {
+        machine->push_state = PUSH_IN_FLIGHT_AGAIN;
         return;
     }
-    if (!machine->heartbeat.has_reported || machine->is_gone)
+    if (!machine->heartbeat.has_reported || machine->is_returned)
         return;
     if (!machine->reachability.is_confirmed) { /* it gets its commands once it answers */
         shard_probe_agent(shard, machine);
@@ -142,21 +142,21 @@
         g_array_unref(commands);
 }
 
-static void handle_probe_answer(void *arg, const struct http_response *response)
+static void handle_probe_response(void *arg, const struct http_response *response)
 {
-    struct agent_call *call = arg;
-    struct shard *shard = call->shard;
-    struct machine *machine = shard_find_machine(shard, call->machine.text);
+    struct agent_request *request = arg;
+    struct shard *shard = request->shard;
+    struct machine *machine = shard_find_machine(shard, request->machine.text);
     if (machine) {
         machine->reachability.probe_in_flight = false;
-        if (!handle_agent_answer(shard, machine, response, true))
+        if (!handle_agent_response(shard, machine, response, true))
             machine->reachability.probe_failures++;
         else
             shard_push_commands(shard, machine);
-        if (machine->reachability.probe_failures == MIN_PROBE_FAILURES)
+        if (machine->reachability.probe_failures == UNREACHABLE_PROBE_FAILURES)
             shard_request_status(shard);
     }
-    g_free(call);
+    g_free(request);
 }
 
 void shard_probe_agent(struct shard *shard, struct machine *machine)
@@ -169,14 +169,15 @@
     if (probe->last_probe_at.us &&
         time_ms_since(now, probe->last_probe_at) < (int64_t)PROBE_INTERVAL_MS * backoff)
         return;
-    struct agent_call *call = g_new0(struct agent_call, 1);
-    call->shard = shard;
-    call->machine = machine->id;
+    struct agent_request *agent_request = g_new0(struct agent_request, 1);
+    agent_request->shard = shard;
+    agent_request->machine = machine->id;
     probe->probe_in_flight = true;
     probe->last_probe_at = now;
     probe->probed_agent_epoch = machine->heartbeat.agent_epoch;
     probe->probed_sequence = machine->heartbeat.sequence;
-    struct http_client_request request = {machine->address, "GET", "/status", NULL, 0,
-                                          PROBE_TIMEOUT_MS};
-    shard->net->request(shard->net, &request, handle_probe_answer, call);
+    struct http_client_request http_request = {machine->address, "GET", "/status", NULL, 0,
+                                               PROBE_TIMEOUT_MS};
+    shard->http_client->request(shard->http_client, &http_request, handle_probe_response,
+                                agent_request);
 }
--- a/src/shard/agent_session.c
+++ b/src/shard/agent_session.c
@@ -29,7 +29,7 @@
 /** Where an agent was redirected to. */
 struct redirect {
     char owner[64];
-    mono_time at;
+    mono_time redirected_at;
 };
 
 /** A heartbeat that was forwarded to the owner, whose response is awaited. */
@@ -40,10 +40,10 @@
 
 /** Takes the text. */
 static void respond_json(struct http_responder *responder, connection_ref connection,
-                         enum http_status status, char *text)
+                         enum http_status status, char *body)
 {
-    responder->respond(responder, connection, (int)status, NULL, text, strlen(text));
-    g_free(text);
+    responder->respond(responder, connection, (int)status, NULL, body, strlen(body));
+    g_free(body);
 }
 
 static void respond_empty(const struct heartbeat_request *request, enum http_status status)
@@ -54,21 +54,21 @@
 /** Renews the agent's lease. Takes the array of commands. */
 static void respond_commands(const struct heartbeat_request *request, GArray *commands)
 {
-    char *text = agent_commands_encode(request->shard->epoch, 0,
+    char *body = agent_commands_encode(request->shard->epoch, 0,
                                        (struct agent_command *)commands->data, commands->len);
-    respond_json(request->responder, request->connection, HTTP_STATUS_OK, text);
+    respond_json(request->responder, request->connection, HTTP_STATUS_OK, body);
     g_array_unref(commands);
 }
 
 /* ---- heartbeats of other owners' machines ---- */
 
-static void handle_owner_answer(void *arg, const struct http_response *response)
+static void handle_owner_response(void *arg, const struct http_response *response)
 {
     struct forwarded_heartbeat *forwarded = arg;
-    bool was_answered = response->status > 0;
+    bool has_response = response->status > 0;
     respond_json(forwarded->responder, forwarded->connection,
-                 was_answered ? (enum http_status)response->status : HTTP_STATUS_UNAVAILABLE,
-                 was_answered ? g_strndup(response->body, response->body_bytes) : g_strdup("{}"));
+                 has_response ? (enum http_status)response->status : HTTP_STATUS_UNAVAILABLE,
+                 has_response ? g_strndup(response->body, response->body_bytes) : g_strdup("{}"));
     g_free(forwarded);
 }
 
@@ -77,7 +77,7 @@
     struct forwarded_heartbeat *forwarded = g_new(struct forwarded_heartbeat, 1);
     *forwarded = (struct forwarded_heartbeat){request->responder, request->connection};
     node_rpc_forward(request->shard->node_rpc, owner, request->http, FORWARD_TIMEOUT_MS,
-                     handle_owner_answer, forwarded);
+                     handle_owner_response, forwarded);
 }
 
 static void redirect_agent(const struct heartbeat_request *request, const char *owner)
@@ -87,7 +87,7 @@
         g_hash_table_remove_all(shard->redirects);
     struct redirect *redirect = g_new0(struct redirect, 1);
     g_strlcpy(redirect->owner, owner, sizeof redirect->owner);
-    redirect->at = loop_now(shard->loop);
+    redirect->redirected_at = loop_now(shard->loop);
     g_hash_table_replace(shard->redirects, g_strdup(request->heartbeat->machine.text), redirect);
     respond_json(request->responder, request->connection, HTTP_STATUS_MISDIRECTED,
                  agent_redirect_encode(owner));
@@ -97,7 +97,7 @@
 static void renew_for_owner(const struct heartbeat_request *request)
 {
     struct shard *shard = request->shard;
-    if (shard_lacks_cancelled_task(shard, request->heartbeat)) {
+    if (shard_heartbeat_omits_cancelled_task(shard, request->heartbeat)) {
         respond_empty(request, HTTP_STATUS_UNAVAILABLE);
         return;
     }
@@ -109,7 +109,8 @@
 /** An agent that is back soon after a redirect could not reach the owner: its heartbeat is
  * forwarded, so that its lease is renewed although the owner cannot hear it. A heartbeat that was
  * forwarded to this node in error is redirected in any case. */
-static void handle_other_heartbeat(const struct heartbeat_request *request, const char *owner)
+static void handle_heartbeat_for_other_owner(const struct heartbeat_request *request,
+                                             const char *owner)
 {
     struct shard *shard = request->shard;
     bool is_direct = !request->http->forwarded_by;
@@ -117,11 +118,12 @@
         renew_for_owner(request);
         return;
     }
-    const struct redirect *last =
+    const struct redirect *last_redirect =
         g_hash_table_lookup(shard->redirects, request->heartbeat->machine.text);
-    bool is_back = last && strcmp(last->owner, owner) == 0 &&
-                   time_ms_since(loop_now(shard->loop), last->at) < REDIRECT_INTERVAL_MS;
-    if (is_direct && is_back)
+    bool was_just_redirected =
+        last_redirect && strcmp(last_redirect->owner, owner) == 0 &&
+        time_ms_since(loop_now(shard->loop), last_redirect->redirected_at) < REDIRECT_INTERVAL_MS;
+    if (is_direct && was_just_redirected)
         forward_heartbeat(request, owner);
     else
         redirect_agent(request, owner);
@@ -152,8 +154,8 @@
 /** Whether a heartbeat shows that the agent received this node's responses. An agent stays with a
  * node as long as it gets responses, and counts every heartbeat: so the next one comes the same way
  * with the next number. */
-static bool shows_reachability(const struct machine *machine, const struct heartbeat *heartbeat,
-                               const char *via_node)
+static bool confirms_reachability(const struct machine *machine, const struct heartbeat *heartbeat,
+                                  const char *via_node)
 {
     const struct machine_heartbeat *newest = &machine->heartbeat;
     return (heartbeat->agent_epoch == newest->agent_epoch &&
@@ -169,12 +171,13 @@
                              const struct heartbeat *heartbeat, const char *via_node)
 {
     bool is_first = !machine->heartbeat.has_reported;
-    bool is_accepted = !is_first || heartbeat->fencing_token >= machine->lease.owner_epoch.value;
+    bool is_accepted =
+        !is_first || heartbeat->fencing_token >= machine->lease.owned_since_epoch.value;
     if (is_accepted) {
-        bool is_reachable = is_first || shows_reachability(machine, heartbeat, via_node);
+        bool is_reachable = is_first || confirms_reachability(machine, heartbeat, via_node);
         shard_machine_apply_heartbeat(shard, machine, heartbeat);
         if (is_reachable)
-            shard_machine_reached(shard, machine);
+            shard_machine_mark_reachable(shard, machine);
         else
             machine->reachability.is_confirmed = false;
     }
@@ -187,27 +190,27 @@
 
 /** Whether a heartbeat is to be ignored: its machine was returned, it is inconsistent, or it is
  * older than another. */
-static bool is_ignored(struct shard *shard, const struct machine *machine,
-                       const struct heartbeat *heartbeat)
+static bool should_ignore_heartbeat(struct shard *shard, const struct machine *machine,
+                                    const struct heartbeat *heartbeat)
 {
     if (shard_machine_was_returned(shard, heartbeat->machine.text) ||
         !shard_heartbeat_is_consistent(shard, machine, heartbeat))
         return true;
-    return machine && (machine->is_gone || (machine->heartbeat.has_reported &&
-                                            !shard_heartbeat_is_newer(machine, heartbeat)));
+    return machine && (machine->is_returned || (machine->heartbeat.has_reported &&
+                                                !shard_heartbeat_is_newer(machine, heartbeat)));
 }
 
-static void handle_own_heartbeat(const struct heartbeat_request *request)
+static void handle_heartbeat_as_owner(const struct heartbeat_request *request)
 {
     struct shard *shard = request->shard;
     const struct heartbeat *heartbeat = request->heartbeat;
     const char *via_node = request->http->forwarded_by ? request->http->forwarded_by : "";
     struct machine *machine = shard_find_machine(shard, heartbeat->machine.text);
-    if (is_ignored(shard, machine, heartbeat)) {
+    if (should_ignore_heartbeat(shard, machine, heartbeat)) {
         respond_empty(request, HTTP_STATUS_UNAVAILABLE);
         /* A copy that was delayed, whose sender has given up; or the agent has been restarted,
          * which its answer to a probe shows. */
-        if (machine && !machine->is_gone)
+        if (machine && !machine->is_returned)
             shard_probe_agent(shard, machine);
         return;
     }
@@ -217,7 +220,7 @@
         respond_empty(request, HTTP_STATUS_UNAVAILABLE);
         return;
     }
-    machine->lease.last_answered_at = loop_now(shard->loop);
+    machine->lease.last_renewed_at = loop_now(shard->loop);
     bool may_command = is_accepted && membership_has_valid_lease(shard->membership);
     respond_commands(request, may_command ? shard_collect_commands(shard, machine, false)
                                           : shard_collect_stop_commands(shard, heartbeat));
@@ -236,9 +239,9 @@
         !shard_may_renew_leases(shard) || request->heartbeat->fencing_token > shard->epoch.value)
         respond_empty(request, HTTP_STATUS_UNAVAILABLE);
     else if (strcmp(owner, shard->settings->label) != 0)
-        handle_other_heartbeat(request, owner);
+        handle_heartbeat_for_other_owner(request, owner);
     else
-        handle_own_heartbeat(request);
+        handle_heartbeat_as_owner(request);
 }
 
 void shard_handle_heartbeat(struct shard *shard, struct http_responder *responder,
--- a/src/shard/agent_session_internal.h
+++ b/src/shard/agent_session_internal.h
@@ -51,7 +51,7 @@
 /** Whether some task of a job that is over is on record for the machine and not in its heartbeat:
  * its run command may still be on its way, and no stop command can end it. Only a restart of the
  * agent can, if no new epoch can be begun. */
-bool shard_lacks_cancelled_task(struct shard *shard, const struct heartbeat *heartbeat);
+bool shard_heartbeat_omits_cancelled_task(struct shard *shard, const struct heartbeat *heartbeat);
 /** The same for a machine of this node's own, which knows since when the cancellation may be
  * confirmed: whether renewing the lease could let the command be carried out too late. */
 bool shard_must_not_renew_lease(struct shard *shard, const struct machine *machine);
--- a/src/shard/arq.c
+++ b/src/shard/arq.c
@@ -18,7 +18,7 @@
 /** Lower bounds, so that logarithms and quotients stay finite. */
 static const double MIN_BUSY_S = 0.01;
 static const double MIN_LOG_DEVIATION = 0.05;
-static const double MIN_CHANCE = 1e-12;
+static const double MIN_PROBABILITY = 1e-12;
 
 int arq_class(double share)
 {
@@ -31,7 +31,7 @@
     return arq_class(1 - allocated_share);
 }
 
-void arq_busy_add(struct arq_busy_history *history, double seconds)
+void arq_busy_history_add(struct arq_busy_history *history, double seconds)
 {
     history->log_seconds[history->next_slot] = log(MAX(seconds, MIN_BUSY_S));
     history->next_slot = (history->next_slot + 1) % ARQ_SAMPLES;
@@ -46,42 +46,44 @@
 }
 
 /** The chance that a busy period is longer. */
-static double longer_chance(const struct arq_busy_history *history, double seconds)
+static double survival_probability(const struct arq_busy_history *history, double seconds)
 {
     return gsl_cdf_lognormal_Q(seconds, history->log_mean, history->log_deviation);
 }
 
-double arq_stay_chance(const struct arq_busy_history *history, double age_s, double within_s,
-                       double mean_s)
+double arq_stay_busy_probability(const struct arq_busy_history *history, double age_s,
+                                 double within_s, double mean_s)
 {
     if (history->sample_count < MIN_SAMPLES)
         return exp(-within_s / MAX(mean_s, MIN_BUSY_S));
-    double chance_now = age_s > 0 ? longer_chance(history, age_s) : 1;
-    double chance_then = longer_chance(history, age_s + within_s);
-    return chance_now > MIN_CHANCE ? chance_then / chance_now : 0;
+    double survival_now = age_s > 0 ? survival_probability(history, age_s) : 1;
+    double survival_then = survival_probability(history, age_s + within_s);
+    return survival_now > MIN_PROBABILITY ? survival_then / survival_now : 0;
 }
 
-double arq_free_chance(const struct arq_busy_history *history, const double *ages_s,
-                       int machine_count, double within_s, double mean_s)
+double arq_free_probability(const struct arq_busy_history *history, const double *ages_s,
+                            int machine_count, double within_s, double mean_s)
 {
-    double all_stay = 1;
+    double all_stay_busy = 1;
     for (int i = 0; i < machine_count; i++)
-        all_stay *= arq_stay_chance(history, ages_s[i], within_s, mean_s);
-    return machine_count ? 1 - all_stay : 0;
+        all_stay_busy *= arq_stay_busy_probability(history, ages_s[i], within_s, mean_s);
+    return machine_count ? 1 - all_stay_busy : 0;
 }
 
-double arq_patience_s(double expected_run_s, double classification_s)
+double arq_max_wait_s(double expected_run_s, double classification_s)
 {
     return MAX(TOLERATED_SLOWDOWN * expected_run_s - classification_s, 0);
 }
 
-enum arq_move arq_switch(const struct arq_terms *terms)
+enum arq_decision arq_apply_switch_rule(const struct arq_switch_inputs *inputs)
 {
-    if (terms->wait_own_s + terms->wait_next_s + terms->classification_s >=
-        TOLERATED_SLOWDOWN * terms->expected_run_s)
+    if (inputs->wait_own_s + inputs->wait_next_s + inputs->classification_s >=
+        TOLERATED_SLOWDOWN * inputs->expected_run_s)
         return ARQ_TAKE_ANY;
-    double slack_s = (1 + TOLERATED_SLOWDOWN) * terms->expected_run_s - terms->classification_s;
-    double own_value = (slack_s - terms->wait_own_s) * terms->quality_own * terms->chance_own;
-    double next_value = (slack_s - terms->wait_next_s) * terms->quality_next * terms->chance_next;
+    double slack_s = (1 + TOLERATED_SLOWDOWN) * inputs->expected_run_s - inputs->classification_s;
+    double own_value =
+        (slack_s - inputs->wait_own_s) * inputs->quality_own * inputs->probability_own;
+    double next_value =
+        (slack_s - inputs->wait_next_s) * inputs->quality_next * inputs->probability_next;
     return next_value > own_value ? ARQ_SWITCH : ARQ_STAY;
 }
--- a/src/shard/arq.h
+++ b/src/shard/arq.h
@@ -32,19 +32,19 @@
 };
 
 /** Adds a busy period. */
-void arq_busy_add(struct arq_busy_history *history, double seconds);
+void arq_busy_history_add(struct arq_busy_history *history, double seconds);
 /** The chance that a machine stays busy for within_s more.
  * @param age_s for how long it has been busy
  * @param mean_s of the exponential distribution that is assumed while there are too few samples */
-double arq_stay_chance(const struct arq_busy_history *history, double age_s, double within_s,
-                       double mean_s);
+double arq_stay_busy_probability(const struct arq_busy_history *history, double age_s,
+                                 double within_s, double mean_s);
 /** The chance that at least one of several busy machines becomes free within within_s.
  * @param ages_s for how long each has been busy */
-double arq_free_chance(const struct arq_busy_history *history, const double *ages_s,
-                       int machine_count, double within_s, double mean_s);
+double arq_free_probability(const struct arq_busy_history *history, const double *ages_s,
+                            int machine_count, double within_s, double mean_s);
 
 /** What the switch rule says of a task that waits. */
-enum arq_move {
+enum arq_decision {
     /** It waits on in its queue. */
     ARQ_STAY,
     /** It goes to the queue of the next class. */
@@ -55,7 +55,7 @@
 
 /** The terms of the switch rule; the paper's symbols in brackets, i the own class, j the next one.
  */
-struct arq_terms {
+struct arq_switch_inputs {
     /** Completion time without waiting [CT]. */
     double expected_run_s;
     /** Time to classify the task [P]. */
@@ -65,13 +65,13 @@
     /** Quality of the machines of either class [Q_i, Q_j]. */
     double quality_own, quality_next;
     /** Chance that a machine of either pool becomes free in time [Pr_i, Pr_j]. */
-    double chance_own, chance_next;
+    double probability_own, probability_next;
 };
 
 /** The switch rule: (S - wt_i) Q_i Pr_i against the same of the next class, with S = 1.05 CT - P,
  * as long as wt_i + wt_j + P < 0.05 CT. */
-enum arq_move arq_switch(const struct arq_terms *terms);
+enum arq_decision arq_apply_switch_rule(const struct arq_switch_inputs *inputs);
 /** For how long a task may wait in all, in seconds. */
-double arq_patience_s(double expected_run_s, double classification_s);
+double arq_max_wait_s(double expected_run_s, double classification_s);
 
 #endif
--- a/src/shard/completion_pages.c
+++ b/src/shard/completion_pages.c
@@ -53,7 +53,7 @@
 {
     struct completions_writer *writer = ctx;
     struct job *job =
-        unit->page == writer->page_number ? shard_find_live_job(shard, unit->job) : NULL;
+        unit->page == writer->page_number ? shard_find_active_job(shard, unit->job) : NULL;
     if (!job || (unit->is_moving && is_covered_elsewhere(shard, unit)))
         return;
     completions_encode(writer->out->text, unit->job, unit->number, unit->bits,
@@ -82,7 +82,7 @@
 {
     struct reserved_total *total = ctx;
     struct job *job =
-        unit->page == total->page_number ? shard_find_live_job(shard, unit->job) : NULL;
+        unit->page == total->page_number ? shard_find_active_job(shard, unit->job) : NULL;
     if (job)
         total->bytes += unit_reserved_bytes(unit, job);
 }
@@ -168,7 +168,7 @@
 static void place_unit(struct shard *shard, struct completion_unit *unit, void *ctx)
 {
     struct unit_placement *placement = ctx;
-    struct job *job = shard_find_live_job(shard, unit->job);
+    struct job *job = shard_find_active_job(shard, unit->job);
     if (unit->page >= 0 || !unit->is_unwritten || !job)
         return;
     for (guint i = 0; i < placement->page_count; i++)
@@ -206,7 +206,7 @@
     g_hash_table_iter_init(&iter, shard->records.completion_units);
     while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&units)) {
         const struct completion_unit *first = units->pdata[0];
-        if (!shard_find_live_job(shard, first->job))
+        if (!shard_find_active_job(shard, first->job))
             /* Its job is over: its pages drop it when they are next written. */
             g_hash_table_iter_remove(&iter);
         else if (add_unit_demand(units, page_weights, weight))
--- a/src/shard/completions.c
+++ b/src/shard/completions.c
@@ -140,7 +140,7 @@
 
 void shard_add_completion(struct shard *shard, struct task_run *run)
 {
-    struct job *job = shard_find_live_job(shard, run->job);
+    struct job *job = shard_find_active_job(shard, run->job);
     if (!job)
         return; /* cancelled: nobody asks any more which of its tasks completed */
     uint32_t unit_number = run->index / COMPLETION_UNIT_TASKS;
@@ -163,7 +163,7 @@
 static void read_unit(void *ctx, job_id job, uint32_t unit_number, const GByteArray *bits)
 {
     struct completions_reader *reader = ctx;
-    struct job *live_job = shard_find_live_job(reader->shard, job);
+    struct job *live_job = shard_find_active_job(reader->shard, job);
     if (!live_job || unit_number * COMPLETION_UNIT_TASKS >= live_job->task_count)
         return;
     struct completion_unit *unit =
@@ -190,7 +190,7 @@
 bool shard_completion_is_written(struct shard *shard, const struct task_run *run,
                                  page_predicate is_written, const void *ctx)
 {
-    if (run->end.proof != RUN_END_COMPLETED || !shard_find_live_job(shard, run->job))
+    if (run->end.proof != RUN_END_COMPLETED || !shard_find_active_job(shard, run->job))
         return true; /* there is no completion to be written */
     GPtrArray *units = completion_units_find(shard, run->job, run->index / COMPLETION_UNIT_TASKS);
     for (guint i = 0; units && i < units->len; i++) {
--- a/src/shard/dispatch_queue.c
+++ b/src/shard/dispatch_queue.c
@@ -19,7 +19,7 @@
     /** Searches for blocking attempts in one pass; each looks through all machines. */
     MAX_BLOCKED_ATTEMPT_SEARCHES = 16,
     /** A run command without effect for so long may still be on its way. */
-    LATE_COMMAND_MS = 1000,
+    DELAYED_COMMAND_MS = 1000,
 };
 
 /** What a pass made of a dispatch. */
@@ -29,7 +29,7 @@
     /** It was put into another queue. */
     DISPATCH_MOVED,
     /** It was placed or handed back, or its job is over. */
-    DISPATCH_SETTLED,
+    DISPATCH_FINISHED,
 };
 
 /* ---- the queues ---- */
@@ -74,15 +74,15 @@
 
 /** Whether the machine's agent reports an earlier attempt that cannot be cleared while a command
  * for it may be on its way: only a new epoch ends that. */
-static bool blocked_by_old_attempt(struct shard *shard, const struct dispatch *dispatch,
-                                   const struct machine *machine)
+static bool is_blocked_by_old_attempt(struct shard *shard, const struct dispatch *dispatch,
+                                      const struct machine *machine)
 {
     mono_time now = loop_now(shard->loop);
     for (guint i = 0; i < machine->runs->len; i++) {
         const struct task_run *run = machine->runs->pdata[i];
         if (run->index == dispatch->index && job_id_equal(run->job, dispatch->job) &&
             run->phase == TASK_RUN_RELEASED && !shard_can_clear_attempt(machine, run) &&
-            time_ms_since(now, run->start.sent_at) > LATE_COMMAND_MS)
+            time_ms_since(now, run->start.sent_at) > DELAYED_COMMAND_MS)
             return true;
     }
     return false;
@@ -90,7 +90,7 @@
 
 /** Asks for a new epoch if an earlier attempt keeps the task from its machine: where no other
  * machine fits, the task would never start. */
-static void request_epoch_if_blocked(struct shard *shard, const struct dispatch *dispatch)
+static void request_new_epoch_if_blocked(struct shard *shard, const struct dispatch *dispatch)
 {
     if (shard->placement.blocked_attempt_searches++ >= MAX_BLOCKED_ATTEMPT_SEARCHES)
         return; /* looked for when it is dispatched again */
@@ -101,7 +101,7 @@
     while (!shard->status.wants_epoch_raise &&
            g_hash_table_iter_next(&iter, NULL, (gpointer *)&machine))
         if (!dispatch->bound_machine[0] || strcmp(dispatch->bound_machine, machine->id.text) == 0)
-            shard->status.wants_epoch_raise = blocked_by_old_attempt(shard, dispatch, machine);
+            shard->status.wants_epoch_raise = is_blocked_by_old_attempt(shard, dispatch, machine);
 }
 
 /* ---- one dispatch ---- */
@@ -109,15 +109,15 @@
 /** A task whose job is not in the replica, or has to wait for others there: the leader may have a
  * newer replica than this node. */
 static enum dispatch_outcome process_unready(struct shard *shard, const struct dispatch *dispatch,
-                                             bool is_live)
+                                             bool is_active)
 {
     const struct job *job = replica_get_job(shard->replica, dispatch->job.text);
-    if (!is_live && job && job->is_known)
-        return DISPATCH_SETTLED; /* over */
+    if (!is_active && job && job->is_known)
+        return DISPATCH_FINISHED; /* over */
     if (time_ms_since(loop_now(shard->loop), dispatch->dispatched_at) < MAX_QUEUE_TIME_MS)
         return DISPATCH_WAITS;
     shard_reject_dispatch(shard, dispatch);
-    return DISPATCH_SETTLED;
+    return DISPATCH_FINISHED;
 }
 
 /** The class by the share that the task asks of the smallest machine type that can hold it. */
@@ -150,28 +150,29 @@
 /** A task for which no machine was chosen. */
 static enum dispatch_outcome process_unplaced(struct shard *shard, struct dispatch *dispatch,
                                               const struct job_spec *spec,
-                                              enum placement_result result, enum arq_move move)
+                                              enum placement_result result,
+                                              enum arq_decision decision)
 {
     mono_time now = loop_now(shard->loop);
-    if (move == ARQ_SWITCH) {
+    if (decision == ARQ_SWITCH) {
         dispatch->queued_at = now;
         return move_to_class(shard, dispatch, dispatch->queue_class + 1);
     }
     if (result != PLACEMENT_NO_CANDIDATE)
         return DISPATCH_WAITS;
     shard_remember_unschedulable(shard, dispatch, spec);
-    bool is_late = time_ms_since(now, dispatch->dispatched_at) > MAX_QUEUE_TIME_MS;
-    if (!is_late && !dispatch->bound_machine[0])
+    bool is_timed_out = time_ms_since(now, dispatch->dispatched_at) > MAX_QUEUE_TIME_MS;
+    if (!is_timed_out && !dispatch->bound_machine[0])
         return DISPATCH_WAITS;
-    request_epoch_if_blocked(shard, dispatch);
+    request_new_epoch_if_blocked(shard, dispatch);
     shard_reject_dispatch(shard, dispatch);
-    return DISPATCH_SETTLED;
+    return DISPATCH_FINISHED;
 }
 
 static enum dispatch_outcome process_dispatch(struct shard *shard, struct dispatch *dispatch,
-                                              bool is_rule_time)
+                                              bool is_switch_rule_due)
 {
-    const struct job *job = shard_find_live_job(shard, dispatch->job);
+    const struct job *job = shard_find_active_job(shard, dispatch->job);
     if (!job || job->has_pending_dependencies)
         return process_unready(shard, dispatch, job != NULL);
     if (dispatch->task_class == 0) {
@@ -180,13 +181,14 @@
         if (!dispatch->bound_machine[0])
             return move_to_class(shard, dispatch, dispatch->task_class);
     }
-    enum arq_move move = shard_decide_move(shard, dispatch, job->spec, is_rule_time);
+    enum arq_decision decision =
+        shard_apply_switch_rule(shard, dispatch, job->spec, is_switch_rule_due);
     struct machine *machine;
-    enum placement_result result = shard_choose_machine(shard, dispatch, job, move, &machine);
+    enum placement_result result = shard_choose_machine(shard, dispatch, job, decision, &machine);
     if (result != PLACEMENT_FOUND)
-        return process_unplaced(shard, dispatch, job->spec, result, move);
+        return process_unplaced(shard, dispatch, job->spec, result, decision);
     place_task(shard, dispatch, machine, job->spec);
-    return DISPATCH_SETTLED;
+    return DISPATCH_FINISHED;
 }
 
 /* ---- a pass ---- */
@@ -207,18 +209,18 @@
 }
 
 /** Processes the dispatches that are in a queue now, once each. */
-static void process_queue(struct shard *shard, GQueue *queue, bool is_rule_time)
+static void process_queue(struct shard *shard, GQueue *queue, bool is_switch_rule_due)
 {
     guint length = queue->length;
     for (guint i = 0; i < length; i++) {
         struct dispatch *dispatch = g_queue_pop_head(queue);
-        switch (process_dispatch(shard, dispatch, is_rule_time)) {
+        switch (process_dispatch(shard, dispatch, is_switch_rule_due)) {
         case DISPATCH_WAITS:
             g_queue_push_tail(queue, dispatch);
             break;
         case DISPATCH_MOVED:
             break;
-        case DISPATCH_SETTLED:
+        case DISPATCH_FINISHED:
             g_free(dispatch);
             break;
         }
@@ -239,17 +241,17 @@
         return;
     mono_time now = loop_now(shard->loop);
     placement->blocked_attempt_searches = 0;
-    bool is_rule_time =
-        time_ms_since(now, placement->last_switch_rule_at) >= SWITCH_RULE_INTERVAL_MS;
-    if (!is_rule_time && !placement->capacity_changed)
+    bool is_switch_rule_due =
+        time_ms_since(now, placement->switch_rule_applied_at) >= SWITCH_RULE_INTERVAL_MS;
+    if (!is_switch_rule_due && !placement->capacity_changed)
         return;
     placement->capacity_changed = false;
-    if (is_rule_time)
-        placement->last_switch_rule_at = now;
+    if (is_switch_rule_due)
+        placement->switch_rule_applied_at = now;
     if (!count_waiting(shard))
         return;
     collect_available_machines(shard);
     g_array_set_size(placement->unschedulable, 0);
     for (int queue_class = 0; queue_class <= ARQ_CLASSES; queue_class++)
-        process_queue(shard, &placement->queues[queue_class], is_rule_time);
+        process_queue(shard, &placement->queues[queue_class], is_switch_rule_due);
 }
--- a/src/shard/dispatch_receiver.c
+++ b/src/shard/dispatch_receiver.c
@@ -9,9 +9,9 @@
 #include "machine_returns_internal.h"
 #include "task_placement_internal.h"
 
-static void copy_text(char *to, size_t size, const char *text)
+static void copy_string(char *to, size_t size, const char *string)
 {
-    g_strlcpy(to, text ? text : "", size);
+    g_strlcpy(to, string ? string : "", size);
 }
 
 /** Queues a task to be placed. */
@@ -26,21 +26,21 @@
         .dispatched_at = now,
         .queued_at = now,
     };
-    copy_text(dispatch.zone, sizeof dispatch.zone, item->zone);
-    copy_text(dispatch.bound_machine, sizeof dispatch.bound_machine, item->bound_machine);
+    copy_string(dispatch.zone, sizeof dispatch.zone, item->zone);
+    copy_string(dispatch.bound_machine, sizeof dispatch.bound_machine, item->bound_machine);
     shard_enqueue_dispatch(shard, &dispatch);
 }
 
 /** Stops a run that the leader preempts. */
 static void apply_stop(struct shard *shard, const struct stop_item *item)
 {
-    const struct message_task *task = &item->task;
+    const struct task_attempt *task = &item->task;
     struct machine *machine = shard_find_machine(shard, item->machine);
     struct task_run *run =
         machine ? shard_run_find(machine, task->job, task->index, task->attempt) : NULL;
     if (!run)
         return;
-    shard_run_stop(run, item->grace_s);
+    shard_run_request_stop(run, item->grace_s);
     shard_push_commands(shard, machine);
 }
 
@@ -52,16 +52,16 @@
     for (guint i = 0; i < names->len; i++)
         if (shard_cordon_for_return(shard, names->pdata[i]))
             g_ptr_array_add(cordoned, names->pdata[i]);
-    cJSON *answer = dispatch_answer_encode(cordoned);
+    cJSON *response = dispatch_response_encode(cordoned);
     g_ptr_array_unref(cordoned);
-    return answer;
+    return response;
 }
 
 static void apply_message(struct shard *shard, const struct dispatch_message *message,
-                          cJSON **answer)
+                          cJSON **response)
 {
     if (message->to_cordon)
-        *answer = apply_cordons(shard, message->to_cordon);
+        *response = apply_cordons(shard, message->to_cordon);
     for (guint i = 0; i < message->returned->len; i++)
         shard_handle_machine_returned(shard, message->returned->pdata[i]);
     for (guint i = 0; i < message->stops->len; i++)
@@ -80,7 +80,7 @@
            membership_has_valid_lease(shard->membership) && leader && strcmp(leader, from) == 0;
 }
 
-int shard_handle_dispatch_message(void *ctx, const char *from, const cJSON *json, cJSON **answer)
+int shard_handle_dispatch_message(void *ctx, const char *from, const cJSON *json, cJSON **response)
 {
     struct shard *shard = ctx;
     struct dispatch_message message;
@@ -93,7 +93,7 @@
         return HTTP_STATUS_OK;
     shard->last_dispatch_sequence = message.sequence;
     dispatch_message_decode_lists(json, &message);
-    apply_message(shard, &message, answer);
+    apply_message(shard, &message, response);
     dispatch_message_clear(&message);
     return HTTP_STATUS_OK;
 }
--- a/src/shard/heartbeat_check.c
+++ b/src/shard/heartbeat_check.c
@@ -20,7 +20,7 @@
     HEARTBEAT_UNKNOWN_ZONE,
     HEARTBEAT_UNKNOWN_TYPE,
     /** The machine had another type, zone or kind before. */
-    HEARTBEAT_OTHER_DESCRIPTION,
+    HEARTBEAT_DESCRIPTION_CHANGED,
     /** Another heartbeat with the same number named other tasks. */
     HEARTBEAT_SEQUENCE_REUSED,
 };
@@ -32,7 +32,7 @@
         return "unknown_zone";
     case HEARTBEAT_UNKNOWN_TYPE:
         return "unknown_type";
-    case HEARTBEAT_OTHER_DESCRIPTION:
+    case HEARTBEAT_DESCRIPTION_CHANGED:
         return "other_description";
     case HEARTBEAT_SEQUENCE_REUSED:
         return "sequence_reused";
@@ -43,7 +43,7 @@
 }
 
 /** A machine keeps its type, zone and kind. */
-static bool describes_machine(const struct machine *machine, const struct heartbeat *heartbeat)
+static bool matches_description(const struct machine *machine, const struct heartbeat *heartbeat)
 {
     return strcmp(machine->type_name, heartbeat->machine_type_name) == 0 &&
            strcmp(machine->zone, heartbeat->zone) == 0 && machine->is_spot == heartbeat->is_spot;
@@ -55,7 +55,7 @@
     const struct machine_heartbeat *newest = &machine->heartbeat;
     return newest->has_reported && heartbeat->agent_epoch == newest->agent_epoch &&
            heartbeat->sequence == newest->sequence &&
-           shard_heartbeat_hash(heartbeat) != newest->tasks_hash;
+           shard_heartbeat_tasks_hash(heartbeat) != newest->tasks_hash;
 }
 
 static enum heartbeat_defect find_defect(struct shard *shard, const struct machine *machine,
@@ -67,8 +67,8 @@
         return HEARTBEAT_UNKNOWN_ZONE;
     if (types && !machine_type_find(types, heartbeat->machine_type_name))
         return HEARTBEAT_UNKNOWN_TYPE;
-    if (machine && machine->type_name[0] && !describes_machine(machine, heartbeat))
-        return HEARTBEAT_OTHER_DESCRIPTION;
+    if (machine && machine->type_name[0] && !matches_description(machine, heartbeat))
+        return HEARTBEAT_DESCRIPTION_CHANGED;
     if (machine && contradicts_newest(machine, heartbeat))
         return HEARTBEAT_SEQUENCE_REUSED;
     return HEARTBEAT_CONSISTENT;
--- a/src/shard/lease_renewal.c
+++ b/src/shard/lease_renewal.c
@@ -12,21 +12,21 @@
 };
 
 /** Milliseconds for each second, where this node's clock may be faster than others' by 0.5 %. */
-static const double CAUTIOUS_MS_PER_S = 995;
+static const double SHORTENED_MS_PER_S = 995;
 
 int64_t shard_max_renewal_ms(const struct shard *shard)
 {
     const struct settings *settings = shard->settings;
-    return (int64_t)((settings->cancel_timeout_s - settings->lease_s) * CAUTIOUS_MS_PER_S) -
+    return (int64_t)((settings->cancel_timeout_s - settings->lease_s) * SHORTENED_MS_PER_S) -
            RENEWAL_MARGIN_MS;
 }
 
 bool shard_may_renew_leases(struct shard *shard)
 {
     mono_time known_until = shard->replica->fresh_at;
-    mono_time told_until = cancel_broadcast_known_until(shard->cancel_broadcast);
-    if (time_before(known_until, told_until))
-        known_until = told_until;
+    mono_time cancellations_known_until = cancel_broadcast_known_until(shard->cancel_broadcast);
+    if (time_before(known_until, cancellations_known_until))
+        known_until = cancellations_known_until;
     return time_ms_since(loop_now(shard->loop), known_until) < shard_max_renewal_ms(shard);
 }
 
@@ -54,13 +54,14 @@
     return false;
 }
 
-bool shard_lacks_cancelled_task(struct shard *shard, const struct heartbeat *heartbeat)
+bool shard_heartbeat_omits_cancelled_task(struct shard *shard, const struct heartbeat *heartbeat)
 {
     const struct machine_record *stored =
         replica_get_machine(shard->replica, heartbeat->machine.text);
     for (guint i = 0; stored && i < stored->run_records->len; i++) {
         const struct run_record *record = stored->run_records->pdata[i];
-        if (shard_job_is_over(shard, record->job->id) && !heartbeat_has_attempt(heartbeat, record))
+        if (shard_job_is_finished(shard, record->job->id) &&
+            !heartbeat_has_attempt(heartbeat, record))
             return true;
     }
     return false;
@@ -74,9 +75,9 @@
     int64_t max_ms = shard_max_renewal_ms(shard);
     for (guint i = 0; i < machine->runs->len; i++) {
         const struct task_run *run = machine->runs->pdata[i];
-        mono_time over_since = run->stop.job_over_since;
+        mono_time finished_since = run->stop.job_finished_since;
         if (run->phase == TASK_RUN_RECORDED && run->reported.visibility != RUN_REPORTED &&
-            over_since.us && time_ms_since(now, over_since) >= max_ms)
+            finished_since.us && time_ms_since(now, finished_since) >= max_ms)
             return true;
     }
     return false;
--- a/src/shard/machine_internal.h
+++ b/src/shard/machine_internal.h
@@ -8,7 +8,7 @@
 #include "task_run_internal.h"
 
 /** Probes that fail in a row until a machine counts as unreachable. */
-enum { MIN_PROBE_FAILURES = 2 };
+enum { UNREACHABLE_PROBE_FAILURES = 2 };
 
 /** The newest heartbeat of a machine's agent. */
 struct machine_heartbeat {
@@ -20,7 +20,7 @@
     uint64_t sequence;
     /** The highest fencing token that the agent has seen. */
     uint64_t fencing_token;
-    /** Of the tasks that it named, see shard_heartbeat_hash(). */
+    /** Of the tasks that it named, see shard_heartbeat_tasks_hash(). */
     uint32_t tasks_hash;
     /** The node that forwarded it; "": it came directly. */
     char via_node[64];
@@ -31,13 +31,13 @@
 /** What bounds the time until which the agent's lease can have been renewed. */
 struct machine_lease {
     /** The epoch of the shard map since which this node has owned the machine without a break. */
-    epoch_no owner_epoch;
-    mono_time owned_at;
+    epoch_no owned_since_epoch;
+    mono_time owned_since;
     /** When this node last renewed the lease by responding to a heartbeat; 0: never. */
-    mono_time last_answered_at;
+    mono_time last_renewed_at;
     /** When the agent first showed a fencing token that only this owner can have given: since then
      * it has refused responses of earlier owners. 0: not yet. */
-    mono_time token_seen_at;
+    mono_time owner_token_seen_at;
 };
 
 /** Whether responses and commands of this node reach the agent. Heartbeats do not show that: the
@@ -79,10 +79,10 @@
     /** Number of this node's inventory that lists it; -1: none does. */
     int inventory_number;
     /** The inventory being written lists it. */
-    bool joins_inventory;
+    bool is_in_pending_inventory;
     /** The transaction in flight changes a record of the machine or of one of its runs. */
     bool is_in_txn;
-    enum machine_record_change change;
+    enum machine_record_change pending_change;
 };
 
 /** What the newest status to the leader said of a machine. */
@@ -123,17 +123,17 @@
     struct machine_reachability reachability;
     struct machine_record_state record;
     struct machine_sent_status sent_status;
-    enum push_state push;
+    enum push_state push_state;
 
     /** The cloud has announced that it takes the machine back. */
-    bool is_reclaimed;
+    bool is_being_reclaimed;
     /** The leader wants no more tasks placed on it, as it is slow or quarantined. */
     bool is_cordoned;
     /** Nor are they here: the leader is going to return it, or has recorded that. */
     bool is_returning;
     /** It was returned to the cloud, which proves the end of all its runs. It is kept until its
      * records are removed. */
-    bool is_gone;
+    bool is_returned;
 };
 
 /** The machine of that name, or NULL when this node does not own it. */
@@ -159,11 +159,11 @@
  * @param page the number of the own page whose records count; -1: all records. */
 void shard_machine_reconcile(struct shard *shard, struct machine *machine, int page);
 /** Notes that a response of this node has reached the agent. */
-void shard_machine_reached(struct shard *shard, struct machine *machine);
+void shard_machine_mark_reachable(struct shard *shard, struct machine *machine);
 /** Applies a heartbeat that was accepted, or an agent's response to a command or probe. */
 void shard_machine_apply_heartbeat(struct shard *shard, struct machine *machine,
                                    const struct heartbeat *heartbeat);
 /** A hash of a heartbeat's tasks and their states, in whatever order. */
-uint32_t shard_heartbeat_hash(const struct heartbeat *heartbeat);
+uint32_t shard_heartbeat_tasks_hash(const struct heartbeat *heartbeat);
 
 #endif
--- a/src/shard/machine_inventory.c
+++ b/src/shard/machine_inventory.c
@@ -63,7 +63,7 @@
     bool is_listed = machine_record && machine_record->inventory &&
                      is_own_inventory(shard, machine_record->inventory);
     machine->record.inventory_number = is_listed ? machine_record->inventory->number : -1;
-    machine->record.joins_inventory = false;
+    machine->record.is_in_pending_inventory = false;
 }
 
 void shard_inventories_reconcile(struct shard *shard)
@@ -94,7 +94,7 @@
 static bool needs_inventory(const struct machine *machine)
 {
     return machine->record.inventory_number < 0 && !machine->record.mod_revision.value &&
-           !machine->is_gone && machine->address[0] && shard_machine_has_runs(machine);
+           !machine->is_returned && machine->address[0] && shard_machine_has_runs(machine);
 }
 
 /** The first inventory that lists machines that this node does not own any more; -1: none does. */
@@ -145,7 +145,7 @@
 {
     if (pass == PASS_NEW)
         return needs_inventory(machine);
-    return machine->record.inventory_number == number && !machine->is_gone &&
+    return machine->record.inventory_number == number && !machine->is_returned &&
            !machine->record.mod_revision.value;
 }
 
@@ -175,10 +175,10 @@
         if (!is_in_pass(pass, machine, number))
             continue;
         gsize previous_length = text->len;
-        machine->record.joins_inventory = append_machine(machine, text);
+        machine->record.is_in_pending_inventory = append_machine(machine, text);
         if (text->len > max_bytes) {
             g_string_truncate(text, previous_length);
-            machine->record.joins_inventory = false;
+            machine->record.is_in_pending_inventory = false;
             return false;
         }
     }
@@ -215,9 +215,9 @@
     struct machine *machine;
     g_hash_table_iter_init(&iter, shard->machines);
     while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&machine)) {
-        if (machine->record.joins_inventory)
+        if (machine->record.is_in_pending_inventory)
             machine->record.inventory_number = write->number;
-        machine->record.joins_inventory = false;
+        machine->record.is_in_pending_inventory = false;
     }
     get_inventory(shard, write->number)->mod_revision = committed_at;
     shard->records.txn_in_flight = false;
--- a/src/shard/machine_returns.c
+++ b/src/shard/machine_returns.c
@@ -62,10 +62,10 @@
 {
     struct machine *machine = shard_find_machine(shard, machine_name);
     remember_returned(&shard->returns, machine_name);
-    if (!machine || machine->is_gone)
+    if (!machine || machine->is_returned)
         return;
     LOG_INFO("machine_returned", "machine=%s", machine_name);
-    machine->is_gone = true;
+    machine->is_returned = true;
     shard_inventory_drop_machine(shard, machine);
     shard_reject_unrecorded_runs(shard, machine, false);
     shard_end_all_runs(shard, machine, RUN_END_MACHINE_RETURNED);
--- a/src/shard/machines.c
+++ b/src/shard/machines.c
@@ -36,9 +36,9 @@
     machine->image_cache = image_cache_new();
     machine->sent_status.flags = machine->record.inventory_number = -1;
     machine->unknown_tasks = g_array_new(FALSE, FALSE, sizeof(struct heartbeat_task));
-    machine->lease.owner_epoch = shard->epoch;
-    machine->lease.owned_at = machine->heartbeat.received_at = machine->reachability.confirmed_at =
-        loop_now(shard->loop);
+    machine->lease.owned_since_epoch = shard->epoch;
+    machine->lease.owned_since = machine->heartbeat.received_at =
+        machine->reachability.confirmed_at = loop_now(shard->loop);
     machine->is_returning = shard_machine_is_returning(shard, id.text);
     g_hash_table_insert(shard->machines, machine->id.text, machine);
     return machine;
@@ -92,7 +92,7 @@
     return false;
 }
 
-static void run_set_page(const struct shard *shard, struct task_run *run,
+static void set_run_page(const struct shard *shard, struct task_run *run,
                          const struct record_page *page)
 {
     run->record.is_foreign = !shard_is_own_page(shard, page);
@@ -122,7 +122,7 @@
     struct task_run *run = shard_run_add(machine, stored->job->id, stored->task_index,
                                          stored->attempt, stored->job->spec);
     /* The owner that recorded it may have sent its command with any token below this owner's. */
-    run->start.fencing_token.value = machine->lease.owner_epoch.value - 1;
+    run->start.fencing_token.value = machine->lease.owned_since_epoch.value - 1;
     run->placed_at = loop_now(shard->loop);
     return run;
 }
@@ -139,10 +139,10 @@
             shard_run_find(machine, record->job->id, record->task_index, record->attempt);
         if (!run)
             run = add_recorded_run(shard, machine, record);
-        run_set_page(shard, run, record->page);
+        set_run_page(shard, run, record->page);
         if (run->phase == TASK_RUN_PLACED)
             run->phase = TASK_RUN_RECORDED;
-        shard_run_stop_if_job_over(shard, run);
+        shard_run_request_stop_if_job_finished(shard, run);
     }
 }
 
@@ -151,7 +151,7 @@
 {
     const struct run_record *record = shard_find_run_record(shard, machine, run);
     if (record) {
-        run_set_page(shard, run, record->page);
+        set_run_page(shard, run, record->page);
         return;
     }
     if (run->phase == TASK_RUN_RECORDED || run->phase == TASK_RUN_ENDED) {
@@ -180,49 +180,52 @@
 
 /** Whether a task is stopped when the cloud has announced to take its machine back: if it can save
  * its work, can be replaced before it is missed, or could not end in time anyway. */
-static bool stops_before_reclaim(const struct job_spec *spec, double ran_s, double left_s)
+static bool should_stop_before_reclaim(const struct job_spec *spec, double run_time_s,
+                                       double remaining_s)
 {
     return spec->form == FORM_SERVICE || spec->checkpoint_interval_s > 0 ||
-           ran_s + left_s < spec->expected_run_s * MIN_USEFUL_RUN_SHARE;
+           run_time_s + remaining_s < spec->expected_run_s * MIN_USEFUL_RUN_SHARE;
 }
 
 /** Stops tasks in time on a machine that the cloud takes back.
  * @param left_s seconds until then */
-static void stop_before_reclaim(struct shard *shard, struct machine *machine, double left_s)
+static void stop_tasks_before_reclaim(struct shard *shard, struct machine *machine,
+                                      double remaining_s)
 {
     mono_time now = loop_now(shard->loop);
     for (guint i = 0; i < machine->runs->len; i++) {
         struct task_run *run = machine->runs->pdata[i];
-        const struct job *job = shard_find_live_job(shard, run->job);
+        const struct job *job = shard_find_active_job(shard, run->job);
         if (!job || run->phase != TASK_RUN_RECORDED || job->spec->form == FORM_GANG)
             continue;
         const struct job_spec *spec = job->spec;
-        mono_time since = run->reported.running_at;
-        double ran_s = since.us ? (double)time_ms_since(now, since) / 1000 : 0;
-        bool saves = spec->checkpoint_interval_s > 0;
-        if (stops_before_reclaim(spec, ran_s, left_s))
-            shard_run_stop(run, saves ? MIN(spec->checkpoint_save_s, MAX(left_s, 0)) : 0);
+        mono_time running_since = run->reported.running_at;
+        double run_time_s = running_since.us ? (double)time_ms_since(now, running_since) / 1000 : 0;
+        bool has_checkpoints = spec->checkpoint_interval_s > 0;
+        if (should_stop_before_reclaim(spec, run_time_s, remaining_s))
+            shard_run_request_stop(
+                run, has_checkpoints ? MIN(spec->checkpoint_save_s, MAX(remaining_s, 0)) : 0);
     }
 }
 
 /** Applies the cloud's announcement, or that it was withdrawn. Returns whether that is new. */
 static bool apply_reclaim_notice(struct shard *shard, struct machine *machine, double notice_s)
 {
-    bool is_reclaimed = notice_s >= 0;
-    if (is_reclaimed == machine->is_reclaimed)
+    bool is_being_reclaimed = notice_s >= 0;
+    if (is_being_reclaimed == machine->is_being_reclaimed)
         return false;
-    machine->is_reclaimed = is_reclaimed;
-    if (is_reclaimed) {
+    machine->is_being_reclaimed = is_being_reclaimed;
+    if (is_being_reclaimed) {
         LOG_INFO("machine_reclaimed", "machine=%s in_s=%.1f", machine->id.text, notice_s);
-        stop_before_reclaim(shard, machine, notice_s);
+        stop_tasks_before_reclaim(shard, machine, notice_s);
     }
     return true;
 }
 
-void shard_machine_reached(struct shard *shard, struct machine *machine)
+void shard_machine_mark_reachable(struct shard *shard, struct machine *machine)
 {
     struct machine_reachability *reachability = &machine->reachability;
-    if (reachability->probe_failures >= MIN_PROBE_FAILURES)
+    if (reachability->probe_failures >= UNREACHABLE_PROBE_FAILURES)
         shard_request_status(shard);
     if (!reachability->is_confirmed || reachability->probe_failures)
         shard->placement.capacity_changed = true;
@@ -231,7 +234,7 @@
     reachability->probe_failures = 0;
 }
 
-uint32_t shard_heartbeat_hash(const struct heartbeat *heartbeat)
+uint32_t shard_heartbeat_tasks_hash(const struct heartbeat *heartbeat)
 {
     uint32_t hash = 1;
     for (guint i = 0; i < heartbeat->tasks->len; i++) {
@@ -250,12 +253,12 @@
                             mono_time now)
 {
     struct machine_heartbeat *newest = &machine->heartbeat;
-    uint64_t owner_token = machine->lease.owner_epoch.value;
+    uint64_t owner_token = machine->lease.owned_since_epoch.value;
     if (newest->fencing_token < owner_token && heartbeat->fencing_token >= owner_token)
-        machine->lease.token_seen_at = now;
+        machine->lease.owner_token_seen_at = now;
     newest->has_reported = true;
     newest->received_at = now;
-    newest->tasks_hash = shard_heartbeat_hash(heartbeat);
+    newest->tasks_hash = shard_heartbeat_tasks_hash(heartbeat);
     newest->agent_epoch = heartbeat->agent_epoch;
     newest->sequence = heartbeat->sequence;
     newest->fencing_token = heartbeat->fencing_token;
--- a/src/shard/page_split_plan.c
+++ b/src/shard/page_split_plan.c
@@ -233,7 +233,7 @@
                                   const GByteArray *bits)
 {
     struct completion_split *split = ctx;
-    struct job *live_job = shard_find_live_job(split->shard, job);
+    struct job *live_job = shard_find_active_job(split->shard, job);
     if (!live_job || unit_number * COMPLETION_UNIT_TASKS >= live_job->task_count ||
         is_covered(split, job, unit_number, bits))
         return;
--- a/src/shard/record_batch.c
+++ b/src/shard/record_batch.c
@@ -192,7 +192,7 @@
     for (guint i = 0; i < machine->runs->len; i++) {
         struct task_run *run = machine->runs->pdata[i];
         struct job *job =
-            run->phase == TASK_RUN_PLACED ? shard_find_live_job(shard, run->job) : NULL;
+            run->phase == TASK_RUN_PLACED ? shard_find_active_job(shard, run->job) : NULL;
         if (!job)
             continue;
         record_batch_describe_machine(batch, machine);
--- a/src/shard/record_batch_machine.c
+++ b/src/shard/record_batch_machine.c
@@ -59,7 +59,8 @@
 static bool needs_description(const struct shard *shard, const struct machine *machine)
 {
     const struct machine_record_state *record = &machine->record;
-    if (machine->is_gone || record->change == MACHINE_RECORD_WRITTEN || !machine->address[0])
+    if (machine->is_returned || record->pending_change == MACHINE_RECORD_WRITTEN ||
+        !machine->address[0])
         return false;
     if (!record->mod_revision.value)
         return true;
@@ -69,7 +70,8 @@
 
 bool record_batch_is_machine_described(struct machine *machine)
 {
-    return machine->record.mod_revision.value || machine->record.change == MACHINE_RECORD_WRITTEN ||
+    return machine->record.mod_revision.value ||
+           machine->record.pending_change == MACHINE_RECORD_WRITTEN ||
            machine->record.inventory_number >= 0 || shard_machine_page_description(machine);
 }
 
@@ -85,7 +87,7 @@
         return;
     gsize max_bytes = kv_client_limits(shard->kv)->max_value_bytes;
     record_txn_put_machine(batch->txn, machine, encode_machine_value(machine, max_bytes));
-    machine->record.change = MACHINE_RECORD_WRITTEN;
+    machine->record.pending_change = MACHINE_RECORD_WRITTEN;
     machine->record.is_in_txn = true;
     machine->record.has_unrecorded_images = false;
     machine->record.written_at = loop_now(shard->loop);
@@ -101,7 +103,7 @@
         return;
     }
     record_txn_delete_machine(batch->txn, machine);
-    machine->record.change = MACHINE_RECORD_REMOVED;
+    machine->record.pending_change = MACHINE_RECORD_REMOVED;
     machine->record.is_in_txn = true;
 }
 
@@ -120,12 +122,12 @@
 
 void record_batch_finish_machine(struct record_batch *batch, struct machine *machine)
 {
-    bool is_leaving = machine->is_gone && !has_runs_after_txn(machine);
+    bool is_leaving = machine->is_returned && !has_runs_after_txn(machine);
     if (is_leaving && machine->record.mod_revision.value)
         remove_machine(batch, machine);
     /* Also a machine without a record of its own is listed in the batch: it is freed with it. */
     if (is_leaving)
         machine->record.is_in_txn = true;
-    if (!machine->is_gone && shard_machine_has_runs(machine))
+    if (!machine->is_returned && shard_machine_has_runs(machine))
         record_batch_describe_machine(batch, machine);
 }
--- a/src/shard/record_batch_outcome.c
+++ b/src/shard/record_batch_outcome.c
@@ -24,22 +24,23 @@
     struct write_waits *waits = &shard->records.write_waits;
     mono_time now = loop_now(shard->loop);
     if (run->phase == TASK_RUN_PLACED) {
-        waits->starts++;
+        waits->start_count++;
         waits->start_wait_ms += (double)time_ms_since(now, run->placed_at);
     } else if (run->phase == TASK_RUN_ENDED && run->record.next_page < 0) {
-        waits->ends++;
-        waits->end_wait_ms += (double)time_ms_since(now, run->end.at);
+        waits->end_count++;
+        waits->end_wait_ms += (double)time_ms_since(now, run->end.ended_at);
     }
 }
 
 void shard_log_write_waits(struct shard *shard)
 {
     struct write_waits *waits = &shard->records.write_waits;
-    if (log_debug_enabled() && waits->writes)
+    if (log_debug_enabled() && waits->write_count)
         LOG_DEBUG("record_write_waits",
                   "writes=%u starts=%u start_wait_ms=%.0f ends=%u end_wait_ms=%.0f pages=%u",
-                  waits->writes, waits->starts, waits->start_wait_ms / MAX(waits->starts, 1),
-                  waits->ends, waits->end_wait_ms / MAX(waits->ends, 1), shard->records.pages->len);
+                  waits->write_count, waits->start_count,
+                  waits->start_wait_ms / MAX(waits->start_count, 1), waits->end_count,
+                  waits->end_wait_ms / MAX(waits->end_count, 1), shard->records.pages->len);
     memset(waits, 0, sizeof *waits);
 }
 
@@ -62,7 +63,7 @@
     count_write_wait(shard, run);
     if (run->phase == TASK_RUN_PLACED) {
         run->phase = TASK_RUN_RECORDED;
-        shard_run_stop_if_job_over(shard, run);
+        shard_run_request_stop_if_job_finished(shard, run);
         return RUN_STAYS;
     }
     if (run->phase != TASK_RUN_ENDED || run->record.page >= 0)
@@ -90,7 +91,7 @@
 /** Makes a machine's own record as the transaction has it. */
 static void commit_machine_record(struct machine *machine, revision committed_at)
 {
-    switch (machine->record.change) {
+    switch (machine->record.pending_change) {
     case MACHINE_RECORD_UNCHANGED:
         break;
     case MACHINE_RECORD_WRITTEN:
@@ -100,7 +101,7 @@
         machine->record.mod_revision = (revision){0};
         break;
     }
-    machine->record.change = MACHINE_RECORD_UNCHANGED;
+    machine->record.pending_change = MACHINE_RECORD_UNCHANGED;
 }
 
 /** Makes all records of a machine as the transaction has them, and has its agent sent what was
@@ -109,7 +110,7 @@
 {
     commit_machine_record(machine, committed_at);
     commit_runs(shard, machine);
-    if (!machine->is_gone) {
+    if (!machine->is_returned) {
         shard_push_commands(shard, machine);
     } else if (!machine->record.mod_revision.value && !shard_machine_has_runs(machine)) {
         g_hash_table_remove(shard->machines, machine->id.text);
@@ -168,9 +169,9 @@
 /** Notes that nothing of a machine is in a transaction any more. */
 static void rollback_machine(struct machine *machine)
 {
-    if (machine->record.change == MACHINE_RECORD_WRITTEN)
+    if (machine->record.pending_change == MACHINE_RECORD_WRITTEN)
         machine->record.has_unrecorded_images = true;
-    machine->record.change = MACHINE_RECORD_UNCHANGED;
+    machine->record.pending_change = MACHINE_RECORD_UNCHANGED;
     for (guint i = 0; i < machine->runs->len; i++) {
         struct task_run *run = machine->runs->pdata[i];
         run->record.is_in_txn = false;
--- a/src/shard/record_batch_select.c
+++ b/src/shard/record_batch_select.c
@@ -47,7 +47,7 @@
 {
     for (guint i = 0; i < machine->runs->len;) {
         struct task_run *run = machine->runs->pdata[i];
-        if (run->phase == TASK_RUN_PLACED && !shard_find_live_job(shard, run->job))
+        if (run->phase == TASK_RUN_PLACED && !shard_find_active_job(shard, run->job))
             shard_run_remove(shard, machine, i);
         else
             i++;
@@ -73,7 +73,7 @@
         add_source_demand(batch, demand, source_page);
     if (run->phase == TASK_RUN_ENDED && run->record.page >= 0)
         demand->page_weights[run->record.page] +=
-            END_WEIGHT + (double)time_ms_since(demand->now, run->end.at) / 1000;
+            END_WEIGHT + (double)time_ms_since(demand->now, run->end.ended_at) / 1000;
     if (source_page && required_page >= 0)
         demand->page_weights[required_page] += START_WEIGHT;
     if (run->phase == TASK_RUN_PLACED && required_page >= 0)
--- a/src/shard/run_records_flush.c
+++ b/src/shard/run_records_flush.c
@@ -63,9 +63,9 @@
     return false;
 }
 
-void shard_charge_writes(struct shard *shard, guint writes)
+void shard_charge_writes(struct shard *shard, guint write_count)
 {
-    shard->records.write_budget -= writes;
+    shard->records.write_budget -= write_count;
 }
 
 void shard_finish_write(const struct pending_write *write, bool ok)
@@ -88,7 +88,7 @@
     record_batch_close(batch);
     for (guint i = 0; i < batch->machine_ids->len; i++) {
         struct machine *machine = shard_find_machine(shard, batch->machine_ids->pdata[i]);
-        if (machine && machine->is_gone && !machine->record.mod_revision.value &&
+        if (machine && machine->is_returned && !machine->record.mod_revision.value &&
             !shard_machine_has_runs(machine))
             g_hash_table_remove(shard->machines, machine->id.text);
     }
@@ -108,7 +108,7 @@
         discard_batch(batch);
         return;
     }
-    shard->records.write_waits.writes += writes;
+    shard->records.write_waits.write_count += writes;
     record_txn_commit(shard, batch->txn, record_batch_handle_outcome, batch);
 }
 
--- a/src/shard/run_records_pages.c
+++ b/src/shard/run_records_pages.c
@@ -93,7 +93,7 @@
 const char *shard_machine_page_description(struct machine *machine)
 {
     struct machine_record_state *record = &machine->record;
-    if (record->mod_revision.value || record->change == MACHINE_RECORD_WRITTEN ||
+    if (record->mod_revision.value || record->pending_change == MACHINE_RECORD_WRITTEN ||
         record->inventory_number >= 0)
         return NULL;
     if (!record->page_description)
--- a/src/shard/shard.c
+++ b/src/shard/shard.c
@@ -16,18 +16,18 @@
 enum {
     TICK_MS = 250,
     /** Added to the time without a heartbeat after which an agent is probed. */
-    PROBE_MARGIN_MS = 1000,
+    PROBE_SILENCE_MARGIN_MS = 1000,
 };
 
 /** Of that time, for each second of the heartbeat interval. */
-static const double PROBE_MS_PER_S = 1250;
+static const double PROBE_SILENCE_MS_PER_INTERVAL_S = 1250;
 
 /* ---- the replica ---- */
 
 /** Stops the runs of a job, if it is over. */
-static void stop_runs_if_job_over(struct shard *shard, job_id id)
+static void stop_runs_if_job_finished(struct shard *shard, job_id id)
 {
-    if (!shard_job_is_over(shard, id))
+    if (!shard_job_is_finished(shard, id))
         return;
     GHashTableIter iter;
     struct machine *machine;
@@ -37,7 +37,7 @@
         for (guint i = 0; i < machine->runs->len; i++) {
             struct task_run *run = machine->runs->pdata[i];
             if (job_id_equal(run->job, id) && run->phase != TASK_RUN_RELEASED) {
-                shard_run_stop_if_job_over(shard, run);
+                shard_run_request_stop_if_job_finished(shard, run);
                 has_run = true;
             }
         }
@@ -76,7 +76,7 @@
 {
     switch (event->kind) {
     case REPLICA_EVENT_JOB:
-        stop_runs_if_job_over(shard, event->job);
+        stop_runs_if_job_finished(shard, event->job);
         /* Its tasks may wait for it in the first queue. */
         if (shard->placement.queues[0].length)
             shard->placement.capacity_changed = true;
@@ -114,13 +114,13 @@
     if (message->kind == MSG_REPLICA)
         handle_replica_events(shard, message->body);
     if (message->kind == MSG_CANCELLED)
-        stop_runs_if_job_over(shard, *(job_id *)message->body);
+        stop_runs_if_job_finished(shard, *(job_id *)message->body);
 }
 
 /* ---- regular checks ---- */
 
 /** Whether a recorded run has not been started by this node: its record was taken over. */
-static bool has_run_to_start(const struct machine *machine)
+static bool has_unstarted_run(const struct machine *machine)
 {
     for (guint i = 0; i < machine->runs->len; i++) {
         const struct task_run *run = machine->runs->pdata[i];
@@ -135,14 +135,16 @@
 {
     const struct settings *settings = shard->settings;
     int64_t silent_ms = time_ms_since(loop_now(shard->loop), machine->heartbeat.received_at);
-    int64_t probe_ms = (int64_t)(settings->heartbeat_interval_s * PROBE_MS_PER_S) + PROBE_MARGIN_MS;
+    int64_t probe_after_ms =
+        (int64_t)(settings->heartbeat_interval_s * PROBE_SILENCE_MS_PER_INTERVAL_S) +
+        PROBE_SILENCE_MARGIN_MS;
     if (!machine->heartbeat.has_reported || !machine->reachability.is_confirmed ||
-        silent_ms > probe_ms)
+        silent_ms > probe_after_ms)
         shard_probe_agent(shard, machine);
     if (silent_ms > (int64_t)(settings->lease_s * 1000) && shard_machine_has_runs(machine) &&
         shard_lease_has_expired(shard, machine))
         shard_end_all_runs(shard, machine, RUN_END_LEASE_EXPIRED);
-    if (has_run_to_start(machine))
+    if (has_unstarted_run(machine))
         shard_push_commands(shard, machine);
 }
 
@@ -152,7 +154,7 @@
     struct machine *machine;
     g_hash_table_iter_init(&iter, shard->machines);
     while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&machine))
-        if (!machine->is_gone)
+        if (!machine->is_returned)
             check_machine(shard, machine);
 }
 
@@ -176,10 +178,10 @@
     return g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 }
 
-static void init_collaborators(struct shard *shard, const struct shard_setup *setup)
+static void init_dependencies(struct shard *shard, const struct shard_setup *setup)
 {
     shard->loop = setup->loop;
-    shard->net = setup->net;
+    shard->http_client = setup->http_client;
     shard->kv = setup->kv;
     shard->replica = setup->replica;
     shard->membership = setup->membership;
@@ -220,7 +222,7 @@
 {
     struct shard *shard = g_new0(struct shard, 1);
     shard->actor = (struct actor){"shard", handle_message};
-    init_collaborators(shard, setup);
+    init_dependencies(shard, setup);
     shard->machines = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, shard_machine_free);
     shard->redirects = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     shard->returns.returned = name_set_new();
--- a/src/shard/shard.h
+++ b/src/shard/shard.h
@@ -16,7 +16,7 @@
 /** What a shard works with; all of it outlives the shard. */
 struct shard_setup {
     struct loop *loop;
-    struct http_client *net;
+    struct http_client *http_client;
     struct kv_client *kv;
     struct replica *replica;
     struct membership *membership;
@@ -37,7 +37,7 @@
 
 /** Other parts of this node have made writes to the state service, which are taken off the write
  * budget. */
-void shard_charge_writes(struct shard *shard, guint writes);
+void shard_charge_writes(struct shard *shard, guint write_count);
 
 /** Handles a heartbeat of an agent (POST /agent/beat); it is responded to in this call or, if it is
  * forwarded to the owner of the machine, later. */
@@ -47,11 +47,11 @@
 /** What the shard's status says of a machine to the leader: a sum of flags, part of the message. */
 enum machine_flag {
     /** Its agent has reported to this owner. */
-    MACHINE_KNOWN = 1,
+    MACHINE_REPORTED = 1,
     /** It is silent, and does not answer probes. */
     MACHINE_UNREACHABLE = 2,
     /** The cloud takes it back. */
-    MACHINE_RECLAIMED = 4,
+    MACHINE_BEING_RECLAIMED = 4,
     /** It takes no tasks now, for whatever reason. */
     MACHINE_UNAVAILABLE = 8,
     /** Its agent's lease has expired well before now. */
--- a/src/shard/shard_epoch.c
+++ b/src/shard/shard_epoch.c
@@ -21,37 +21,37 @@
 
 /** Forgets what was in flight in the last epoch.
  * @param skipped epochs were skipped: another owner's commands may still be on their way */
-static void reset_run(const struct shard *shard, struct task_run *run, bool skipped)
+static void reset_run(const struct shard *shard, struct task_run *run, bool epochs_skipped)
 {
     run->record.is_in_txn = false;
-    if (skipped)
+    if (epochs_skipped)
         run->start.fencing_token.value = shard->epoch.value - 1;
     if (run->phase == TASK_RUN_ENDED)
         run->phase = TASK_RUN_RECORDED; /* proven again by the next heartbeat */
 }
 
-static void reset_machine(struct shard *shard, struct machine *machine, bool skipped)
+static void reset_machine(struct shard *shard, struct machine *machine, bool epochs_skipped)
 {
     machine->is_returning = shard_machine_is_returning(shard, machine->id.text);
-    if (skipped) {
-        machine->lease.owner_epoch = shard->epoch;
-        machine->lease.owned_at = loop_now(shard->loop);
+    if (epochs_skipped) {
+        machine->lease.owned_since_epoch = shard->epoch;
+        machine->lease.owned_since = loop_now(shard->loop);
     }
     for (guint i = 0; i < machine->runs->len; i++)
-        reset_run(shard, machine->runs->pdata[i], skipped);
+        reset_run(shard, machine->runs->pdata[i], epochs_skipped);
     machine->record.is_in_txn = false;
-    machine->record.change = MACHINE_RECORD_UNCHANGED;
+    machine->record.pending_change = MACHINE_RECORD_UNCHANGED;
 }
 
 /** Drops the machines that have another owner now. */
-static void update_kept_machines(struct shard *shard, bool skipped)
+static void update_kept_machines(struct shard *shard, bool epochs_skipped)
 {
     GHashTableIter iter;
     struct machine *machine;
     g_hash_table_iter_init(&iter, shard->machines);
     while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&machine)) {
         if (owns_machine(shard, machine->id.text))
-            reset_machine(shard, machine, skipped);
+            reset_machine(shard, machine, epochs_skipped);
         else
             g_hash_table_iter_remove(&iter);
     }
@@ -70,7 +70,7 @@
 
 /** Drops what is placed and not recorded, and probes the machines that have not reported yet: the
  * answer shows what runs there. Returns the names of the machines that were returned. */
-static GPtrArray *settle_machines(struct shard *shard)
+static GPtrArray *reject_unrecorded_runs_and_probe(struct shard *shard)
 {
     GPtrArray *returned = g_ptr_array_new_with_free_func(g_free);
     GHashTableIter iter;
@@ -79,7 +79,7 @@
     while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&machine)) {
         shard_reject_unrecorded_runs(shard, machine, false);
         shard->status.wants_epoch_raise = false; /* the epoch is new */
-        if (machine->is_gone)
+        if (machine->is_returned)
             g_ptr_array_add(returned, g_strdup(machine->id.text));
         else if (!machine->heartbeat.has_reported)
             shard_probe_agent(shard, machine);
@@ -88,10 +88,10 @@
 }
 
 /** Ends the runs of returned machines again. */
-static void settle_returned_machines(struct shard *shard, const GPtrArray *returned)
+static void end_runs_of_returned_machines(struct shard *shard, const GPtrArray *returned)
 {
     for (guint i = 0; i < returned->len; i++) {
-        shard_find_machine(shard, returned->pdata[i])->is_gone = false;
+        shard_find_machine(shard, returned->pdata[i])->is_returned = false;
         shard_handle_machine_returned(shard, returned->pdata[i]);
     }
 }
@@ -100,7 +100,7 @@
 {
     /* If the replica shows several new epochs at once, a machine may have had another owner in
      * between: it is treated as if it came to this node only now. */
-    bool skipped = shard->replica->shard_map_epoch.value != shard->epoch.value + 1;
+    bool epochs_skipped = shard->replica->shard_map_epoch.value != shard->epoch.value + 1;
     shard->epoch = shard->replica->shard_map_epoch;
     shard->generation++;
     shard->last_dispatch_sequence = 0;
@@ -108,11 +108,11 @@
     shard->status.wants_epoch_raise = false;
     shard_clear_dispatches(shard);
     g_hash_table_remove_all(shard->returns.cordoned);
-    update_kept_machines(shard, skipped);
+    update_kept_machines(shard, epochs_skipped);
     add_new_machines(shard);
     shard_records_reconcile(shard);
-    GPtrArray *returned = settle_machines(shard);
-    settle_returned_machines(shard, returned);
+    GPtrArray *returned = reject_unrecorded_runs_and_probe(shard);
+    end_runs_of_returned_machines(shard, returned);
     g_ptr_array_unref(returned);
     /* The leader knows that nothing is dispatched in a new epoch. */
     g_array_set_size(shard->status.rejected_dispatches, 0);
--- a/src/shard/shard_internal.h
+++ b/src/shard/shard_internal.h
@@ -24,7 +24,7 @@
     /** Of the newest message, counted within this process. */
     uint64_t sequence;
     /** Messages sent, to tell when a full one is due. */
-    guint count;
+    guint sent_count;
     bool in_flight;
     /** One is to be sent as soon as none is in flight. */
     bool is_requested;
@@ -47,7 +47,7 @@
     struct arq_busy_history busy_history[ARQ_CLASSES + 1];
     /** Resources were released or a machine came: a task in the queues may fit now. */
     bool capacity_changed;
-    mono_time last_switch_rule_at;
+    mono_time switch_rule_applied_at;
     struct timer timer;
     /** Of the pass through the queues under way, in which free resources only shrink: */
     /** struct machine: those that may have free resources. */
@@ -60,7 +60,7 @@
 
 /** How long starts and ends waited for their records since it was last logged. */
 struct write_waits {
-    guint starts, ends, writes;
+    guint start_count, end_count, write_count;
     double start_wait_ms, end_wait_ms;
 };
 
@@ -94,7 +94,7 @@
 struct shard {
     struct actor actor;
     struct loop *loop;
-    struct http_client *net;
+    struct http_client *http_client;
     struct kv_client *kv;
     struct replica *replica;
     struct membership *membership;
@@ -129,9 +129,9 @@
 /* task_runs.c */
 
 /** The job if it is in the replica and neither done nor cancelled, or NULL. */
-struct job *shard_find_live_job(struct shard *shard, job_id id);
+struct job *shard_find_active_job(struct shard *shard, job_id id);
 /** Whether a job is over for all that this node knows, from its replica or from other nodes: its
  * runs are to be stopped. */
-bool shard_job_is_over(struct shard *shard, job_id id);
+bool shard_job_is_finished(struct shard *shard, job_id id);
 
 #endif
--- a/src/shard/shard_messages.c
+++ b/src/shard/shard_messages.c
@@ -18,13 +18,13 @@
 #define FIELD_IS_FULL "whole"
 #define FIELD_REJECTED "back"
 #define FIELD_EVENTS "news"
-#define FIELD_WANTS_EPOCH "raise"
+#define FIELD_WANTS_EPOCH_RAISE "raise"
 #define FIELD_CAUSE "c"
 #define FIELD_RUN_TIME_S "took"
-#define FIELD_NOT_AVAILABLE "shut"
+#define FIELD_CORDONED_BY_LEADER "shut"
 
 /** Positions in the array that describes a machine. */
-enum machine_position {
+enum machine_status_position {
     POSITION_ID,
     POSITION_TYPE,
     POSITION_ZONE,
@@ -36,17 +36,17 @@
 
 /* ---- parts of messages ---- */
 
-static const cJSON *get(const cJSON *object, const char *field)
+static const cJSON *get_field(const cJSON *object, const char *field)
 {
     return cJSON_GetObjectItemCaseSensitive(object, field);
 }
 
-static cJSON *encode_task(const struct message_task *task)
+static cJSON *encode_task(const struct task_attempt *task)
 {
     return node_rpc_encode_task(task->job, task->index, task->attempt);
 }
 
-static bool decode_task(const cJSON *json, struct message_task *out)
+static bool decode_task(const cJSON *json, struct task_attempt *out)
 {
     return node_rpc_decode_task(json, &out->job, &out->index, &out->attempt);
 }
@@ -132,7 +132,7 @@
 
 static void stop_item_decode(const cJSON *json, GArray *stops)
 {
-    const cJSON *grace_s = get(json, FIELD_GRACE_S);
+    const cJSON *grace_s = get_field(json, FIELD_GRACE_S);
     struct stop_item item = {.machine = node_rpc_get_text(json, FIELD_MACHINE)};
     item.grace_s = cJSON_IsNumber(grace_s) ? grace_s->valuedouble : 0;
     if (item.machine && decode_task(json, &item.task))
@@ -154,11 +154,12 @@
 {
     out->dispatches = g_array_new(FALSE, FALSE, sizeof(struct dispatch_item));
     out->stops = g_array_new(FALSE, FALSE, sizeof(struct stop_item));
-    out->returned = decode_optional_strings(get(json, DISPATCH_MESSAGE_RETURNED));
-    out->to_cordon = decode_strings(get(json, DISPATCH_MESSAGE_TO_CORDON));
+    out->returned = decode_optional_strings(get_field(json, DISPATCH_MESSAGE_RETURNED));
+    out->to_cordon = decode_strings(get_field(json, DISPATCH_MESSAGE_TO_CORDON));
     const cJSON *item;
-    cJSON_ArrayForEach(item, get(json, DISPATCH_MESSAGE_STOPS)) stop_item_decode(item, out->stops);
-    cJSON_ArrayForEach(item, get(json, DISPATCH_MESSAGE_DISPATCHES))
+    cJSON_ArrayForEach(item, get_field(json, DISPATCH_MESSAGE_STOPS))
+        stop_item_decode(item, out->stops);
+    cJSON_ArrayForEach(item, get_field(json, DISPATCH_MESSAGE_DISPATCHES))
         dispatch_item_decode(item, out->dispatches);
 }
 
@@ -170,16 +171,16 @@
     g_clear_pointer(&message->to_cordon, g_ptr_array_unref);
 }
 
-cJSON *dispatch_answer_encode(const GPtrArray *cordoned)
+cJSON *dispatch_response_encode(const GPtrArray *cordoned)
 {
     cJSON *json = cJSON_CreateObject();
     cJSON_AddItemToObject(json, FIELD_CORDONED, encode_strings(cordoned));
     return json;
 }
 
-GPtrArray *dispatch_answer_decode(const cJSON *json)
+GPtrArray *dispatch_response_decode(const cJSON *json)
 {
-    return decode_optional_strings(get(json, FIELD_CORDONED));
+    return decode_optional_strings(get_field(json, FIELD_CORDONED));
 }
 
 /* ---- status ---- */
@@ -253,8 +254,8 @@
 {
     const char *machine = node_rpc_get_text(json, FIELD_MACHINE);
     const char *job = node_rpc_get_text(json, FIELD_JOB);
-    const cJSON *run_time_s = get(json, FIELD_RUN_TIME_S);
-    const cJSON *cause = get(json, FIELD_CAUSE);
+    const cJSON *run_time_s = get_field(json, FIELD_RUN_TIME_S);
+    const cJSON *cause = get_field(json, FIELD_CAUSE);
     struct task_event event = {.kind = TASK_EVENT_COMPLETED};
     if (!machine || !machine_id_parse(&event.machine, machine) || !job ||
         !job_id_parse(&event.job, job))
@@ -304,7 +305,7 @@
         cJSON_AddItemToArray(
             events, task_event_encode(&g_array_index(message->events, struct task_event, i)));
     if (message->wants_epoch_raise)
-        cJSON_AddBoolToObject(json, FIELD_WANTS_EPOCH, true);
+        cJSON_AddBoolToObject(json, FIELD_WANTS_EPOCH_RAISE, true);
     return json;
 }
 
@@ -317,30 +318,31 @@
     status_message_init(out);
     out->epoch = epoch;
     out->sequence = sequence;
-    out->is_full = cJSON_IsTrue(get(json, FIELD_IS_FULL));
-    out->wants_epoch_raise = cJSON_IsTrue(get(json, FIELD_WANTS_EPOCH));
+    out->is_full = cJSON_IsTrue(get_field(json, FIELD_IS_FULL));
+    out->wants_epoch_raise = cJSON_IsTrue(get_field(json, FIELD_WANTS_EPOCH_RAISE));
     const cJSON *item;
-    cJSON_ArrayForEach(item, get(json, FIELD_MACHINES)) machine_status_decode(item, out->machines);
-    cJSON_ArrayForEach(item, get(json, FIELD_REJECTED))
+    cJSON_ArrayForEach(item, get_field(json, FIELD_MACHINES))
+        machine_status_decode(item, out->machines);
+    cJSON_ArrayForEach(item, get_field(json, FIELD_REJECTED))
         rejected_dispatch_decode(item, out->rejected);
-    cJSON_ArrayForEach(item, get(json, FIELD_EVENTS)) task_event_decode(item, out->events);
+    cJSON_ArrayForEach(item, get_field(json, FIELD_EVENTS)) task_event_decode(item, out->events);
     return true;
 }
 
-cJSON *status_answer_new(void)
+cJSON *status_response_new(void)
 {
     cJSON *json = cJSON_CreateObject();
-    cJSON_AddArrayToObject(json, FIELD_NOT_AVAILABLE);
+    cJSON_AddArrayToObject(json, FIELD_CORDONED_BY_LEADER);
     return json;
 }
 
-void status_answer_add(cJSON *answer, const char *machine_name)
+void status_response_add(cJSON *response, const char *machine_name)
 {
-    cJSON *names = cJSON_GetObjectItemCaseSensitive(answer, FIELD_NOT_AVAILABLE);
+    cJSON *names = cJSON_GetObjectItemCaseSensitive(response, FIELD_CORDONED_BY_LEADER);
     cJSON_AddItemToArray(names, cJSON_CreateString(machine_name));
 }
 
-GPtrArray *status_answer_decode(const cJSON *json)
+GPtrArray *status_response_decode(const cJSON *json)
 {
-    return decode_optional_strings(get(json, FIELD_NOT_AVAILABLE));
+    return decode_optional_strings(get_field(json, FIELD_CORDONED_BY_LEADER));
 }
--- a/src/shard/shard_messages.h
+++ b/src/shard/shard_messages.h
@@ -16,7 +16,7 @@
 #define SHARD_MESSAGE_STATUS "digest"
 
 /** One attempt of a task. */
-struct message_task {
+struct task_attempt {
     job_id job;
     uint32_t index;
     attempt_no attempt;
@@ -26,7 +26,7 @@
 
 /** A task to be placed. */
 struct dispatch_item {
-    struct message_task task;
+    struct task_attempt task;
     /** Counted by the leader. */
     uint64_t number;
     /** Where it has to run, and on which machine; NULL or "": anywhere. Borrowed. */
@@ -35,7 +35,7 @@
 
 /** A run to be stopped. */
 struct stop_item {
-    struct message_task task;
+    struct task_attempt task;
     /** Borrowed. */
     const char *machine;
     /** How long the task may take to save its state. */
@@ -79,9 +79,9 @@
 /** Frees the lists of a decoded message. */
 void dispatch_message_clear(struct dispatch_message *message);
 /** The answer: names of the machines on which nothing can be placed any more. */
-cJSON *dispatch_answer_encode(const GPtrArray *cordoned);
+cJSON *dispatch_response_encode(const GPtrArray *cordoned);
 /** Its names; free the array. */
-GPtrArray *dispatch_answer_decode(const cJSON *json);
+GPtrArray *dispatch_response_decode(const cJSON *json);
 
 /* ---- from a shard to the leader ---- */
 
@@ -100,7 +100,7 @@
 
 /** A dispatch that the shard could not place. */
 struct rejected_dispatch {
-    struct message_task task;
+    struct task_attempt task;
     /** The leader's number of the dispatch; shards of version 0 do not send it. */
     uint64_t number;
     bool has_number;
@@ -149,11 +149,11 @@
 /** Frees the lists of a status. */
 void status_message_clear(struct status_message *message);
 /** The answer: an empty list of machines on which nothing more may be placed, to which
- * status_answer_add() adds. */
-cJSON *status_answer_new(void);
+ * status_response_add() adds. */
+cJSON *status_response_new(void);
 /** Adds a machine to an answer. */
-void status_answer_add(cJSON *answer, const char *machine_name);
+void status_response_add(cJSON *response, const char *machine_name);
 /** Its names; free the array. */
-GPtrArray *status_answer_decode(const cJSON *json);
+GPtrArray *status_response_decode(const cJSON *json);
 
 #endif
--- a/src/shard/shard_messages_internal.h
+++ b/src/shard/shard_messages_internal.h
@@ -12,7 +12,7 @@
 /** Handles a message of the leader; a node_rpc handler. Answers HTTP_STATUS_CONFLICT if the sender
  * is not the leader, or of another epoch.
  * @param ctx the struct shard. */
-int shard_handle_dispatch_message(void *ctx, const char *from, const cJSON *json, cJSON **answer);
+int shard_handle_dispatch_message(void *ctx, const char *from, const cJSON *json, cJSON **response);
 
 /** Begins to send the leader the shard's status. */
 void shard_status_start(struct shard *shard);
--- a/src/shard/shard_status.c
+++ b/src/shard/shard_status.c
@@ -16,13 +16,13 @@
     STATUS_DELAY_MS = 15,
     STATUS_RETRY_MS = 250,
     /** Every so many messages name all machines. */
-    FULL_STATUS_INTERVAL = 15,
+    MESSAGES_PER_FULL_STATUS = 15,
     /** Above the lease's time, until a machine that cannot be reached counts as expired. */
     LEASE_EXPIRED_MARGIN_MS = 20000,
 };
 
 /** Of the time until a machine counts as unreachable, for each second of the heartbeat interval. */
-static const double UNREACHABLE_MS_PER_S = 2500;
+static const double UNREACHABLE_MS_PER_INTERVAL_S = 2500;
 
 /** A message whose answer is awaited. */
 struct status_request {
@@ -49,10 +49,10 @@
 /** Whether the lease of a machine's agent has expired well before now: by this node's heartbeats
  * or, as another node may have renewed it, by the proof. */
 static bool lease_expired_long_ago(struct shard *shard, struct machine *machine,
-                                   int64_t unreached_ms)
+                                   int64_t unreachable_ms)
 {
     int64_t lease_ms = (int64_t)(shard->settings->lease_s * 1000);
-    if (unreached_ms <= lease_ms + LEASE_EXPIRED_MARGIN_MS)
+    if (unreachable_ms <= lease_ms + LEASE_EXPIRED_MARGIN_MS)
         return false;
     mono_time now = loop_now(shard->loop);
     return time_ms_since(now, machine->heartbeat.received_at) < lease_ms ||
@@ -63,18 +63,20 @@
 static int machine_flags(struct shard *shard, struct machine *machine)
 {
     const struct machine_reachability *reachability = &machine->reachability;
-    int64_t unreached_ms = time_ms_since(loop_now(shard->loop), reachability->confirmed_at);
-    int64_t limit_ms = (int64_t)(shard->settings->heartbeat_interval_s * UNREACHABLE_MS_PER_S);
+    int64_t unreachable_ms = time_ms_since(loop_now(shard->loop), reachability->confirmed_at);
+    int64_t unreachable_after_ms =
+        (int64_t)(shard->settings->heartbeat_interval_s * UNREACHABLE_MS_PER_INTERVAL_S);
     int flags = 0;
     if (machine->heartbeat.has_reported)
-        flags |= MACHINE_KNOWN;
-    if (machine->is_reclaimed)
-        flags |= MACHINE_RECLAIMED;
+        flags |= MACHINE_REPORTED;
+    if (machine->is_being_reclaimed)
+        flags |= MACHINE_BEING_RECLAIMED;
     if (!shard_machine_is_available(shard, machine))
         flags |= MACHINE_UNAVAILABLE;
-    if (reachability->probe_failures >= MIN_PROBE_FAILURES && unreached_ms > limit_ms) {
+    if (reachability->probe_failures >= UNREACHABLE_PROBE_FAILURES &&
+        unreachable_ms > unreachable_after_ms) {
         flags |= MACHINE_UNREACHABLE;
-        if (lease_expired_long_ago(shard, machine, unreached_ms))
+        if (lease_expired_long_ago(shard, machine, unreachable_ms))
             flags |= MACHINE_LEASE_EXPIRED;
     }
     return flags;
@@ -83,7 +85,7 @@
 /** What the status says of a machine; notes that it was said. */
 static struct machine_status describe_machine(struct machine *machine, int flags, bool is_full)
 {
-    bool with_images = is_full || !machine->sent_status.has_images;
+    bool include_images = is_full || !machine->sent_status.has_images;
     machine->sent_status = (struct machine_sent_status){flags, true};
     return (struct machine_status){
         .id = machine->id,
@@ -91,7 +93,7 @@
         .zone = machine->zone,
         .is_spot = machine->is_spot,
         .flags = flags,
-        .images = with_images ? g_ptr_array_ref(machine->image_cache) : NULL,
+        .images = include_images ? g_ptr_array_ref(machine->image_cache) : NULL,
     };
 }
 
@@ -105,7 +107,7 @@
         int flags = machine_flags(shard, machine);
         const struct machine_sent_status *sent = &machine->sent_status;
         bool is_due = message->is_full || flags != sent->flags || !sent->has_images;
-        if (!is_due || machine->is_gone || !machine->type_name[0])
+        if (!is_due || machine->is_returned || !machine->type_name[0])
             continue;
         struct machine_status item = describe_machine(machine, flags, message->is_full);
         g_array_append_val(message->machines, item);
@@ -134,7 +136,7 @@
     status_message_init(&message);
     message.epoch = shard->epoch;
     message.sequence = ++status->sequence;
-    message.is_full = status->next_is_full || status->count++ % FULL_STATUS_INTERVAL == 0;
+    message.is_full = status->next_is_full || status->sent_count++ % MESSAGES_PER_FULL_STATUS == 0;
     message.wants_epoch_raise = status->wants_epoch_raise;
     status->next_is_full = false;
     if (message.is_full)
@@ -150,14 +152,14 @@
 /* ---- sending it ---- */
 
 /** Cordons the machines that the answer names, and no others. */
-static void apply_cordoned_machines(struct shard *shard, const cJSON *answer)
+static void apply_cordoned_machines(struct shard *shard, const cJSON *response)
 {
     GHashTableIter iter;
     struct machine *machine;
     g_hash_table_iter_init(&iter, shard->machines);
     while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&machine))
         machine->is_cordoned = false;
-    GPtrArray *names = status_answer_decode(answer);
+    GPtrArray *names = status_response_decode(response);
     for (guint i = 0; i < names->len; i++) {
         machine = shard_find_machine(shard, names->pdata[i]);
         if (machine)
@@ -167,7 +169,7 @@
     shard->placement.capacity_changed = true;
 }
 
-static int64_t next_status_ms(const struct shard_status *status, int http_status)
+static int64_t next_status_delay_ms(const struct shard_status *status, int http_status)
 {
     if (status->is_requested)
         return STATUS_DELAY_MS;
@@ -176,7 +178,7 @@
 
 /** What the leader has received is not sent again. If the answer was lost it may have been
  * received, and the next message is a full one. */
-static void handle_status_answer(void *arg, int http_status, const cJSON *answer)
+static void handle_status_response(void *arg, int http_status, const cJSON *response)
 {
     struct status_request *request = arg;
     struct shard *shard = request->shard;
@@ -186,11 +188,11 @@
         g_array_remove_range(status->rejected_dispatches, 0, request->rejected_count);
         g_array_remove_range(status->events, 0, request->event_count);
         status->wants_epoch_raise = false;
-        apply_cordoned_machines(shard, answer);
+        apply_cordoned_machines(shard, response);
     } else {
         status->next_is_full = true;
     }
-    timer_start(shard->loop, &status->timer, next_status_ms(status, http_status));
+    timer_start(shard->loop, &status->timer, next_status_delay_ms(status, http_status));
     g_free(request);
 }
 
@@ -211,5 +213,5 @@
                                        status->events->len};
     status->in_flight = true;
     node_rpc_call(shard->node_rpc, leader, SHARD_MESSAGE_STATUS, message, STATUS_TIMEOUT_MS,
-                  handle_status_answer, request);
+                  handle_status_response, request);
 }
--- a/src/shard/task_placement.c
+++ b/src/shard/task_placement.c
@@ -11,22 +11,23 @@
 
 enum {
     /** Added to the time without a heartbeat after which a machine takes no tasks. */
-    OVERDUE_MARGIN_MS = 1500,
+    HEARTBEAT_OVERDUE_MARGIN_MS = 1500,
 };
 
 /** Of that time, for each second of the heartbeat interval. */
-static const double OVERDUE_MS_PER_S = 1250;
+static const double OVERDUE_MS_PER_INTERVAL_S = 1250;
 
 bool shard_machine_is_available(struct shard *shard, struct machine *machine)
 {
     if (!machine->heartbeat.has_reported || !machine->reachability.is_confirmed ||
         machine->reachability.probe_failures != 0 || machine->capacity.cpus.milli <= 0)
         return false;
-    if (machine->is_gone || machine->is_reclaimed || machine->is_cordoned || machine->is_returning)
+    if (machine->is_returned || machine->is_being_reclaimed || machine->is_cordoned ||
+        machine->is_returning)
         return false;
-    double overdue_ms = shard->settings->heartbeat_interval_s * OVERDUE_MS_PER_S;
+    double overdue_ms = shard->settings->heartbeat_interval_s * OVERDUE_MS_PER_INTERVAL_S;
     return time_ms_since(loop_now(shard->loop), machine->heartbeat.received_at) <
-           (int64_t)overdue_ms + OVERDUE_MARGIN_MS;
+           (int64_t)overdue_ms + HEARTBEAT_OVERDUE_MARGIN_MS;
 }
 
 double shard_machine_allocated_share(const struct machine *machine)
@@ -81,7 +82,7 @@
 
 /** Equal scores are decided by name, so that the choice does not depend on the order of machines.
  */
-static void keep_better(struct candidate *best, struct candidate other)
+static void keep_better_candidate(struct candidate *best, struct candidate other)
 {
     if (other.machine && (!best->machine || other.score > best->score ||
                           (other.score == best->score &&
@@ -101,9 +102,9 @@
         .relative_zone_size = 1,
     };
     struct candidate candidate = {machine, placement_score(spec, &facts)};
-    keep_better(&candidates->by_pool[arq_pool(share)], candidate);
+    keep_better_candidate(&candidates->by_pool[arq_pool(share)], candidate);
     if (facts.has_image)
-        keep_better(&candidates->with_image, candidate);
+        keep_better_candidate(&candidates->with_image, candidate);
     candidates->is_empty = false;
 }
 
@@ -123,7 +124,7 @@
 {
     struct candidate best = {0};
     for (int pool = 1; pool <= last_pool; pool++)
-        keep_better(&best, candidates->by_pool[pool]);
+        keep_better_candidate(&best, candidates->by_pool[pool]);
     return best.machine;
 }
 
@@ -134,18 +135,19 @@
 static struct machine *choose_by_pool(const struct shard *shard, const struct dispatch *dispatch,
                                       const struct candidate_set *candidates)
 {
-    int own = dispatch->queue_class, next = own + 1;
-    if (candidates->by_pool[own].machine)
-        return candidates->by_pool[own].machine;
-    if (own < ARQ_CLASSES && shard->placement.queues[next].length == 0 &&
-        candidates->by_pool[next].machine)
-        return candidates->by_pool[next].machine;
-    return best_up_to_pool(candidates, own);
+    int own_pool = dispatch->queue_class, next_pool = own_pool + 1;
+    if (candidates->by_pool[own_pool].machine)
+        return candidates->by_pool[own_pool].machine;
+    if (own_pool < ARQ_CLASSES && shard->placement.queues[next_pool].length == 0 &&
+        candidates->by_pool[next_pool].machine)
+        return candidates->by_pool[next_pool].machine;
+    return best_up_to_pool(candidates, own_pool);
 }
 
 static struct machine *choose_candidate(const struct shard *shard, const struct dispatch *dispatch,
                                         const struct job *job,
-                                        const struct candidate_set *candidates, enum arq_move move)
+                                        const struct candidate_set *candidates,
+                                        enum arq_decision decision)
 {
     bool is_bound = dispatch->bound_machine[0] != '\0';
     bool is_urgent = job->inherited_priority <= PRIORITY_HIGH;
@@ -153,7 +155,7 @@
      * that the switch rule weighs. */
     if (is_urgent && !is_bound && candidates->with_image.machine)
         return candidates->with_image.machine;
-    if (job->spec->form == FORM_SERVICE || is_bound || move == ARQ_TAKE_ANY)
+    if (job->spec->form == FORM_SERVICE || is_bound || decision == ARQ_TAKE_ANY)
         return best_up_to_pool(candidates, ARQ_CLASSES);
     return choose_by_pool(shard, dispatch, candidates);
 }
@@ -178,7 +180,7 @@
 }
 
 enum placement_result shard_choose_machine(struct shard *shard, const struct dispatch *dispatch,
-                                           const struct job *job, enum arq_move move,
+                                           const struct job *job, enum arq_decision decision,
                                            struct machine **out)
 {
     struct candidate_set candidates = {.is_empty = true};
@@ -187,7 +189,7 @@
         find_candidates(shard, dispatch, job->spec, &candidates);
     if (candidates.is_empty)
         return PLACEMENT_NO_CANDIDATE;
-    *out = choose_candidate(shard, dispatch, job, &candidates, move);
+    *out = choose_candidate(shard, dispatch, job, &candidates, decision);
     return *out ? PLACEMENT_FOUND : PLACEMENT_WAITS;
 }
 
@@ -206,8 +208,8 @@
 }
 
 /** The chance that a busy machine of a pool becomes free in time. */
-static double pool_free_chance(struct shard *shard, int pool, double within_s,
-                               double expected_run_s)
+static double pool_free_probability(struct shard *shard, int pool, double within_s,
+                                    double expected_run_s)
 {
     GArray *ages_s = g_array_new(FALSE, FALSE, sizeof(double));
     mono_time now = loop_now(shard->loop);
@@ -222,33 +224,36 @@
         if (age_s >= 0)
             g_array_append_val(ages_s, age_s);
     }
-    double chance = arq_free_chance(&shard->placement.busy_history[pool], (double *)ages_s->data,
-                                    (int)ages_s->len, within_s, expected_run_s);
+    double probability =
+        arq_free_probability(&shard->placement.busy_history[pool], (double *)ages_s->data,
+                             (int)ages_s->len, within_s, expected_run_s);
     g_array_unref(ages_s);
-    return chance;
+    return probability;
 }
 
-enum arq_move shard_decide_move(struct shard *shard, const struct dispatch *dispatch,
-                                const struct job_spec *spec, bool is_rule_time)
+enum arq_decision shard_apply_switch_rule(struct shard *shard, const struct dispatch *dispatch,
+                                          const struct job_spec *spec, bool is_switch_rule_due)
 {
     mono_time now = loop_now(shard->loop);
-    int own = dispatch->queue_class, next = own + 1;
-    double run_s = spec->expected_run_s;
-    double waited_s = (double)time_ms_since(now, dispatch->dispatched_at) / 1000;
-    double patience_left_s = arq_patience_s(run_s, 0) - waited_s;
-    if (patience_left_s <= 0)
+    int own_class = dispatch->queue_class, next_class = own_class + 1;
+    double expected_run_s = spec->expected_run_s;
+    double total_wait_s = (double)time_ms_since(now, dispatch->dispatched_at) / 1000;
+    double remaining_wait_s = arq_max_wait_s(expected_run_s, 0) - total_wait_s;
+    if (remaining_wait_s <= 0)
         return ARQ_TAKE_ANY;
-    if (!is_rule_time || own >= ARQ_CLASSES)
+    if (!is_switch_rule_due || own_class >= ARQ_CLASSES)
         return ARQ_STAY;
-    double waited_here_s = (double)time_ms_since(now, dispatch->queued_at) / 1000;
-    struct arq_terms terms = {
-        .expected_run_s = run_s,
-        .wait_own_s = waited_here_s,
-        .wait_next_s = waited_s - waited_here_s,
-        .quality_own = own,
-        .quality_next = next,
-        .chance_own = pool_free_chance(shard, own, patience_left_s, run_s),
-        .chance_next = pool_free_chance(shard, next, patience_left_s, run_s),
+    double queue_wait_s = (double)time_ms_since(now, dispatch->queued_at) / 1000;
+    struct arq_switch_inputs inputs = {
+        .expected_run_s = expected_run_s,
+        .wait_own_s = queue_wait_s,
+        .wait_next_s = total_wait_s - queue_wait_s,
+        .quality_own = own_class,
+        .quality_next = next_class,
+        .probability_own =
+            pool_free_probability(shard, own_class, remaining_wait_s, expected_run_s),
+        .probability_next =
+            pool_free_probability(shard, next_class, remaining_wait_s, expected_run_s),
     };
-    return arq_switch(&terms);
+    return arq_apply_switch_rule(&inputs);
 }
--- a/src/shard/task_placement_internal.h
+++ b/src/shard/task_placement_internal.h
@@ -46,7 +46,7 @@
  * @param move what the switch rule says
  * @param out the machine, with PLACEMENT_FOUND; else NULL */
 enum placement_result shard_choose_machine(struct shard *shard, const struct dispatch *dispatch,
-                                           const struct job *job, enum arq_move move,
+                                           const struct job *job, enum arq_decision decision,
                                            struct machine **out);
 /** Notes that no machine can hold the task now, so that the pass need not look again for what asks
  * for as much. */
@@ -54,8 +54,8 @@
                                   const struct job_spec *spec);
 /** The switch rule for a task that waits.
  * @param is_rule_time the rule is due; else it only tells whether the task's patience is used up */
-enum arq_move shard_decide_move(struct shard *shard, const struct dispatch *dispatch,
-                                const struct job_spec *spec, bool is_rule_time);
+enum arq_decision shard_apply_switch_rule(struct shard *shard, const struct dispatch *dispatch,
+                                          const struct job_spec *spec, bool is_switch_rule_due);
 
 /* dispatch_queue.c: the queues */
 
--- a/src/shard/task_run_internal.h
+++ b/src/shard/task_run_internal.h
@@ -61,7 +61,7 @@
     RUN_REPORTED,
     /** An earlier heartbeat named it, the newest does not, and nothing proves yet that it has
      * ended. */
-    RUN_VANISHED,
+    RUN_DISAPPEARED,
 };
 
 /** What the agent's heartbeats say of a run. */
@@ -84,7 +84,7 @@
     mono_time sent_at;
     /** The earliest moment at which a user may have had the cancellation of the job confirmed;
      * 0: the job is not over. */
-    mono_time job_over_since;
+    mono_time job_finished_since;
 };
 
 /** What proves that a run has ended and that no command can start its attempt again. */
@@ -109,7 +109,7 @@
  * to TASK_RUN_RECORDED, until the end is proven again. */
 struct run_end {
     enum run_end_proof proof;
-    mono_time at;
+    mono_time ended_at;
 };
 
 /** One attempt of one task on one of this node's machines. */
@@ -152,8 +152,8 @@
 void shard_run_remove(struct shard *shard, struct machine *machine, guint position);
 /** Requests that a run be stopped; a second request changes nothing. The command is sent by the
  * next push or heartbeat response. */
-void shard_run_stop(struct task_run *run, double grace_s);
+void shard_run_request_stop(struct task_run *run, double grace_s);
 /** Requests that a run be stopped at once, without grace, if its job is over. */
-void shard_run_stop_if_job_over(struct shard *shard, struct task_run *run);
+void shard_run_request_stop_if_job_finished(struct shard *shard, struct task_run *run);
 
 #endif
--- a/src/shard/task_runs.c
+++ b/src/shard/task_runs.c
@@ -4,7 +4,7 @@
  */
 #include "shard_internal.h"
 
-struct job *shard_find_live_job(struct shard *shard, job_id id)
+struct job *shard_find_active_job(struct shard *shard, job_id id)
 {
     struct job *job = replica_get_job(shard->replica, id.text);
     return job && job->is_known && job->state == JOB_ACTIVE && job->spec ? job : NULL;
@@ -13,7 +13,7 @@
 /* A cancellation that is only possible counts while this node has no lease, and can neither start
  * the task again nor learn more. With a lease the replica will show soon what became of it, and the
  * task might be stopped for nothing. */
-bool shard_job_is_over(struct shard *shard, job_id id)
+bool shard_job_is_finished(struct shard *shard, job_id id)
 {
     struct job *job = replica_get_job(shard->replica, id.text);
     if (job && job->is_known && job->state != JOB_ACTIVE)
@@ -70,7 +70,7 @@
     g_ptr_array_remove_index_fast(machine->runs, position);
 }
 
-void shard_run_stop(struct task_run *run, double grace_s)
+void shard_run_request_stop(struct task_run *run, double grace_s)
 {
     if (!run->stop.is_requested) {
         run->stop.is_requested = true;
@@ -79,18 +79,18 @@
     }
 }
 
-void shard_run_stop_if_job_over(struct shard *shard, struct task_run *run)
+void shard_run_request_stop_if_job_finished(struct shard *shard, struct task_run *run)
 {
-    if (!shard_job_is_over(shard, run->job))
+    if (!shard_job_is_finished(shard, run->job))
         return;
-    shard_run_stop(run, 0);
+    shard_run_request_stop(run, 0);
     run->stop.grace_s = 0; /* also if it was requested before: nobody needs what it would save */
-    if (run->stop.job_over_since.us)
+    if (run->stop.job_finished_since.us)
         return;
-    run->stop.job_over_since =
+    run->stop.job_finished_since =
         cancel_broadcast_get_status(shard->cancel_broadcast, run->job) != CANCEL_NONE
             ? cancel_broadcast_confirmed_not_before(shard->cancel_broadcast, run->job)
             : shard->replica->previous_fresh_at;
-    if (!run->stop.job_over_since.us)
-        run->stop.job_over_since = loop_now(shard->loop);
+    if (!run->stop.job_finished_since.us)
+        run->stop.job_finished_since = loop_now(shard->loop);
 }
--- a/tests/test_arq.c
+++ b/tests/test_arq.c
@@ -38,37 +38,37 @@
 static void the_switch_rule_compares_what_is_left_of_the_slack(void **state)
 {
     (void)state;
-    struct arq_terms terms = {.expected_run_s = 100,
-                              .wait_own_s = 2,
-                              .quality_own = 3,
-                              .quality_next = 4,
-                              .chance_own = 0.5,
-                              .chance_next = 0.3};
-    assert_int_equal(arq_switch(&terms), ARQ_STAY);
-    terms.chance_next = 0.4;
-    assert_int_equal(arq_switch(&terms), ARQ_SWITCH);
+    struct arq_switch_inputs terms = {.expected_run_s = 100,
+                                      .wait_own_s = 2,
+                                      .quality_own = 3,
+                                      .quality_next = 4,
+                                      .probability_own = 0.5,
+                                      .probability_next = 0.3};
+    assert_int_equal(arq_apply_switch_rule(&terms), ARQ_STAY);
+    terms.probability_next = 0.4;
+    assert_int_equal(arq_apply_switch_rule(&terms), ARQ_SWITCH);
     /* Equal terms favour the own class. */
-    terms.chance_own = terms.chance_next = 0;
-    assert_int_equal(arq_switch(&terms), ARQ_STAY);
+    terms.probability_own = terms.probability_next = 0;
+    assert_int_equal(arq_apply_switch_rule(&terms), ARQ_STAY);
 }
 
 /* 0.05 * 100 = 5: 2 + 2.9 is within it, 2 + 3 is not; with P = 1 neither is 2 + 2. */
 static void the_wait_is_bounded_by_the_tolerated_slowdown(void **state)
 {
     (void)state;
-    struct arq_terms terms = {.expected_run_s = 100,
-                              .wait_own_s = 2,
-                              .wait_next_s = 2.9,
-                              .quality_own = 1,
-                              .quality_next = 1};
-    assert_int_equal(arq_switch(&terms), ARQ_STAY);
+    struct arq_switch_inputs terms = {.expected_run_s = 100,
+                                      .wait_own_s = 2,
+                                      .wait_next_s = 2.9,
+                                      .quality_own = 1,
+                                      .quality_next = 1};
+    assert_int_equal(arq_apply_switch_rule(&terms), ARQ_STAY);
     terms.wait_next_s = 3;
-    assert_int_equal(arq_switch(&terms), ARQ_TAKE_ANY);
+    assert_int_equal(arq_apply_switch_rule(&terms), ARQ_TAKE_ANY);
     terms.wait_next_s = 2;
     terms.classification_s = 1;
-    assert_int_equal(arq_switch(&terms), ARQ_TAKE_ANY);
-    near(arq_patience_s(100, 1), 4);
-    near(arq_patience_s(10, 1), 0);
+    assert_int_equal(arq_apply_switch_rule(&terms), ARQ_TAKE_ANY);
+    near(arq_max_wait_s(100, 1), 4);
+    near(arq_max_wait_s(10, 1), 0);
 }
 
 /* Without samples, busy periods are exponential with the mean: two machines, mean 10, t 5:
@@ -78,9 +78,9 @@
     (void)state;
     struct arq_busy_history history = {0};
     double ages[] = {3, 8};
-    near(arq_stay_chance(&history, 3, 5, 10), 0.60653066);
-    near(arq_free_chance(&history, ages, 2, 5, 10), 0.63212056);
-    near(arq_free_chance(&history, ages, 0, 5, 10), 0);
+    near(arq_stay_busy_probability(&history, 3, 5, 10), 0.60653066);
+    near(arq_free_probability(&history, ages, 2, 5, 10), 0.63212056);
+    near(arq_free_probability(&history, ages, 0, 5, 10), 0);
 }
 
 /* Half of the samples e^2 s, half e^4 s: the logs' mean is 3, their deviation (n = 8) sqrt(8/7).
@@ -90,13 +90,13 @@
     (void)state;
     struct arq_busy_history history = {0};
     for (int i = 0; i < 8; i++)
-        arq_busy_add(&history, exp(i % 2 ? 2 : 4));
+        arq_busy_history_add(&history, exp(i % 2 ? 2 : 4));
     near(history.log_mean, 3);
     near(history.log_deviation, sqrt(8.0 / 7));
-    near(arq_stay_chance(&history, 0, exp(3), 1), 0.5);
+    near(arq_stay_busy_probability(&history, 0, exp(3), 1), 0.5);
     /* The longer it has been busy, the rarer it is still busy at all. */
-    double first = arq_stay_chance(&history, 0, 20, 1),
-           later = arq_stay_chance(&history, 20, 20, 1);
+    double first = arq_stay_busy_probability(&history, 0, 20, 1),
+           later = arq_stay_busy_probability(&history, 20, 20, 1);
     assert_true(first < 0.6 && later > first);
 }
 
--- a/tests/test_autoscaler.c
+++ b/tests/test_autoscaler.c
@@ -169,7 +169,7 @@
     assert_int_equal(reason_of(autoscaler_find_unusable(leader), machine), -1);
     machine->usage.allocated.cpus.milli = 0;
     machine->health.quarantined_until = (mono_time){0};
-    machine->flags |= MACHINE_RECLAIMED;
+    machine->flags |= MACHINE_BEING_RECLAIMED;
     assert_int_equal(reason_of(autoscaler_find_unusable(leader), machine),
                      SCALE_IN_REASON_RECLAIMED);
     machine->flags |= MACHINE_UNREACHABLE;
--- a/tests/test_shard_messages.c
+++ b/tests/test_shard_messages.c
@@ -9,9 +9,9 @@
 
 #include <cmocka.h>
 
-static struct message_task a_task(uint32_t index)
+static struct task_attempt a_task(uint32_t index)
 {
-    struct message_task task = {.index = index, .attempt = {7}};
+    struct task_attempt task = {.index = index, .attempt = {7}};
     assert_true(job_id_parse(&task.job, "render-1"));
     return task;
 }
@@ -166,19 +166,19 @@
 static void answers_name_machines(void **state)
 {
     (void)state;
-    cJSON *answer = status_answer_new();
-    status_answer_add(answer, "m-1");
-    GPtrArray *names = status_answer_decode(answer);
+    cJSON *answer = status_response_new();
+    status_response_add(answer, "m-1");
+    GPtrArray *names = status_response_decode(answer);
     assert_int_equal(names->len, 1);
     assert_string_equal(names->pdata[0], "m-1");
-    cJSON *cordoned = dispatch_answer_encode(names);
+    cJSON *cordoned = dispatch_response_encode(names);
     g_ptr_array_unref(names);
-    names = dispatch_answer_decode(cordoned);
+    names = dispatch_response_decode(cordoned);
     assert_string_equal(names->pdata[0], "m-1");
     g_ptr_array_unref(names);
     assert_json_message(cordoned, "{\"closed\":[\"m-1\"]}");
     assert_json_message(answer, "{\"shut\":[\"m-1\"]}");
-    names = dispatch_answer_decode(NULL);
+    names = dispatch_response_decode(NULL);
     assert_int_equal(names->len, 0);
     g_ptr_array_unref(names);
 }
