--- a/src/shard/agent_commands.c
+++ b/src/shard/agent_commands.c
@@ -1,22 +1,23 @@
 /**
  * @file
- * What the agents have to do: which commands are due for the runs of a machine.
+ * Selects the commands that are due for the agent of a machine.
  */
 #include "agent_session_internal.h"
 
 #include "log.h"
 
 enum {
-    /** Of one request or response. */
+    /** Limit for one request to an agent or one response to a heartbeat. */
     MAX_COMMANDS_PER_MESSAGE = 300,
-    /** A command is sent again if its effect is not reported within this time. */
+    /** A command is sent again if the agent does not report its effect within this time. */
     RESEND_INTERVAL_MS = 1500,
 };
 
 bool shard_can_clear_attempt(const struct machine *machine, const struct task_run *run)
 {
     uint64_t agent_token = machine->heartbeat.fencing_token;
-    /* Commands of earlier owners are not counted as in flight: their tokens were lower. */
+    /* in_flight does not count the commands of earlier owners. They carry lower fencing tokens,
+     * which the agent refuses once it has seen this owner's token. */
     bool none_in_flight =
         run->start.in_flight == 0 && agent_token >= machine->lease.owned_since_epoch.value;
     return none_in_flight || agent_token > run->start.fencing_token.value;
@@ -38,7 +39,7 @@
     g_array_append_val(commands, command);
 }
 
-/** A command for a task of a heartbeat, without grace. */
+/** Adds a command for a task named in a heartbeat. A stop command has no grace period. */
 static void add_task_command(GArray *commands, const struct heartbeat_task *task,
                              enum agent_command_verb verb)
 {
@@ -47,7 +48,7 @@
     g_array_append_val(commands, command);
 }
 
-/** The agent forgets an attempt that has exited once its record is removed. */
+/** Tells the agent to forget an exited attempt whose record has been removed. */
 static void add_clear_command(const struct machine *machine, const struct task_run *run,
                               GArray *commands)
 {
@@ -56,7 +57,8 @@
         add_command(commands, run, COMMAND_CLEAR, 0);
 }
 
-/** A stop command is sent again without grace once its grace period has passed. */
+/** Adds a stop command for a run. Once the grace period is over, the command is sent again without
+ * one. */
 static void add_stop_command(struct shard *shard, struct task_run *run, bool is_push,
                              GArray *commands)
 {
@@ -83,8 +85,9 @@
         return;
     start->fencing_token = shard->epoch;
     start->sent_at = now;
-    /* Only a later agent epoch than that of the newest command proves that the task is gone: an
-     * older command may have been executed in this one, and be reported yet. */
+    /* Only an agent epoch later than that of the newest command proves that the task is gone. An
+     * older command may have been executed in this agent epoch, and the agent may yet report its
+     * task. */
     start->agent_epoch = machine->heartbeat.agent_epoch;
     if (is_push)
         start->in_flight++;
@@ -103,7 +106,7 @@
         add_run_command(shard, machine, run, is_push, commands);
 }
 
-/** Tasks without a record are stopped, and forgotten once they have exited. */
+/** Adds commands to stop tasks that have no record, and to clear them once they have exited. */
 static void add_unknown_task_commands(const struct machine *machine, GArray *commands)
 {
     bool earlier_owner_fenced =
@@ -118,7 +121,7 @@
             add_task_command(commands, task, COMMAND_STOP);
         } else if (earlier_owner_fenced) {
             add_task_command(commands, task, COMMAND_CLEAR);
-        } /* else a run command of an earlier owner may still start it again */
+        } /* else a delayed run command of an earlier owner may still start it again */
     }
 }
 
--- a/src/shard/agent_requests.c
+++ b/src/shard/agent_requests.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * Requests to agents: commands that are sent directly, and probes. An agent answers both with its
- * state, in the form of a heartbeat.
+ * Requests to agents: pushed commands and probes. An agent responds to both with its state, encoded
+ * as a heartbeat.
  */
 #include "agent_session_internal.h"
 
@@ -14,22 +14,23 @@
     PUSH_TIMEOUT_MS = 2500,
     PROBE_TIMEOUT_MS = 1500,
     PROBE_INTERVAL_MS = 1500,
-    /** After so many failures the interval grows by one PROBE_INTERVAL_MS, up to a bound. */
+    /** The probe interval grows by PROBE_INTERVAL_MS after each such number of failures, at most
+     * MAX_BACKOFF times. */
     FAILURES_PER_BACKOFF = 3,
     MAX_BACKOFF = 3,
 };
 
-/** A request to an agent. */
+/** A request to an agent that awaits its response. */
 struct agent_request {
     struct shard *shard;
     machine_id machine;
-    /** struct agent_command, with a push; else NULL. */
+    /** The pushed commands (struct agent_command); NULL for a probe. */
     GArray *commands;
 };
 
-/** Whether the answer to a probe counts less than what was known when the probe was sent. It cannot
- * be an old copy, so the agent has been restarted and has lost everything, though its epoch may
- * have the same number. */
+/** Returns whether the response to a probe shows that the agent was restarted: its counters are not
+ * past those known when the probe was sent. The response cannot be a delayed copy, so the agent has
+ * lost all of its state, even if its epoch has the same number as before. */
 static bool indicates_restart(const struct machine *machine, const struct heartbeat *heartbeat)
 {
     const struct machine_reachability *probe = &machine->reachability;
@@ -39,7 +40,8 @@
              heartbeat->sequence <= probe->probed_sequence));
 }
 
-/** Applies the state that an agent answered with. Returns false if it is not this machine's. */
+/** Applies the state in an agent's response. Returns false if the state belongs to another machine
+ * or is inconsistent. */
 static bool apply_agent_state(struct shard *shard, struct machine *machine,
                               const struct heartbeat *heartbeat, bool is_probe)
 {
@@ -57,7 +59,7 @@
     return true;
 }
 
-/** Applies an agent's answer. Returns whether it was a valid one. */
+/** Decodes and applies an agent's response. Returns whether it was valid. */
 static bool handle_agent_response(struct shard *shard, struct machine *machine,
                                   const struct http_response *response, bool is_probe)
 {
@@ -74,12 +76,12 @@
     return is_valid;
 }
 
-/** Counts the run commands of a push as no longer in flight. Those that were refused, or never
- * sent, are due again. */
+/** Counts the run commands of a push as no longer in flight. Commands that were refused or never
+ * sent become due again. */
 static void finish_pushed_run_commands(struct machine *machine, const GArray *commands, int status)
 {
     if (status <= 0 && status != HTTP_NOT_SENT)
-        return; /* they may still arrive */
+        return; /* the commands may still arrive */
     for (guint i = 0; i < commands->len; i++) {
         const struct agent_command *command = &g_array_index(commands, struct agent_command, i);
         struct task_run *run =
@@ -109,7 +111,7 @@
     g_free(request);
 }
 
-/** Sends commands; takes the array. */
+/** Pushes commands to the agent. Takes ownership of the array. */
 static void send_push(struct shard *shard, struct machine *machine, GArray *commands)
 {
     struct agent_request *request = g_new(struct agent_request, 1);
@@ -131,7 +133,7 @@
     }
     if (!machine->heartbeat.has_reported || machine->is_returned)
         return;
-    if (!machine->reachability.is_confirmed) { /* it gets its commands once it answers */
+    if (!machine->reachability.is_confirmed) { /* pushed once the agent responds */
         shard_probe_agent(shard, machine);
         return;
     }
--- a/src/shard/agent_session.c
+++ b/src/shard/agent_session.c
@@ -1,8 +1,8 @@
 /**
  * @file
- * Heartbeats of agents. The owner of the machine applies them and responds with commands; another
- * node redirects the agent to the owner, forwards the heartbeat, or renews the lease in the owner's
- * place.
+ * Handling of heartbeats from agents. The owner of the machine applies a heartbeat and responds
+ * with commands. Any other node redirects the agent to the owner, forwards the heartbeat, or renews
+ * the lease on the owner's behalf.
  */
 #include "agent_session_internal.h"
 
@@ -13,11 +13,12 @@
 
 enum {
     FORWARD_TIMEOUT_MS = 1500,
-    /** An agent that reports here again so soon after a redirect could not reach the owner. */
+    /** An agent that reports to this node again within this time after a redirect could not reach
+     * the owner. */
     REDIRECT_INTERVAL_MS = 45000,
 };
 
-/** A heartbeat with the request that it came in. */
+/** A decoded heartbeat and the HTTP request that carried it. */
 struct heartbeat_request {
     struct shard *shard;
     struct http_responder *responder;
@@ -26,19 +27,19 @@
     const struct heartbeat *heartbeat;
 };
 
-/** Where an agent was redirected to. */
+/** The node to which an agent was last redirected. */
 struct redirect {
     char owner[64];
     mono_time redirected_at;
 };
 
-/** A heartbeat that was forwarded to the owner, whose response is awaited. */
+/** A heartbeat that was forwarded to the owner of the machine and awaits the owner's response. */
 struct forwarded_heartbeat {
     struct http_responder *responder;
     connection_ref connection;
 };
 
-/** Takes the text. */
+/** Sends a JSON response. Takes ownership of the string. */
 static void respond_json(struct http_responder *responder, connection_ref connection,
                          enum http_status status, char *body)
 {
@@ -51,7 +52,7 @@
     respond_json(request->responder, request->connection, status, g_strdup("{}"));
 }
 
-/** Renews the agent's lease. Takes the array of commands. */
+/** Responds with commands, which renews the agent's lease. Takes ownership of the array. */
 static void respond_commands(const struct heartbeat_request *request, GArray *commands)
 {
     char *body = agent_commands_encode(request->shard->epoch, 0,
@@ -60,7 +61,7 @@
     g_array_unref(commands);
 }
 
-/* ---- heartbeats of other owners' machines ---- */
+/* ---- heartbeats of machines that other nodes own ---- */
 
 static void handle_owner_response(void *arg, const struct http_response *response)
 {
@@ -93,7 +94,7 @@
                  agent_redirect_encode(owner));
 }
 
-/** Renews the lease in the owner's place, unless that could let a cancelled task be started. */
+/** Renews the lease on the owner's behalf, unless that could allow a cancelled task to start. */
 static void renew_for_owner(const struct heartbeat_request *request)
 {
     struct shard *shard = request->shard;
@@ -106,9 +107,10 @@
     respond_commands(request, commands);
 }
 
-/** An agent that is back soon after a redirect could not reach the owner: its heartbeat is
- * forwarded, so that its lease is renewed although the owner cannot hear it. A heartbeat that was
- * forwarded to this node in error is redirected in any case. */
+/** Handles a heartbeat for a machine that another node owns. An agent that comes back soon after a
+ * redirect could not reach the owner, so its heartbeat is forwarded: its lease is then renewed
+ * although the agent cannot reach the owner directly. A heartbeat that another node forwarded here
+ * by mistake is always redirected. */
 static void handle_heartbeat_for_other_owner(const struct heartbeat_request *request,
                                              const char *owner)
 {
@@ -129,9 +131,10 @@
         redirect_agent(request, owner);
 }
 
-/* ---- heartbeats of own machines ---- */
+/* ---- heartbeats of machines that this node owns ---- */
 
-/** The machine of a heartbeat; adds it if it is not known. Its first heartbeat describes it. */
+/** Returns the machine that sent the heartbeat, and adds it if it is unknown. The first heartbeat
+ * sets the machine's address, type and zone. */
 static struct machine *machine_for_heartbeat(struct shard *shard, const struct heartbeat *heartbeat)
 {
     struct machine *machine = shard_find_machine(shard, heartbeat->machine.text);
@@ -151,9 +154,9 @@
     return machine;
 }
 
-/** Whether a heartbeat shows that the agent received this node's responses. An agent stays with a
- * node as long as it gets responses, and counts every heartbeat: so the next one comes the same way
- * with the next number. */
+/** Returns whether a heartbeat proves that the agent received this node's responses. An agent
+ * reports to the same node as long as it gets responses, and numbers all of its heartbeats. So
+ * after a response, the next heartbeat arrives by the same route with the next sequence number. */
 static bool confirms_reachability(const struct machine *machine, const struct heartbeat *heartbeat,
                                   const char *via_node)
 {
@@ -164,9 +167,10 @@
            heartbeat->fencing_token > newest->fencing_token;
 }
 
-/** Applies a heartbeat, if it is certain that it is no old copy. The first one of a machine may be
- * one, as nothing newer is known: it is applied only if it shows a token that only this owner can
- * have given; else the agent is probed. Returns whether it was applied. */
+/** Applies a heartbeat if it cannot be a delayed copy, and returns whether it was applied. The
+ * first heartbeat of a machine may be a delayed copy, as no newer one is known to compare it with.
+ * It is applied only if it shows a fencing token that only this owner can have issued; otherwise
+ * the agent is probed. */
 static bool accept_heartbeat(struct shard *shard, struct machine *machine,
                              const struct heartbeat *heartbeat, const char *via_node)
 {
@@ -188,8 +192,8 @@
     return is_accepted;
 }
 
-/** Whether a heartbeat is to be ignored: its machine was returned, it is inconsistent, or it is
- * older than another. */
+/** Returns whether to ignore a heartbeat: its machine was returned, it is inconsistent, or it is
+ * not newer than the last one. */
 static bool should_ignore_heartbeat(struct shard *shard, const struct machine *machine,
                                     const struct heartbeat *heartbeat)
 {
@@ -208,8 +212,8 @@
     struct machine *machine = shard_find_machine(shard, heartbeat->machine.text);
     if (should_ignore_heartbeat(shard, machine, heartbeat)) {
         respond_empty(request, HTTP_STATUS_UNAVAILABLE);
-        /* A copy that was delayed, whose sender has given up; or the agent has been restarted,
-         * which its answer to a probe shows. */
+        /* This is a delayed copy, whose sender no longer waits for a response, or the agent was
+         * restarted. The response to a probe shows which. */
         if (machine && !machine->is_returned)
             shard_probe_agent(shard, machine);
         return;
--- a/src/shard/arq.c
+++ b/src/shard/arq.c
@@ -1,6 +1,6 @@
 /**
  * @file
- * The formulas of ARQ.
+ * The formulas of ARQ admission control: classes, pools, busy periods and the switch rule.
  */
 #include "arq.h"
 
@@ -8,14 +8,15 @@
 #include <gsl/gsl_statistics_double.h>
 #include <math.h>
 
-/** With fewer samples, no distribution is fitted. */
+/** Minimum number of samples to fit a distribution. */
 enum { MIN_SAMPLES = 8 };
 
-/** By this share of its run time a task may be slowed down by waiting. */
+/** Share of its run time by which waiting may slow a task down. */
 static const double TOLERATED_SLOWDOWN = 0.05;
-/** Shares that differ by less are equal: a task that asks for exactly one band belongs to it. */
+/** Tolerance for rounding errors: a task that requests exactly the upper bound of a class belongs
+ * to that class. */
 static const double SHARE_EPSILON = 1e-9;
-/** Lower bounds, so that logarithms and quotients stay finite. */
+/** Lower bounds that keep logarithms and quotients finite. */
 static const double MIN_BUSY_S = 0.01;
 static const double MIN_LOG_DEVIATION = 0.05;
 static const double MIN_PROBABILITY = 1e-12;
@@ -45,7 +46,7 @@
     history->log_deviation = MAX(deviation, MIN_LOG_DEVIATION);
 }
 
-/** The chance that a busy period is longer. */
+/** Returns the probability that a busy period is longer than the given time. */
 static double survival_probability(const struct arq_busy_history *history, double seconds)
 {
     return gsl_cdf_lognormal_Q(seconds, history->log_mean, history->log_deviation);
--- a/src/shard/dispatch_queue.c
+++ b/src/shard/dispatch_queue.c
@@ -1,7 +1,8 @@
 /**
  * @file
- * The queues of dispatched tasks, one for each ARQ class. A pass goes through all of them, by class
- * and arrival: each task is placed, moved to another queue, handed back to the leader, or waits.
+ * The queues of dispatched tasks, one for each ARQ class. A placement pass visits all queues by
+ * class and order of arrival. Each task is placed, moved to another queue, rejected, or left
+ * waiting.
  */
 #include "task_placement_internal.h"
 
@@ -12,27 +13,28 @@
 
 enum {
     SWITCH_RULE_INTERVAL_MS = 2000,
-    /** A task that has found no machine for so long goes back to the leader. */
+    /** A dispatch for which no machine is found within this time is rejected. */
     MAX_QUEUE_TIME_MS = 3000,
-    /** Between a heartbeat and the pass that it causes, for others that come meanwhile. */
+    /** Delay between a heartbeat and the placement pass that it triggers, so that one pass serves
+     * several heartbeats. */
     PLACEMENT_DELAY_MS = 5,
-    /** Searches for blocking attempts in one pass; each looks through all machines. */
+    /** Limit on searches for blocking attempts in one pass; each search visits all machines. */
     MAX_BLOCKED_ATTEMPT_SEARCHES = 16,
-    /** A run command without effect for so long may still be on its way. */
+    /** A run command without effect after this time may still be in transit. */
     DELAYED_COMMAND_MS = 1000,
 };
 
-/** What a pass made of a dispatch. */
+/** Result of processing one dispatch in a pass. */
 enum dispatch_outcome {
-    /** It stays in its queue. */
+    /** The dispatch stays in its queue. */
     DISPATCH_WAITS,
-    /** It was put into another queue. */
+    /** The dispatch was put into another queue. */
     DISPATCH_MOVED,
-    /** It was placed or handed back, or its job is over. */
+    /** The dispatch was placed or rejected, or its job is finished. */
     DISPATCH_FINISHED,
 };
 
-/* ---- the queues ---- */
+/* ---- queues ---- */
 
 void shard_enqueue_dispatch(struct shard *shard, const struct dispatch *dispatch)
 {
@@ -72,8 +74,8 @@
 
 /* ---- attempts that block their task ---- */
 
-/** Whether the machine's agent reports an earlier attempt that cannot be cleared while a command
- * for it may be on its way: only a new epoch ends that. */
+/** Returns whether the machine has an earlier attempt of the task that cannot be cleared because a
+ * run command for it may still be in transit. Only a new epoch resolves that. */
 static bool is_blocked_by_old_attempt(struct shard *shard, const struct dispatch *dispatch,
                                       const struct machine *machine)
 {
@@ -88,12 +90,12 @@
     return false;
 }
 
-/** Asks for a new epoch if an earlier attempt keeps the task from its machine: where no other
- * machine fits, the task would never start. */
+/** Requests a new epoch if an earlier attempt keeps the task off a machine. If no other machine
+ * fits, the task would never start otherwise. */
 static void request_new_epoch_if_blocked(struct shard *shard, const struct dispatch *dispatch)
 {
     if (shard->placement.blocked_attempt_searches++ >= MAX_BLOCKED_ATTEMPT_SEARCHES)
-        return; /* looked for when it is dispatched again */
+        return; /* the search is repeated when the task is dispatched again */
     loop_add_work(shard->loop, g_hash_table_size(shard->machines));
     GHashTableIter iter;
     struct machine *machine;
@@ -104,23 +106,24 @@
             shard->status.wants_epoch_raise = is_blocked_by_old_attempt(shard, dispatch, machine);
 }
 
-/* ---- one dispatch ---- */
+/* ---- a single dispatch ---- */
 
-/** A task whose job is not in the replica, or has to wait for others there: the leader may have a
- * newer replica than this node. */
+/** Handles a task whose job is not in the replica, or has pending dependencies there. The leader's
+ * replica may be newer than that of this node. */
 static enum dispatch_outcome process_unready(struct shard *shard, const struct dispatch *dispatch,
                                              bool is_active)
 {
     const struct job *job = replica_get_job(shard->replica, dispatch->job.text);
     if (!is_active && job && job->is_known)
-        return DISPATCH_FINISHED; /* over */
+        return DISPATCH_FINISHED; /* the job is finished */
     if (time_ms_since(loop_now(shard->loop), dispatch->dispatched_at) < MAX_QUEUE_TIME_MS)
         return DISPATCH_WAITS;
     shard_reject_dispatch(shard, dispatch);
     return DISPATCH_FINISHED;
 }
 
-/** The class by the share that the task asks of the smallest machine type that can hold it. */
+/** Returns the ARQ class of a task, by the share that it requests of the smallest machine type that
+ * can hold it. */
 static int classify(const struct shard *shard, const struct job_spec *spec)
 {
     const struct machine_type *type =
@@ -147,7 +150,7 @@
               image_cache_contains(machine->image_cache, spec->image));
 }
 
-/** A task for which no machine was chosen. */
+/** Handles a task for which no machine was chosen. */
 static enum dispatch_outcome process_unplaced(struct shard *shard, struct dispatch *dispatch,
                                               const struct job_spec *spec,
                                               enum placement_result result,
@@ -177,7 +180,8 @@
         return process_unready(shard, dispatch, job != NULL);
     if (dispatch->task_class == 0) {
         dispatch->task_class = dispatch->queue_class = classify(shard, job->spec);
-        /* A task that is bound to a machine chooses first: the others do not need just that one. */
+        /* A task that is bound to a machine is placed before the others, as they can use other
+         * machines. */
         if (!dispatch->bound_machine[0])
             return move_to_class(shard, dispatch, dispatch->task_class);
     }
@@ -191,9 +195,9 @@
     return DISPATCH_FINISHED;
 }
 
-/* ---- a pass ---- */
+/* ---- placement pass ---- */
 
-/** The machines that take tasks and have free resources. */
+/** Collects the machines that accept tasks and have free resources. */
 static void collect_available_machines(struct shard *shard)
 {
     GPtrArray *available = shard->placement.available_machines;
@@ -208,7 +212,7 @@
             g_ptr_array_add(available, machine);
 }
 
-/** Processes the dispatches that are in a queue now, once each. */
+/** Processes each dispatch that is in the queue at the time of the call once. */
 static void process_queue(struct shard *shard, GQueue *queue, bool is_switch_rule_due)
 {
     guint length = queue->length;
--- a/src/shard/dispatch_receiver.c
+++ b/src/shard/dispatch_receiver.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * The leader's dispatch messages: tasks to be placed and to be stopped, machines that were returned
- * or are going to be.
+ * Handling of the leader's dispatch messages: tasks to place, runs to stop, and machines that were
+ * returned or are about to be.
  */
 #include "shard_messages_internal.h"
 
@@ -14,7 +14,7 @@
     g_strlcpy(to, string ? string : "", size);
 }
 
-/** Queues a task to be placed. */
+/** Queues a task for placement. */
 static void apply_dispatch(struct shard *shard, const struct dispatch_item *item)
 {
     mono_time now = loop_now(shard->loop);
@@ -44,7 +44,7 @@
     shard_push_commands(shard, machine);
 }
 
-/** Cordons machines that are going to be returned; the answer names those on which nothing can be
+/** Cordons machines that are about to be returned. The response names those on which no task can be
  * placed any more. */
 static cJSON *apply_cordons(struct shard *shard, const GPtrArray *names)
 {
@@ -71,7 +71,8 @@
     shard_place_tasks(shard);
 }
 
-/** Whether a message is of this epoch's leader, and this node may act on it. */
+/** Returns whether a message was sent by the leader of the current epoch and this node may act on
+ * it. */
 static bool is_current(const struct shard *shard, const char *from,
                        const struct dispatch_message *message)
 {
@@ -88,7 +89,7 @@
         return HTTP_STATUS_BAD_REQUEST;
     if (!is_current(shard, from, &message))
         return HTTP_STATUS_CONFLICT;
-    /* A copy that was delayed must not dispatch a task once more after it was rejected. */
+    /* A delayed copy must not dispatch a task again after its rejection. */
     if (message.sequence <= shard->last_dispatch_sequence)
         return HTTP_STATUS_OK;
     shard->last_dispatch_sequence = message.sequence;
--- a/src/shard/heartbeat_check.c
+++ b/src/shard/heartbeat_check.c
@@ -1,6 +1,7 @@
 /**
  * @file
- * Whether a heartbeat is new, and whether it can be true.
+ * Validation of heartbeats: whether a heartbeat is newer than the last one, and whether it is
+ * consistent with what is known.
  */
 #include "agent_session_internal.h"
 
@@ -14,14 +15,14 @@
             heartbeat->sequence > newest->sequence);
 }
 
-/** Why a heartbeat cannot be true. */
+/** Why a heartbeat is inconsistent. */
 enum heartbeat_defect {
     HEARTBEAT_CONSISTENT,
     HEARTBEAT_UNKNOWN_ZONE,
     HEARTBEAT_UNKNOWN_TYPE,
-    /** The machine had another type, zone or kind before. */
+    /** The machine had another type, zone or spot flag before. */
     HEARTBEAT_DESCRIPTION_CHANGED,
-    /** Another heartbeat with the same number named other tasks. */
+    /** Another heartbeat with the same sequence number named other tasks or states. */
     HEARTBEAT_SEQUENCE_REUSED,
 };
 
@@ -42,14 +43,15 @@
     return "none";
 }
 
-/** A machine keeps its type, zone and kind. */
+/** Returns whether a heartbeat has the machine's type, zone and spot flag, which never change. */
 static bool matches_description(const struct machine *machine, const struct heartbeat *heartbeat)
 {
     return strcmp(machine->type_name, heartbeat->machine_type_name) == 0 &&
            strcmp(machine->zone, heartbeat->zone) == 0 && machine->is_spot == heartbeat->is_spot;
 }
 
-/** Whether it has the number of the newest heartbeat, but names other tasks. */
+/** Returns whether a heartbeat has the sequence number of the newest one but names other tasks or
+ * states. */
 static bool contradicts_newest(const struct machine *machine, const struct heartbeat *heartbeat)
 {
     const struct machine_heartbeat *newest = &machine->heartbeat;
--- a/src/shard/lease_renewal.c
+++ b/src/shard/lease_renewal.c
@@ -1,17 +1,18 @@
 /**
  * @file
- * When this node renews the leases of agents. A lease that is not renewed ends all tasks on its
- * machine: that is what stops cancelled tasks when nobody can reach the machine, so it must not be
- * renewed by a node that may lack a cancellation for too long.
+ * Conditions under which this node renews the leases of agents. An agent whose lease is not renewed
+ * stops all of its tasks. That is how cancelled tasks are stopped when no node can reach the
+ * machine, so a node must not renew leases if it may have missed a cancellation for too long.
  */
 #include "agent_session_internal.h"
 
 enum {
-    /** Taken off the time, for what the agent needs to stop its tasks. */
+    /** Subtracted from the time limit, as the agent needs this time to stop its tasks. */
     RENEWAL_MARGIN_MS = 1000,
 };
 
-/** Milliseconds for each second, where this node's clock may be faster than others' by 0.5 %. */
+/** Milliseconds counted per second of a time limit: 0.5 % less than 1000, as this node's clock and
+ * the clocks of other nodes may run at different rates. */
 static const double SHORTENED_MS_PER_S = 995;
 
 int64_t shard_max_renewal_ms(const struct shard *shard)
@@ -30,8 +31,9 @@
     return time_ms_since(loop_now(shard->loop), known_until) < shard_max_renewal_ms(shard);
 }
 
-/* Neither the owner nor the state service can be reached from here, as when a zone is cut off that
- * this node and the machine are in. The proofs of the owner count with that: docs/safety.md. */
+/* Neither the owner nor the key-value store can be reached from here, for example because this node
+ * and the machine are in a zone that is cut off. The owner's proofs that a lease has expired take
+ * this into account, see docs/safety.md. */
 bool shard_may_renew_for_owner(struct shard *shard, const char *owner)
 {
     mono_time fresh_at = shard->replica->fresh_at;
--- a/src/shard/machine_internal.h
+++ b/src/shard/machine_internal.h
@@ -1,121 +1,124 @@
 /**
  * @file
- * The machines that this node owns by the shard map, and what it knows of each.
+ * The machines that this node owns according to the shard map, and their state.
  */
 #ifndef LL_MACHINE_INTERNAL_H
 #define LL_MACHINE_INTERNAL_H
 
 #include "task_run_internal.h"
 
-/** Probes that fail in a row until a machine counts as unreachable. */
+/** A machine counts as unreachable after this number of consecutive failed probes. */
 enum { UNREACHABLE_PROBE_FAILURES = 2 };
 
-/** The newest heartbeat of a machine's agent. */
+/** Contents of the newest heartbeat of a machine's agent. */
 struct machine_heartbeat {
-    /** One was received since this node became the owner; the other fields are valid. */
+    /** A heartbeat was received since this node became the owner, so that the other fields are
+     * valid. */
     bool has_reported;
-    /** Counts the agent's restarts. */
+    /** Number of times that the agent has been started. */
     uint64_t agent_epoch;
-    /** Counts the heartbeats within an agent epoch. */
+    /** Number of the heartbeat within the agent epoch. */
     uint64_t sequence;
     /** The highest fencing token that the agent has seen. */
     uint64_t fencing_token;
-    /** Of the tasks that it named, see shard_heartbeat_tasks_hash(). */
+    /** Hash of the reported tasks, see shard_heartbeat_tasks_hash(). */
     uint32_t tasks_hash;
-    /** The node that forwarded it; "": it came directly. */
+    /** Label of the node that forwarded the heartbeat; empty if it came directly. */
     char via_node[64];
-    /** When it was received, or ownership began. */
+    /** When the heartbeat was received; before the first one, when ownership began. */
     mono_time received_at;
 };
 
-/** What bounds the time until which the agent's lease can have been renewed. */
+/** Facts that bound the time until which the agent's lease can have been renewed. */
 struct machine_lease {
-    /** The epoch of the shard map since which this node has owned the machine without a break. */
+    /** The shard map epoch since which this node has owned the machine without interruption. */
     epoch_no owned_since_epoch;
     mono_time owned_since;
     /** When this node last renewed the lease by responding to a heartbeat; 0: never. */
     mono_time last_renewed_at;
-    /** When the agent first showed a fencing token that only this owner can have given: since then
+    /** When the agent first showed a fencing token that only this owner can have issued. Since then
      * it has refused responses of earlier owners. 0: not yet. */
     mono_time owner_token_seen_at;
 };
 
-/** Whether responses and commands of this node reach the agent. Heartbeats do not show that: the
- * connection may be interrupted in one direction. */
+/** Whether this node's responses and commands reach the agent. Heartbeats alone do not prove that,
+ * as a connection may fail in one direction only. */
 struct machine_reachability {
-    /** The newest heartbeat or response of the agent shows it. */
+    /** The newest heartbeat or response of the agent proves that the agent can be reached. */
     bool is_confirmed;
-    /** When that was last so, or ownership began. */
+    /** When reachability was last confirmed; before that, when ownership began. */
     mono_time confirmed_at;
     bool probe_in_flight;
     /** When the last probe was sent; 0: never. */
     mono_time last_probe_at;
-    /** The newest heartbeat known when that probe was sent. */
+    /** Counters of the newest heartbeat that was known when the last probe was sent. */
     uint64_t probed_agent_epoch, probed_sequence;
-    /** Probes in a row without a valid response. */
+    /** Number of consecutive probes without a valid response. */
     int probe_failures;
 };
 
 /** How the transaction in flight changes the stored record of a machine. */
 enum machine_record_change {
     MACHINE_RECORD_UNCHANGED,
-    /** It is written. */
+    /** The transaction writes the record. */
     MACHINE_RECORD_WRITTEN,
-    /** It is removed. */
+    /** The transaction removes the record. */
     MACHINE_RECORD_REMOVED,
 };
 
-/** What is stored about a machine besides its run records. Its type, zone and address are stored in
- * one place of three: its own record, an inventory, or the pages with its run records. */
+/** State of a machine's stored data other than its run records. The machine's type, zone and
+ * address are stored in one of three places: its own record, an inventory, or the pages that hold
+ * its run records. */
 struct machine_record_state {
-    /** Of its own record; 0: there is none. */
+    /** Revision of the machine's own record; 0: it has none. */
     revision mod_revision;
-    /** When this process last wrote its own record. */
+    /** When this process last wrote the machine's own record. */
     mono_time written_at;
-    /** Its record does not name all of its cached images. */
+    /** The machine's own record does not list all of its cached images. */
     bool has_unrecorded_images;
-    /** What the pages say of it, see shard_machine_page_description(); NULL: not needed yet. */
+    /** How pages describe the machine, see shard_machine_page_description(); NULL: not needed yet.
+     */
     char *page_description;
-    /** Number of this node's inventory that lists it; -1: none does. */
+    /** Number of this node's inventory that lists the machine; -1: none does. */
     int inventory_number;
-    /** The inventory being written lists it. */
+    /** The inventory that is being written lists the machine. */
     bool is_in_pending_inventory;
     /** The transaction in flight changes a record of the machine or of one of its runs. */
     bool is_in_txn;
     enum machine_record_change pending_change;
 };
 
-/** What the newest status to the leader said of a machine. */
+/** What the last status message to the leader reported about a machine. */
 struct machine_sent_status {
-    /** enum machine_flag; -1: it was not in any. */
+    /** Flags (enum machine_flag) in that message; -1: no message has reported the machine. */
     int flags;
-    /** It named all cached images. */
+    /** The message listed all cached images. */
     bool has_images;
 };
 
-/** Commands that are sent directly to the agent: one request at a time. */
+/** State of the commands that are pushed to an agent. One push is in flight at a time. */
 enum push_state {
     PUSH_IDLE,
     PUSH_IN_FLIGHT,
-    /** In flight, and there are new commands to be sent after it. */
+    /** A push is in flight, and newer commands are to be pushed after it. */
     PUSH_IN_FLIGHT_AGAIN,
 };
 
 /** A machine that this node owns. */
 struct machine {
     machine_id id;
-    /** Empty until a heartbeat or a stored record says them. */
+    /** Description of the machine; empty until a heartbeat or a stored record provides it. */
     char address[24], type_name[48], zone[48];
     bool is_spot;
-    /** What its type has; zero until the type is known. */
+    /** Resources of the machine's type; zero until the type is known. */
     struct resources capacity;
-    /** What its runs take, and the part of that which services take. */
+    /** Resources allocated to runs, and the part of them that is allocated to services. */
     struct resources allocated, service_resources;
-    /** struct task_run */
+    /** Runs on the machine (struct task_run). */
     GPtrArray *runs;
-    /** struct heartbeat_task: in the newest heartbeat, but not among the runs. */
+    /** Tasks in the newest heartbeat that match none of the runs (struct heartbeat_task). */
     GArray *unknown_tasks;
-    /** Interned names of the images it has fetched, the most recently used last. */
+    /** Interned names of the cached images, the most recently used last. */
     GPtrArray *image_cache;
 
     struct machine_heartbeat heartbeat;
@@ -125,45 +128,46 @@
     struct machine_sent_status sent_status;
     enum push_state push_state;
 
-    /** The cloud has announced that it takes the machine back. */
+    /** The cloud has announced that it will reclaim the machine. */
     bool is_being_reclaimed;
-    /** The leader wants no more tasks placed on it, as it is slow or quarantined. */
+    /** The leader wants no more tasks placed on the machine, as it is slow or quarantined. */
     bool is_cordoned;
-    /** Nor are they here: the leader is going to return it, or has recorded that. */
+    /** No tasks are placed on the machine, as the leader is about to return it or has recorded its
+     * return. */
     bool is_returning;
-    /** It was returned to the cloud, which proves the end of all its runs. It is kept until its
-     * records are removed. */
+    /** The machine was returned to the cloud, which proves that all of its runs have ended. It is
+     * kept until its records are removed. */
     bool is_returned;
 };
 
-/** The machine of that name, or NULL when this node does not own it. */
+/** Returns the machine of that name, or NULL if this node does not own it. */
 struct machine *shard_find_machine(struct shard *shard, const char *machine_name);
-/** Adds a machine of which nothing but the name is known yet. The shard owns it. */
+/** Adds a machine of which only the name is known. The shard owns it. */
 struct machine *shard_add_machine(struct shard *shard, machine_id id);
 /** Frees a struct machine and its runs. */
 void shard_machine_free(gpointer data);
-/** Sets the capacity by the type's, if that is known. */
+/** Sets the machine's capacity from its type, if the type is known. */
 void shard_machine_update_capacity(struct shard *shard, struct machine *machine);
-/** Notes that the machine has fetched an image, or used it again.
- * @param image interned. */
+/** Records that the machine has fetched an image or used it again.
+ * @param image an interned string. */
 void shard_machine_add_image(struct machine *machine, char *image);
-/** Whether any of its runs has a record, or may come to have one. */
+/** Returns whether the machine has a run that is recorded or may yet be recorded. */
 bool shard_machine_has_runs(const struct machine *machine);
-/** Whether a run of it is placed and not recorded yet. */
+/** Returns whether the machine has a run that is placed but not recorded yet. */
 bool shard_machine_has_unrecorded_run(const struct machine *machine);
-/** Makes the machine and its runs agree with the replica.
+/** Updates the machine and its runs to match the replica.
  *
- * It must only be called when the replica is not older than this node's last write of the records
- * in question. Of the other records the replica may be older: taken for the truth, it would release
- * runs that were recorded a moment ago.
- * @param page the number of the own page whose records count; -1: all records. */
+ * Must be called only if the replica is not older than this node's last write of the records in
+ * question. Other records may be outdated in the replica; applying those would release runs that
+ * were recorded a moment ago.
+ * @param page number of the own page whose records are applied; -1: all records. */
 void shard_machine_reconcile(struct shard *shard, struct machine *machine, int page);
-/** Notes that a response of this node has reached the agent. */
+/** Records that a response or command of this node has reached the agent. */
 void shard_machine_mark_reachable(struct shard *shard, struct machine *machine);
-/** Applies a heartbeat that was accepted, or an agent's response to a command or probe. */
+/** Applies an accepted heartbeat, or an agent's response to commands or a probe. */
 void shard_machine_apply_heartbeat(struct shard *shard, struct machine *machine,
                                    const struct heartbeat *heartbeat);
-/** A hash of a heartbeat's tasks and their states, in whatever order. */
+/** Returns a hash of a heartbeat's tasks and their states that does not depend on their order. */
 uint32_t shard_heartbeat_tasks_hash(const struct heartbeat *heartbeat);
 
 #endif
--- a/src/shard/machines.c
+++ b/src/shard/machines.c
@@ -1,6 +1,6 @@
 /**
  * @file
- * The machines that this node owns: what is known of them, from the replica and from heartbeats.
+ * State of the machines that this node owns, from the replica and from heartbeats.
  */
 #include "machine_internal.h"
 
@@ -11,16 +11,16 @@
 #include "task_end_internal.h"
 
 enum {
-    /** Images noted for each machine: the most recently used. */
+    /** Number of images remembered for each machine, the most recently used. */
     MAX_CACHED_IMAGES = 12,
     HASH_FACTOR = 31,
 };
 
-/** Knuth's multiplicative hash. */
+/** Multiplier of Knuth's multiplicative hash. */
 static const uint32_t HASH_MULTIPLIER = 2654435761u;
 
-/** A task that will have run for this share of its expected time by the end of its machine may end
- * in time, and is left to run. */
+/** A task that will have run for at least this share of its expected run time when its machine is
+ * reclaimed is left running, as it may finish in time. */
 static const double MIN_USEFUL_RUN_SHARE = 0.8;
 
 struct machine *shard_find_machine(struct shard *shard, const char *machine_name)
@@ -99,7 +99,7 @@
     run->record.page = run->record.is_foreign ? -1 : page->number;
 }
 
-/** Takes the description of a machine from its record, unless it is known already. */
+/** Copies the description of a machine from its record, unless it is known already. */
 static void set_description(struct shard *shard, struct machine *machine,
                             const struct machine_record *stored)
 {
@@ -115,19 +115,21 @@
     machine->record.has_unrecorded_images = false;
 }
 
-/** Adds the run of a record that this process did not write. */
+/** Adds a run for a record that another process wrote. */
 static struct task_run *add_recorded_run(struct shard *shard, struct machine *machine,
                                          const struct run_record *stored)
 {
     struct task_run *run = shard_run_add(machine, stored->job->id, stored->task_index,
                                          stored->attempt, stored->job->spec);
-    /* The owner that recorded it may have sent its command with any token below this owner's. */
+    /* The owner that recorded the run may have sent its command with any token below this owner's.
+     */
     run->start.fencing_token.value = machine->lease.owned_since_epoch.value - 1;
     run->placed_at = loop_now(shard->loop);
     return run;
 }
 
-/** Adds a run for each record, and takes those that are placed here as recorded. */
+/** Adds a run for each record that has none, and marks placed runs that have a record as recorded.
+ */
 static void apply_run_records(struct shard *shard, struct machine *machine,
                               const struct machine_record *stored, int page)
 {
@@ -146,7 +148,7 @@
     }
 }
 
-/** Takes a run to the page that its record is on, and releases it if it has lost its record. */
+/** Updates the page that holds the run's record, and releases the run if its record was removed. */
 static void reconcile_run(struct shard *shard, struct machine *machine, struct task_run *run)
 {
     const struct run_record *record = shard_find_run_record(shard, machine, run);
@@ -178,8 +180,9 @@
     }
 }
 
-/** Whether a task is stopped when the cloud has announced to take its machine back: if it can save
- * its work, can be replaced before it is missed, or could not end in time anyway. */
+/** Returns whether to stop a task before the cloud reclaims its machine: the task saves
+ * checkpoints, it belongs to a service, so that it can be replaced before it is missed, or it could
+ * not finish in time anyway. */
 static bool should_stop_before_reclaim(const struct job_spec *spec, double run_time_s,
                                        double remaining_s)
 {
@@ -187,8 +190,8 @@
            run_time_s + remaining_s < spec->expected_run_s * MIN_USEFUL_RUN_SHARE;
 }
 
-/** Stops tasks in time on a machine that the cloud takes back.
- * @param left_s seconds until then */
+/** Stops tasks on a machine before the cloud reclaims it.
+ * @param remaining_s seconds until the machine is reclaimed */
 static void stop_tasks_before_reclaim(struct shard *shard, struct machine *machine,
                                       double remaining_s)
 {
@@ -208,7 +211,7 @@
     }
 }
 
-/** Applies the cloud's announcement, or that it was withdrawn. Returns whether that is new. */
+/** Applies the cloud's reclaim notice or its withdrawal. Returns whether that is a change. */
 static bool apply_reclaim_notice(struct shard *shard, struct machine *machine, double notice_s)
 {
     bool is_being_reclaimed = notice_s >= 0;
@@ -243,12 +246,12 @@
         uint32_t task_hash = g_str_hash(task->job.text) * HASH_FACTOR + task->task_index;
         task_hash = task_hash * HASH_FACTOR + (uint32_t)task->attempt.value;
         task_hash = task_hash * HASH_FACTOR + (uint32_t)task->state * 16 + (uint32_t)task->cause;
-        hash += task_hash * HASH_MULTIPLIER; /* a sum, as tasks come in any order */
+        hash += task_hash * HASH_MULTIPLIER; /* the sum does not depend on the order of the tasks */
     }
     return hash;
 }
 
-/** Takes the counters and the fencing token of a heartbeat. */
+/** Copies the counters and the fencing token of a heartbeat. */
 static void store_heartbeat(struct machine *machine, const struct heartbeat *heartbeat,
                             mono_time now)
 {
@@ -264,7 +267,8 @@
     newest->fencing_token = heartbeat->fencing_token;
 }
 
-/** Applies the tasks that a heartbeat names; marks their runs, and notes the unknown ones. */
+/** Applies the tasks in a heartbeat: marks their runs as reported, and collects the unknown tasks.
+ */
 static void apply_reported_tasks(struct shard *shard, struct machine *machine,
                                  const struct heartbeat *heartbeat)
 {
@@ -284,7 +288,8 @@
     }
 }
 
-/** Applies that the others are not named; removes those that were kept only until then. */
+/** Handles the runs that a heartbeat does not name, and removes those that were kept only until the
+ * agent stopped reporting them. */
 static void apply_missing_runs(struct shard *shard, struct machine *machine,
                                const struct heartbeat *heartbeat)
 {
--- a/src/shard/shard.c
+++ b/src/shard/shard.c
@@ -1,6 +1,6 @@
 /**
  * @file
- * The shard's actor: its construction, the replica's events, and its regular checks.
+ * The shard's actor: construction, replica events and periodic checks.
  */
 #include "shard_internal.h"
 
@@ -15,16 +15,17 @@
 
 enum {
     TICK_MS = 250,
-    /** Added to the time without a heartbeat after which an agent is probed. */
+    /** Fixed part of the time without a heartbeat after which an agent is probed. */
     PROBE_SILENCE_MARGIN_MS = 1000,
 };
 
-/** Of that time, for each second of the heartbeat interval. */
+/** Milliseconds without a heartbeat, per second of the heartbeat interval, after which an agent is
+ * probed; PROBE_SILENCE_MARGIN_MS is added. */
 static const double PROBE_SILENCE_MS_PER_INTERVAL_S = 1250;
 
-/* ---- the replica ---- */
+/* ---- replica events ---- */
 
-/** Stops the runs of a job, if it is over. */
+/** Stops the runs of a job if the job is finished. */
 static void stop_runs_if_job_finished(struct shard *shard, job_id id)
 {
     if (!shard_job_is_finished(shard, id))
@@ -46,7 +47,7 @@
     }
 }
 
-/** Somebody wrote the record of a machine, and it was not this node. */
+/** Takes over the revision of a machine's record that another node has written. */
 static void update_machine_revision(struct shard *shard, const char *machine_name)
 {
     struct machine *machine = shard_find_machine(shard, machine_name);
@@ -77,7 +78,7 @@
     switch (event->kind) {
     case REPLICA_EVENT_JOB:
         stop_runs_if_job_finished(shard, event->job);
-        /* Its tasks may wait for it in the first queue. */
+        /* Tasks of the job may be waiting for it in the first queue. */
         if (shard->placement.queues[0].length)
             shard->placement.capacity_changed = true;
         break;
@@ -117,9 +118,10 @@
         stop_runs_if_job_finished(shard, *(job_id *)message->body);
 }
 
-/* ---- regular checks ---- */
+/* ---- periodic checks ---- */
 
-/** Whether a recorded run has not been started by this node: its record was taken over. */
+/** Returns whether the machine has a recorded run that this node has not started yet, because its
+ * record was taken over. */
 static bool has_unstarted_run(const struct machine *machine)
 {
     for (guint i = 0; i < machine->runs->len; i++) {
@@ -166,7 +168,7 @@
         check_machines(shard);
     if (shard->status.wants_epoch_raise)
         shard_request_status(shard);
-    shard->placement.capacity_changed = true; /* tasks that have waited for too long are rejected */
+    shard->placement.capacity_changed = true; /* so that overdue dispatches are rejected */
     shard_place_tasks(shard);
     shard_request_flush(shard);
 }
--- a/src/shard/shard.h
+++ b/src/shard/shard.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * A node's shard: the machines that it owns by the shard map, the sessions with their agents, the
- * placement of tasks on them, and the records of their runs.
+ * A node's shard: the machines that the node owns according to the shard map, the sessions with
+ * their agents, the placement of tasks on them, and the records of their runs.
  */
 #ifndef LL_SHARD_H
 #define LL_SHARD_H
@@ -13,7 +13,7 @@
 
 struct shard;
 
-/** What a shard works with; all of it outlives the shard. */
+/** The dependencies of a shard, all of which must outlive it. */
 struct shard_setup {
     struct loop *loop;
     struct http_client *http_client;
@@ -27,34 +27,35 @@
     const struct settings *settings;
 };
 
-/** A new shard, which owns no machines until the replica shows a shard map. Free with shard_free().
- */
+/** Creates a shard. It owns no machines until the replica shows a shard map. Free it with
+ * shard_free(). */
 struct shard *shard_new(const struct shard_setup *setup);
-/** Frees the shard. Tasks on machines go on. */
+/** Frees the shard. Tasks on its machines keep running. */
 void shard_free(struct shard *shard);
-/** Begins the regular checks and status messages. */
+/** Starts the periodic checks and the status messages to the leader. */
 void shard_start(struct shard *shard);
 
-/** Other parts of this node have made writes to the state service, which are taken off the write
- * budget. */
+/** Deducts writes that other parts of this node have made to the key-value store from the shard's
+ * write budget. */
 void shard_charge_writes(struct shard *shard, guint write_count);
 
-/** Handles a heartbeat of an agent (POST /agent/beat); it is responded to in this call or, if it is
- * forwarded to the owner of the machine, later. */
+/** Handles a heartbeat of an agent (POST /agent/beat). The response is sent before this call
+ * returns or, if the heartbeat is forwarded to the owner of the machine, later. */
 void shard_handle_heartbeat(struct shard *shard, struct http_responder *responder,
                             connection_ref from, const struct http_request *request);
 
-/** What the shard's status says of a machine to the leader: a sum of flags, part of the message. */
+/** Bit flags that describe a machine in the shard's status message to the leader. The values are
+ * part of the message format. */
 enum machine_flag {
-    /** Its agent has reported to this owner. */
+    /** The machine's agent has reported to the current owner. */
     MACHINE_REPORTED = 1,
-    /** It is silent, and does not answer probes. */
+    /** The machine cannot be reached and does not respond to probes. */
     MACHINE_UNREACHABLE = 2,
-    /** The cloud takes it back. */
+    /** The cloud has announced that it will reclaim the machine. */
     MACHINE_BEING_RECLAIMED = 4,
-    /** It takes no tasks now, for whatever reason. */
+    /** The machine accepts no tasks at present, for any reason. */
     MACHINE_UNAVAILABLE = 8,
-    /** Its agent's lease has expired well before now. */
+    /** The lease of the machine's agent expired well before now. */
     MACHINE_LEASE_EXPIRED = 16,
 };
 
--- a/src/shard/shard_epoch.c
+++ b/src/shard/shard_epoch.c
@@ -1,8 +1,8 @@
 /**
  * @file
- * The beginning of an epoch of the shard map: what was dispatched in the last one and is not
- * recorded is void, and machines may have other owners. No transaction of the last epoch can be
- * carried out after the new map was written, as all are conditioned on the map.
+ * The start of a new shard map epoch. Dispatches of the previous epoch that have no record are
+ * void, and machines may have new owners. No transaction of the previous epoch can be committed
+ * after the new map was written, as all of them are conditioned on the map.
  */
 #include "shard_epoch_internal.h"
 
@@ -19,15 +19,16 @@
            shard_map_contains(shard->replica, label, membership_get_incarnation(shard->membership));
 }
 
-/** Forgets what was in flight in the last epoch.
- * @param skipped epochs were skipped: another owner's commands may still be on their way */
+/** Discards the state of a run that belonged to the previous epoch.
+ * @param epochs_skipped epochs were skipped, so that commands of another owner may still be in
+ *     transit */
 static void reset_run(const struct shard *shard, struct task_run *run, bool epochs_skipped)
 {
     run->record.is_in_txn = false;
     if (epochs_skipped)
         run->start.fencing_token.value = shard->epoch.value - 1;
     if (run->phase == TASK_RUN_ENDED)
-        run->phase = TASK_RUN_RECORDED; /* proven again by the next heartbeat */
+        run->phase = TASK_RUN_RECORDED; /* the next heartbeat proves the end again */
 }
 
 static void reset_machine(struct shard *shard, struct machine *machine, bool epochs_skipped)
@@ -43,7 +44,7 @@
     machine->record.pending_change = MACHINE_RECORD_UNCHANGED;
 }
 
-/** Drops the machines that have another owner now. */
+/** Drops the machines that another node owns now, and resets the others. */
 static void update_kept_machines(struct shard *shard, bool epochs_skipped)
 {
     GHashTableIter iter;
@@ -57,7 +58,7 @@
     }
 }
 
-/** Adds the machines that have come to this node. */
+/** Adds the machines whose ownership has moved to this node. */
 static void add_new_machines(struct shard *shard)
 {
     GHashTableIter iter;
@@ -68,8 +69,9 @@
             shard_add_machine(shard, stored->id);
 }
 
-/** Drops what is placed and not recorded, and probes the machines that have not reported yet: the
- * answer shows what runs there. Returns the names of the machines that were returned. */
+/** Rejects runs that are placed but not recorded, and probes the machines that have not reported
+ * yet, as the response shows what is running there. Returns the names of the machines that were
+ * returned to the cloud. */
 static GPtrArray *reject_unrecorded_runs_and_probe(struct shard *shard)
 {
     GPtrArray *returned = g_ptr_array_new_with_free_func(g_free);
@@ -78,7 +80,7 @@
     g_hash_table_iter_init(&iter, shard->machines);
     while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&machine)) {
         shard_reject_unrecorded_runs(shard, machine, false);
-        shard->status.wants_epoch_raise = false; /* the epoch is new */
+        shard->status.wants_epoch_raise = false; /* the new epoch has just begun */
         if (machine->is_returned)
             g_ptr_array_add(returned, g_strdup(machine->id.text));
         else if (!machine->heartbeat.has_reported)
@@ -99,7 +101,7 @@
 void shard_begin_epoch(struct shard *shard)
 {
     /* If the replica shows several new epochs at once, a machine may have had another owner in
-     * between: it is treated as if it came to this node only now. */
+     * between. It is then treated as if this node had become its owner only now. */
     bool epochs_skipped = shard->replica->shard_map_epoch.value != shard->epoch.value + 1;
     shard->epoch = shard->replica->shard_map_epoch;
     shard->generation++;
@@ -114,7 +116,7 @@
     GPtrArray *returned = reject_unrecorded_runs_and_probe(shard);
     end_runs_of_returned_machines(shard, returned);
     g_ptr_array_unref(returned);
-    /* The leader knows that nothing is dispatched in a new epoch. */
+    /* The leader knows that no dispatch of an earlier epoch is outstanding in a new one. */
     g_array_set_size(shard->status.rejected_dispatches, 0);
     shard_request_status(shard);
 }
--- a/src/shard/shard_epoch_internal.h
+++ b/src/shard/shard_epoch_internal.h
@@ -1,13 +1,13 @@
 /**
  * @file
- * Epochs of the shard map.
+ * Changes of the shard map's epoch.
  */
 #ifndef LL_SHARD_EPOCH_INTERNAL_H
 #define LL_SHARD_EPOCH_INTERNAL_H
 
 #include "shard_internal.h"
 
-/** Takes the shard to the epoch of the replica's shard map. */
+/** Moves the shard to the epoch of the replica's shard map. */
 void shard_begin_epoch(struct shard *shard);
 
 #endif
--- a/src/shard/shard_internal.h
+++ b/src/shard/shard_internal.h
@@ -1,7 +1,7 @@
 /**
  * @file
- * The state of a shard, and what its modules offer one another. A module with types of its own has
- * a header of its own, which this one includes or which includes this one.
+ * The state of a shard, and the functions that its modules share. A module with its own types has
+ * its own header, which either is included here or includes this one.
  */
 #ifndef LL_SHARD_INTERNAL_H
 #define LL_SHARD_INTERNAL_H
@@ -9,88 +9,93 @@
 #include "arq.h"
 #include "machine_internal.h"
 
-/** Machines that go back to the cloud. */
+/** Machines that were returned to the cloud or are about to be. */
 struct shard_returns {
-    /** Names of machines that were returned: heartbeats that still come from them are ignored. The
-     * older half is forgotten when the newer one is full. */
+    /** Names of machines that were returned; their heartbeats are ignored. The older set is
+     * discarded when the newer one is full. */
     GHashTable *returned, *older_returned;
-    /** Names of machines that the leader of this epoch is going to return, also of those that are
-     * not known here yet. */
+    /** Names of machines that the leader of this epoch is about to return, including machines that
+     * are not known here yet. */
     GHashTable *cordoned;
 };
 
-/** The status messages to the leader, and what the next one has to say. */
+/** State of the status messages to the leader, and the contents of the next one. */
 struct shard_status {
-    /** Of the newest message, counted within this process. */
+    /** Sequence number of the newest message, counted by this process. */
     uint64_t sequence;
-    /** Messages sent, to tell when a full one is due. */
+    /** Number of messages sent, without those for which next_is_full was set; tells when a full one
+     * is due. */
     guint sent_count;
     bool in_flight;
-    /** One is to be sent as soon as none is in flight. */
+    /** A message is to be sent as soon as none is in flight. */
     bool is_requested;
-    /** The next one names all machines, not only those that changed. */
+    /** The next message lists all machines, not only those that changed. */
     bool next_is_full;
-    /** The next one asks for a new epoch: only that proves the end of some run. */
+    /** The next message requests a new epoch, as only that proves the end of some run. */
     bool wants_epoch_raise;
-    /** struct dispatch: not placed here, to be dispatched again by the leader. */
+    /** Dispatches that could not be placed here (struct dispatch), for the leader to dispatch
+     * again. */
     GArray *rejected_dispatches;
-    /** struct task_event */
+    /** Events for the leader (struct task_event). */
     GArray *events;
     struct timer timer;
 };
 
 /** The queues of dispatched tasks, and the state of placement. */
 struct shard_placement {
-    /** struct dispatch, by ARQ class; [0]: the job is not in the replica yet. */
+    /** Queued dispatches (struct dispatch) by ARQ class; [0] holds those whose job is not in the
+     * replica yet. */
     GQueue queues[ARQ_CLASSES + 1];
-    /** By ARQ pool. */
+    /** History of busy periods by ARQ pool. */
     struct arq_busy_history busy_history[ARQ_CLASSES + 1];
-    /** Resources were released or a machine came: a task in the queues may fit now. */
+    /** Resources were released or a machine was added, so that a queued task may fit now. */
     bool capacity_changed;
     mono_time switch_rule_applied_at;
     struct timer timer;
-    /** Of the pass through the queues under way, in which free resources only shrink: */
-    /** struct machine: those that may have free resources. */
+    /** The following fields belong to the current placement pass, during which free resources only
+     * decrease. */
+    /** Machines that may have free resources (struct machine). */
     GPtrArray *available_machines;
-    /** struct unschedulable: requests that no machine could hold. */
+    /** Requests that no machine can hold (struct unschedulable). */
     GArray *unschedulable;
-    /** Searches for attempts that keep a task from its machine. */
+    /** Number of searches for attempts that keep a task off a machine. */
     int blocked_attempt_searches;
 };
 
-/** How long starts and ends waited for their records since it was last logged. */
+/** How long starts and ends of runs waited for their records to be written, since the last log
+ * entry. */
 struct write_waits {
     guint start_count, end_count, write_count;
     double start_wait_ms, end_wait_ms;
 };
 
-/** The stored records of a shard, and when they are written. */
+/** The stored records of a shard, and the schedule for writing them. */
 struct shard_records {
-    /** struct own_page, by number. */
+    /** Own pages (struct own_page), by number. */
     GPtrArray *pages;
-    /** struct own_inventory, by number; see machine_inventory.c. */
+    /** Own inventories (struct own_inventory), by number; see machine_inventory.c. */
     GPtrArray *inventories;
-    /** "JOB UNIT" -> GPtrArray of struct completion_unit, one a page. */
+    /** Maps "JOB UNIT" to a GPtrArray of struct completion_unit, one for each page. */
     GHashTable *completion_units;
-    /** Of the other nodes' pages that records are taken over from, the one to begin with: another
-     * one each time. */
+    /** Index of the first page to adopt records from, among the usable pages of other nodes; it
+     * advances with each batch. */
     guint first_source_page;
-    /** A transaction of records is in flight; there is one at a time. */
+    /** A transaction of records is in flight. There is at most one. */
     bool txn_in_flight;
-    /** There is something to be written. */
+    /** There are changes to write. */
     bool is_dirty;
     struct write_waits write_waits;
     mono_time inventory_written_at;
-    /** When a page that could not be split is tried again. */
+    /** When to retry a page that could not be split. */
     mono_time split_retry_at;
-    /** Writes that this node may make now, by its share of the write rate; refilled over time since
-     * write_budget_at. */
+    /** Number of writes that this node may make now, by its share of the write rate; refilled for
+     * the time since write_budget_at. */
     double write_budget;
     mono_time write_budget_at;
     struct timer flush_timer;
 };
 
-/** A node's shard: the machines that it owns by the shard map. */
+/** A node's shard: the machines that it owns according to the shard map. */
 struct shard {
     struct actor actor;
     struct loop *loop;
@@ -104,15 +109,17 @@
     struct failure_detector *failure_detector;
     const struct settings *settings;
 
-    /** Of the shard map that the machines are owned by. */
+    /** Epoch of the shard map that determines which machines this node owns. */
     epoch_no epoch;
-    /** Counts the epochs seen by this process; what was begun in an earlier one is void. */
+    /** Number of epochs seen by this process. Operations begun in an earlier generation are void.
+     */
     uint64_t generation;
-    /** The newest dispatch message of this epoch. */
+    /** Sequence number of the newest dispatch message in this epoch. */
     uint64_t last_dispatch_sequence;
-    /** Name -> struct machine. */
+    /** Maps the name of a machine to its struct machine. */
     GHashTable *machines;
-    /** Name -> struct redirect, of machines that report here and belong to other nodes. */
+    /** Maps the name of a machine that another node owns, but that reports here, to its struct
+     * redirect. */
     GHashTable *redirects;
     struct shard_returns returns;
     struct shard_status status;
@@ -123,15 +130,15 @@
 
 /* shard_status.c */
 
-/** Sends the leader a status in a moment, before the regular one. */
+/** Sends the leader a status message after a short delay, ahead of the regular one. */
 void shard_request_status(struct shard *shard);
 
 /* task_runs.c */
 
-/** The job if it is in the replica and neither done nor cancelled, or NULL. */
+/** Returns the job if it is in the replica and neither done nor cancelled, or NULL. */
 struct job *shard_find_active_job(struct shard *shard, job_id id);
-/** Whether a job is over for all that this node knows, from its replica or from other nodes: its
- * runs are to be stopped. */
+/** Returns whether a job is finished as far as this node knows, from its replica or from other
+ * nodes. The runs of a finished job are to be stopped. */
 bool shard_job_is_finished(struct shard *shard, job_id id);
 
 #endif
--- a/src/shard/shard_messages.c
+++ b/src/shard/shard_messages.c
@@ -1,6 +1,6 @@
 /**
  * @file
- * Encoders and decoders of the messages between the leader and the shards.
+ * Encoding and decoding of the messages between the leader and the shards.
  */
 #include "shard_messages.h"
 
@@ -23,18 +23,18 @@
 #define FIELD_RUN_TIME_S "took"
 #define FIELD_CORDONED_BY_LEADER "shut"
 
-/** Positions in the array that describes a machine. */
+/** Indexes into the array that describes a machine. */
 enum machine_status_position {
     POSITION_ID,
     POSITION_TYPE,
     POSITION_ZONE,
     POSITION_SPOT,
     POSITION_FLAGS,
-    /** Left out when the images are unchanged. */
+    /** Omitted if the images are unchanged. */
     POSITION_IMAGES,
 };
 
-/* ---- parts of messages ---- */
+/* ---- common parts ---- */
 
 static const cJSON *get_field(const cJSON *object, const char *field)
 {
@@ -51,7 +51,7 @@
     return node_rpc_decode_task(json, &out->job, &out->index, &out->attempt);
 }
 
-/** The strings of a list; NULL when it is missing. */
+/** Returns the strings of a JSON list, or NULL if the list is missing. */
 static GPtrArray *decode_strings(const cJSON *list)
 {
     if (!list)
@@ -66,7 +66,7 @@
     return strings;
 }
 
-/** The same; empty when it is missing. */
+/** Returns the strings of a JSON list; an empty array if the list is missing. */
 static GPtrArray *decode_optional_strings(const cJSON *list)
 {
     return list ? decode_strings(list) : g_ptr_array_new();
@@ -94,7 +94,7 @@
     return json;
 }
 
-/* Each of the decoders of items below appends its item to a list, unless it is malformed. */
+/* Each of the item decoders below appends its item to a list, unless the item is malformed. */
 
 /* ---- dispatches ---- */
 
@@ -249,7 +249,8 @@
     return json;
 }
 
-/** One item may tell both how long a task took and why one failed: these are two events. */
+/** Decodes an item of the events list. An item with both a run time and a cause is decoded as two
+ * events. */
 static void task_event_decode(const cJSON *json, GArray *events)
 {
     const char *machine = node_rpc_get_text(json, FIELD_MACHINE);
--- a/src/shard/shard_messages_internal.h
+++ b/src/shard/shard_messages_internal.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * Sending and receiving the messages between this node's shard and the leader, see
+ * Sending and receiving of the messages between this node's shard and the leader, see
  * shard_messages.h.
  */
 #ifndef LL_SHARD_MESSAGES_INTERNAL_H
@@ -9,15 +9,15 @@
 #include "shard_internal.h"
 #include "shard_messages.h"
 
-/** Handles a message of the leader; a node_rpc handler. Answers HTTP_STATUS_CONFLICT if the sender
- * is not the leader, or of another epoch.
+/** Handles a dispatch message; a node_rpc_handler. Returns HTTP_STATUS_CONFLICT if the sender is
+ * not the leader, the message belongs to another epoch, or this node has no valid lease.
  * @param ctx the struct shard. */
 int shard_handle_dispatch_message(void *ctx, const char *from, const cJSON *json, cJSON **response);
 
-/** Begins to send the leader the shard's status. */
+/** Starts sending the shard's status to the leader. */
 void shard_status_start(struct shard *shard);
-/** Sends the leader the shard's status: what has changed with its machines, dispatches that it
- * hands back, and events. A timer callback.
+/** Sends the shard's status to the leader: changed machines, rejected dispatches and events. A
+ * timer callback.
  * @param arg the struct shard. */
 void shard_send_status(void *arg);
 
--- a/src/shard/shard_status.c
+++ b/src/shard/shard_status.c
@@ -1,7 +1,8 @@
 /**
  * @file
- * The status messages to the leader: once a second, or sooner when something is wanted, what has
- * changed with the machines since the last one; all machines now and then.
+ * Status messages to the leader. One is sent every second, or earlier on request, with the machines
+ * that have changed since the last message. One in MESSAGES_PER_FULL_STATUS lists all machines, and
+ * so does the next one after a failure or the start of an epoch.
  */
 #include "shard_messages_internal.h"
 
@@ -12,23 +13,25 @@
 enum {
     STATUS_INTERVAL_MS = 1000,
     STATUS_TIMEOUT_MS = 2000,
-    /** After one is requested, for what else is to be said. */
+    /** Delay after a request, so that one message covers several changes. */
     STATUS_DELAY_MS = 15,
     STATUS_RETRY_MS = 250,
-    /** Every so many messages name all machines. */
+    /** One message in this number lists all machines. */
     MESSAGES_PER_FULL_STATUS = 15,
-    /** Above the lease's time, until a machine that cannot be reached counts as expired. */
+    /** Time beyond the lease duration after which the lease of an unreachable machine may be
+     * reported as expired. */
     LEASE_EXPIRED_MARGIN_MS = 20000,
 };
 
-/** Of the time until a machine counts as unreachable, for each second of the heartbeat interval. */
+/** Milliseconds without contact, per second of the heartbeat interval, after which a machine counts
+ * as unreachable. */
 static const double UNREACHABLE_MS_PER_INTERVAL_S = 2500;
 
-/** A message whose answer is awaited. */
+/** A status message that awaits its response. */
 struct status_request {
     struct shard *shard;
     uint64_t generation;
-    /** How much of what waits for the leader is in it. */
+    /** Number of rejected dispatches and of events in the message. */
     guint rejected_count, event_count;
 };
 
@@ -44,10 +47,11 @@
         timer_start(shard->loop, &shard->status.timer, STATUS_DELAY_MS);
 }
 
-/* ---- the message ---- */
+/* ---- building the message ---- */
 
-/** Whether the lease of a machine's agent has expired well before now: by this node's heartbeats
- * or, as another node may have renewed it, by the proof. */
+/** Returns whether the lease of a machine's agent expired well before now. If heartbeats still
+ * arrive here, the agent has received no response for longer than its lease. Otherwise another node
+ * may have renewed the lease, and the proof of expiry is required. */
 static bool lease_expired_long_ago(struct shard *shard, struct machine *machine,
                                    int64_t unreachable_ms)
 {
@@ -59,7 +63,7 @@
            shard_lease_has_expired(shard, machine);
 }
 
-/** The enum machine_flag of a machine. */
+/** Returns the flags (enum machine_flag) of a machine. */
 static int machine_flags(struct shard *shard, struct machine *machine)
 {
     const struct machine_reachability *reachability = &machine->reachability;
@@ -82,7 +86,7 @@
     return flags;
 }
 
-/** What the status says of a machine; notes that it was said. */
+/** Returns what the message reports about a machine, and remembers it as sent. */
 static struct machine_status describe_machine(struct machine *machine, int flags, bool is_full)
 {
     bool include_images = is_full || !machine->sent_status.has_images;
@@ -97,7 +101,7 @@
     };
 }
 
-/** Adds the machines to the message: all of them, or those that have changed. */
+/** Adds the machines to the message: all of them, or only those that have changed. */
 static void add_machines(struct shard *shard, struct status_message *message)
 {
     GHashTableIter iter;
@@ -149,9 +153,9 @@
     return json;
 }
 
-/* ---- sending it ---- */
+/* ---- sending ---- */
 
-/** Cordons the machines that the answer names, and no others. */
+/** Cordons the machines that the response names, and uncordons all others. */
 static void apply_cordoned_machines(struct shard *shard, const cJSON *response)
 {
     GHashTableIter iter;
@@ -176,8 +180,8 @@
     return http_status == HTTP_STATUS_OK ? STATUS_INTERVAL_MS : STATUS_RETRY_MS;
 }
 
-/** What the leader has received is not sent again. If the answer was lost it may have been
- * received, and the next message is a full one. */
+/** Drops what the leader has received. If the response was lost, the leader may have received the
+ * message or not, so the next one is a full message. */
 static void handle_status_response(void *arg, int http_status, const cJSON *response)
 {
     struct status_request *request = arg;
--- a/src/shard/task_end.c
+++ b/src/shard/task_end.c
@@ -1,8 +1,8 @@
 /**
  * @file
- * Proofs that a run has ended: by what its agent reports, by what the agent does not report any
- * more, by the end of its lease, or by the return of its machine. docs/safety.md argues why each is
- * one.
+ * Proofs that a run has ended: the agent reports its exit or no longer reports it, the agent's
+ * lease has expired, or the machine was returned. docs/safety.md explains why each of these is a
+ * proof.
  */
 #include "task_end_internal.h"
 
@@ -13,20 +13,21 @@
 #include "shard_messages.h"
 
 enum {
-    /** Events that wait for the next status. Above the first number, run times are dropped; above
-     * the second, failures are, too. */
+    /** Limits on the events that wait for the next status message. Run times are dropped beyond the
+     * first limit, failures beyond the second. */
     MAX_RUN_TIME_EVENTS = 200,
     MAX_FAILURE_EVENTS = 2 * MAX_TRACKED_MACHINES,
-    /** How long a missing run may still be on its way to the agent before a new epoch is asked for
-     * to prove its end. */
+    /** How long the command for a missing run may still be in transit before a new epoch is
+     * requested to prove the end of the run. */
     MISSING_RUN_GRACE_MS = 1000,
-    /** Added to the lease, and to the time within which cancelled tasks stop, when their end is
-     * concluded from the clock. */
+    /** Safety margins added to the lease duration and to the time limit for stopping cancelled
+     * tasks, when their end is inferred from the clock. */
     LEASE_MARGIN_MS = 500,
     CANCEL_MARGIN_MS = 1000,
 };
 
-/** Milliseconds for each second of another node's clock, which may be slower by 0.2 %. */
+/** Milliseconds on this node's clock in which one second passes on the clock of another node, which
+ * may be slower by 0.2 %. */
 static const double LENGTHENED_MS_PER_S = 1002;
 
 static const char *proof_name(enum run_end_proof proof)
@@ -50,9 +51,8 @@
     return "unproven";
 }
 
-/** Takes a recorded run as ended; its record and, if it completed, its completion are to be
- * written.
- */
+/** Marks a recorded run as ended. Its record will be removed, and its completion recorded if it
+ * completed. */
 static void end_run(struct shard *shard, struct task_run *run, enum run_end_proof proof)
 {
     if (run->phase != TASK_RUN_RECORDED)
@@ -68,7 +68,7 @@
         arq_busy_history_add(&shard->placement.busy_history[run->placement_pool], busy_s);
 }
 
-/** The same for a run whose task is lost. */
+/** Logs the loss of a task and marks its run as ended. */
 static void end_lost_run(struct shard *shard, const struct machine *machine, struct task_run *run,
                          enum run_end_proof proof)
 {
@@ -93,8 +93,8 @@
     mono_time now = loop_now(shard->loop);
     int64_t lease_ms = (int64_t)(settings->lease_s * LENGTHENED_MS_PER_S) + LEASE_MARGIN_MS;
     int64_t max_renewal_ms = shard_max_renewal_ms(shard) * (int64_t)LENGTHENED_MS_PER_S / 1000;
-    /* Until the agent shows a token of this owner, an earlier owner that is cut off may still renew
-     * its lease, for as long as shard_max_renewal_ms() allows. */
+    /* Until the agent shows a fencing token of this owner, an earlier owner that is cut off may
+     * still renew the lease, for as long as shard_max_renewal_ms() allows. */
     if (machine->heartbeat.fencing_token < lease->owned_since_epoch.value) {
         int64_t cancel_ms =
             (int64_t)(settings->cancel_timeout_s * LENGTHENED_MS_PER_S) + CANCEL_MARGIN_MS;
@@ -110,8 +110,8 @@
                                       max_renewal_ms);
 }
 
-/** Adds an event about a task to the next status, unless there are too many.
- * @param value the cause or the seconds, by the kind */
+/** Adds a task event to the next status message, unless there are too many.
+ * @param value the cause or the run time in seconds, depending on the kind */
 static void add_task_event(struct shard *shard, const struct machine *machine,
                            const struct task_run *run, enum task_event_kind kind, double value,
                            guint max_events)
@@ -122,7 +122,8 @@
     g_array_append_val(shard->status.events, event);
 }
 
-/** The leader counts failures: too many quarantine the machine, or pause the job. */
+/** Reports a failure to the leader, which quarantines a machine or pauses a job after too many
+ * failures. */
 static void report_failure(struct shard *shard, const struct machine *machine,
                            const struct task_run *run, enum exit_cause cause)
 {
@@ -134,7 +135,8 @@
     shard_request_status(shard);
 }
 
-/** The leader compares the run times of a job's tasks to find slow machines. */
+/** Reports a run time to the leader, which compares the run times of a job's tasks to find slow
+ * machines. */
 static void report_run_time(struct shard *shard, const struct machine *machine,
                             const struct task_run *run)
 {
@@ -145,7 +147,7 @@
                    MAX_RUN_TIME_EVENTS);
 }
 
-/** Applies that a recorded run is reported as exited. */
+/** Handles a recorded run that the agent reports as exited. */
 static void handle_exited_run(struct shard *shard, struct machine *machine, struct task_run *run,
                               enum exit_cause cause)
 {
@@ -156,12 +158,13 @@
         return;
     }
     if (shard_find_active_job(shard, run->job) && !shard_can_record_completion(shard, run))
-        return; /* tried again with the next heartbeat, which reports it again */
+        return; /* the next heartbeat reports the run again, and the end is retried */
     report_run_time(shard, machine, run);
     end_run(shard, run, RUN_END_COMPLETED);
 }
 
-/** A task that runs, or ran to its end, has had its image fetched. */
+/** Adds the image of a task to the machine's image cache if the task is running or completed, as
+ * the image has been fetched then. */
 static void record_fetched_image(struct shard *shard, struct machine *machine,
                                  const struct task_run *run, const struct heartbeat_task *task)
 {
@@ -200,11 +203,11 @@
         return;
     }
     if (!run->stop.is_requested && previous_visibility == RUN_NOT_REPORTED)
-        return; /* it may not have been started yet */
+        return; /* the run may not have been started yet */
     if (previous_visibility != RUN_NOT_REPORTED)
         run->reported.visibility = RUN_DISAPPEARED;
-    /* Never sent by this owner, or with a lower token than the agent has seen since: no copy of the
-     * command can start it any more. */
+    /* Either this owner never sent the command, or it sent it with a lower fencing token than the
+     * agent has seen since. In both cases no copy of the command can start the attempt any more. */
     if (heartbeat->fencing_token > run->start.fencing_token.value)
         end_run(shard, run, RUN_END_FENCED);
     else if (time_ms_since(loop_now(shard->loop), run->start.sent_at) > MISSING_RUN_GRACE_MS)
--- a/src/shard/task_placement.c
+++ b/src/shard/task_placement.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * Which machine takes a task: the candidates by ARQ pool, the choice among them, and the switch
- * rule. docs/design.md states the order of choice.
+ * The choice of a machine for a task: candidates by ARQ pool, the choice among them, and the switch
+ * rule. docs/design.md describes the order of preference.
  */
 #include "task_placement_internal.h"
 
@@ -10,11 +10,12 @@
 #include "run_records_internal.h"
 
 enum {
-    /** Added to the time without a heartbeat after which a machine takes no tasks. */
+    /** Fixed part of the time without a heartbeat after which a machine accepts no tasks. */
     HEARTBEAT_OVERDUE_MARGIN_MS = 1500,
 };
 
-/** Of that time, for each second of the heartbeat interval. */
+/** Milliseconds without a heartbeat, per second of the heartbeat interval, after which a machine
+ * accepts no tasks; HEARTBEAT_OVERDUE_MARGIN_MS is added. */
 static const double OVERDUE_MS_PER_INTERVAL_S = 1250;
 
 bool shard_machine_is_available(struct shard *shard, struct machine *machine)
@@ -37,19 +38,20 @@
 
 /* ---- candidates ---- */
 
-/** A machine that can take the task; machine NULL: none. */
+/** A machine that can hold the task, and its score; machine is NULL if there is none. */
 struct candidate {
     struct machine *machine;
     double score;
 };
 
-/** The best candidates of each ARQ pool, and the best of those that have the task's image. */
+/** The best candidate of each ARQ pool, and the best one that has cached the task's image. */
 struct candidate_set {
     struct candidate by_pool[ARQ_CLASSES + 1], with_image;
     bool is_empty;
 };
 
-/** An agent refuses a task while it still reports an earlier attempt. */
+/** Returns whether the machine has any attempt of the task. An agent refuses a task while it still
+ * reports an earlier attempt. */
 static bool has_any_attempt(const struct machine *machine, const struct dispatch *dispatch)
 {
     for (guint i = 0; i < machine->runs->len; i++) {
@@ -80,8 +82,8 @@
            !has_any_attempt(machine, dispatch);
 }
 
-/** Equal scores are decided by name, so that the choice does not depend on the order of machines.
- */
+/** Replaces the best candidate if the other one is better. Ties are broken by name, so that the
+ * choice does not depend on the order of the machines. */
 static void keep_better_candidate(struct candidate *best, struct candidate other)
 {
     if (other.machine && (!best->machine || other.score > best->score ||
@@ -119,7 +121,7 @@
             add_candidate(candidates, machines->pdata[i], spec);
 }
 
-/** The best candidate of the pools up to one. */
+/** Returns the best candidate of pools 1 to last_pool, or NULL. */
 static struct machine *best_up_to_pool(const struct candidate_set *candidates, int last_pool)
 {
     struct candidate best = {0};
@@ -128,10 +130,11 @@
     return best.machine;
 }
 
-/* ---- the choice ---- */
+/* ---- choice ---- */
 
-/** The candidate of the task's own pool; else of the next one, while no task waits for that; else
- * the busiest that fits, unless it belongs to an emptier pool, for which the task waits. */
+/** Returns the best candidate of the task's own pool, or else of the next pool if no task waits in
+ * its queue, or else of the pools of busier machines. Returns NULL if only emptier machines fit;
+ * the task waits then. */
 static struct machine *choose_by_pool(const struct shard *shard, const struct dispatch *dispatch,
                                       const struct candidate_set *candidates)
 {
@@ -151,8 +154,8 @@
 {
     bool is_bound = dispatch->bound_machine[0] != '\0';
     bool is_urgent = job->inherited_priority <= PRIORITY_HIGH;
-    /* Urgent tasks go where the image is, whatever the pool: a fetch takes longer than most waits
-     * that the switch rule weighs. */
+    /* Urgent tasks are placed where the image is cached, in any pool: fetching an image takes
+     * longer than most of the waits that the switch rule weighs. */
     if (is_urgent && !is_bound && candidates->with_image.machine)
         return candidates->with_image.machine;
     if (job->spec->form == FORM_SERVICE || is_bound || decision == ARQ_TAKE_ANY)
@@ -160,8 +163,8 @@
     return choose_by_pool(shard, dispatch, candidates);
 }
 
-/** Within one pass resources only shrink: a request that is not smaller than one that found nothing
- * need not be looked for. */
+/** Returns whether the request is at least as large as one that no machine could hold. Free
+ * resources only decrease within a pass, so such a request needs no search. */
 static bool is_known_unschedulable(const struct shard *shard, const struct dispatch *dispatch,
                                    const struct job_spec *spec)
 {
@@ -193,9 +196,10 @@
     return *out ? PLACEMENT_FOUND : PLACEMENT_WAITS;
 }
 
-/* ---- the switch rule ---- */
+/* ---- switch rule ---- */
 
-/** For how long its oldest run has kept a machine busy, in seconds; -1: it is not busy. */
+/** Returns for how long the machine's oldest run has kept it busy, in seconds; -1 if it is not
+ * busy. */
 static double busy_age_s(const struct machine *machine, mono_time now)
 {
     double oldest_s = -1;
@@ -207,7 +211,7 @@
     return oldest_s;
 }
 
-/** The chance that a busy machine of a pool becomes free in time. */
+/** Returns the probability that a busy machine of a pool becomes free in time. */
 static double pool_free_probability(struct shard *shard, int pool, double within_s,
                                     double expected_run_s)
 {
--- a/src/shard/task_run_internal.h
+++ b/src/shard/task_run_internal.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * The runs of tasks on the node's machines: one attempt of one task on one machine, from its
+ * Runs of tasks on the node's machines. A run is one attempt of a task on one machine, from its
  * placement until its record is removed and its agent has forgotten it.
  */
 #ifndef LL_TASK_RUN_INTERNAL_H
@@ -11,79 +11,81 @@
 
 struct machine;
 
-/** Where a run is in its life. A run keeps its resources in every phase but the last. */
+/** Phases in the life of a run. A run keeps its resources in all phases but the last. */
 enum task_run_phase {
-    /** Placed by this node; its record is not written yet, and no command was sent. */
+    /** The run was placed by this node; its record is not written yet, and no command was sent. */
     TASK_RUN_PLACED,
-    /** Its record is written: it may be running. */
+    /** The record of the run is written, and the task may be running. */
     TASK_RUN_RECORDED,
-    /** It is proven that it does not run any more; its record is not removed yet. */
+    /** It is proven that the run has ended; its record is not removed yet. */
     TASK_RUN_ENDED,
-    /** Its record is removed; it is kept until the agent does not report the attempt any more. */
+    /** The record of the run is removed. The run is kept until the agent no longer reports the
+     * attempt. */
     TASK_RUN_RELEASED,
 };
 
-/** Which stored page the record of a run is on. */
+/** Where the record of a run is stored. */
 struct run_record_state {
-    /** Number of the page among this node's own; -1: it is on none of them. */
+    /** Number of this node's page that holds the record; -1: none of them does. */
     int page;
     /** The record is still on a page of an earlier owner of the machine; the replica knows which.
      */
     bool is_foreign;
     /** The transaction in flight adds, moves or removes the record. */
     bool is_in_txn;
-    /** With is_in_txn, the page that the record comes to; -1: it is removed. */
+    /** If is_in_txn, the page that will hold the record; -1: the record is removed. */
     int next_page;
-    /** It was in a transaction whose outcome may be unknown: it may be recorded. */
+    /** The record was in a transaction whose outcome may be unknown, so that it may be stored. */
     bool may_be_recorded;
 };
 
 /** The run commands that this node has sent for a run. An agent executes a command only if its
- * fencing token is not lower than the highest that the agent has seen, which is what makes it
- * provable that no copy of a command can start the task any more. */
+ * fencing token is not lower than the highest one that the agent has seen. That makes it possible
+ * to prove that no copy of a command can start the task any more. */
 struct run_start {
-    /** The highest fencing token that a run command for this attempt may have carried, also one of
-     * an earlier owner. */
+    /** The highest fencing token that a run command for this attempt may have carried, including
+     * commands of earlier owners. */
     epoch_no fencing_token;
-    /** The agent epoch known when the last one was sent; 0: not known. */
+    /** The agent epoch known when the last command was sent; 0: unknown. */
     uint64_t agent_epoch;
-    /** Commands sent directly (not in the response to a heartbeat) whose outcome is unknown. */
+    /** Number of pushed commands (not those in heartbeat responses) whose outcome is unknown. */
     int in_flight;
-    /** When the last one was sent; 0: never by this node. */
+    /** When the last command was sent; 0: never by this node. */
     mono_time sent_at;
 };
 
 /** Whether the agent's heartbeats name a run. */
 enum run_visibility {
-    /** No heartbeat has named it, or it has ended since. */
+    /** No heartbeat has named the run, or it has ended since. */
     RUN_NOT_REPORTED,
-    /** The newest heartbeat names it. */
+    /** The newest heartbeat names the run. */
     RUN_REPORTED,
-    /** An earlier heartbeat named it, the newest does not, and nothing proves yet that it has
-     * ended. */
+    /** An earlier heartbeat named the run, the newest one does not, and nothing proves yet that the
+     * run has ended. */
     RUN_DISAPPEARED,
 };
 
-/** What the agent's heartbeats say of a run. */
+/** What the agent's heartbeats report about a run. */
 struct run_report {
     enum run_visibility visibility;
-    /** Scratch of shard_machine_apply_heartbeat(): the heartbeat being applied names it. */
+    /** Temporary mark of shard_machine_apply_heartbeat(): the heartbeat being applied names the
+     * run. */
     bool in_current_heartbeat;
-    /** With RUN_REPORTED, as in the newest heartbeat. */
+    /** State in the newest heartbeat; valid with RUN_REPORTED. */
     enum task_state state;
-    /** When it was first reported as running; 0: never. */
+    /** When the run was first reported as running; 0: never. */
     mono_time running_at;
 };
 
 /** A request to stop a run. */
 struct run_stop {
     bool is_requested;
-    /** How long the task may take to save its state, in seconds. */
+    /** Grace period in which the task may save its state, in seconds. */
     double grace_s;
     /** When the first stop command was sent; 0: not yet. */
     mono_time sent_at;
-    /** The earliest moment at which a user may have had the cancellation of the job confirmed;
-     * 0: the job is not over. */
+    /** The earliest time at which the cancellation of the job can have been confirmed to a user; 0:
+     * the job is not finished. */
     mono_time job_finished_since;
 };
 
@@ -96,37 +98,37 @@
     RUN_END_EXITED,
     /** The agent was restarted after the command was sent, and does not report the attempt. */
     RUN_END_AGENT_RESTARTED,
-    /** The agent does not report the attempt, and has seen a newer fencing token than any command
-     * for it can have carried. */
+    /** The agent does not report the attempt, and has seen a higher fencing token than any command
+     * for the attempt can have carried. */
     RUN_END_FENCED,
-    /** The agent's lease has expired, so that it has stopped everything. */
+    /** The agent's lease has expired, so that the agent has stopped all tasks. */
     RUN_END_LEASE_EXPIRED,
     /** The machine was returned to the cloud. */
     RUN_END_MACHINE_RETURNED,
 };
 
-/** The end of a run, from TASK_RUN_ENDED on. A change of the shard map's epoch takes the run back
- * to TASK_RUN_RECORDED, until the end is proven again. */
+/** The end of a run, valid from TASK_RUN_ENDED on. A new epoch of the shard map sets the run back
+ * to TASK_RUN_RECORDED until its end is proven again. */
 struct run_end {
     enum run_end_proof proof;
     mono_time ended_at;
 };
 
-/** One attempt of one task on one of this node's machines. */
+/** One attempt of a task on one of this node's machines. */
 struct task_run {
     job_id job;
-    /** Number of the task within its job. */
+    /** Index of the task within its job. */
     uint32_t index;
     attempt_no attempt;
-    /** Number of the leader's dispatch; 0: it was not dispatched to this process. */
+    /** Number of the leader's dispatch; 0: the task was not dispatched to this process. */
     uint64_t dispatch_number;
-    /** What it has allocated on its machine. */
+    /** Resources that the run has allocated on its machine. */
     struct resources resources;
-    /** It belongs to a service, and counts among the machine's service_resources. */
+    /** The run belongs to a service, and counts towards the machine's service_resources. */
     bool is_service;
-    /** The ARQ pool that its machine was in when it was placed; 0: not placed by this process. */
+    /** ARQ pool of the machine when the run was placed; 0: not placed by this process. */
     int placement_pool;
-    /** When this process placed it or took it over. */
+    /** When this process placed the run or took it over. */
     mono_time placed_at;
 
     enum task_run_phase phase;
@@ -137,23 +139,23 @@
     struct run_end end;
 };
 
-/** Adds a run to a machine and allocates its resources there. The machine owns it.
- * @param spec the job's; NULL: not known, the run allocates nothing. */
+/** Adds a run to a machine and allocates its resources there. The machine owns the run.
+ * @param spec the job's specification; NULL: unknown, so that the run allocates nothing. */
 struct task_run *shard_run_add(struct machine *machine, job_id job, uint32_t index,
                                attempt_no attempt, const struct job_spec *spec);
-/** The run of an attempt on a machine, or NULL. */
+/** Returns the run of an attempt on a machine, or NULL. */
 struct task_run *shard_run_find(struct machine *machine, job_id job, uint32_t index,
                                 attempt_no attempt);
-/** Releases a run's resources, unless that was done; the caller sets its phase. */
+/** Releases the resources of a run, unless they were released before. The caller sets the phase. */
 void shard_run_release_resources(struct shard *shard, struct machine *machine,
                                  struct task_run *run);
-/** Releases the resources of the run at a position of machine->runs and frees it. The last run
- * takes its position. */
+/** Releases the resources of the run at an index of machine->runs and frees the run. The last run
+ * is moved to its index. */
 void shard_run_remove(struct shard *shard, struct machine *machine, guint position);
-/** Requests that a run be stopped; a second request changes nothing. The command is sent by the
+/** Requests that a run be stopped; further requests have no effect. The command is sent with the
  * next push or heartbeat response. */
 void shard_run_request_stop(struct task_run *run, double grace_s);
-/** Requests that a run be stopped at once, without grace, if its job is over. */
+/** Requests that a run be stopped at once, without a grace period, if its job is finished. */
 void shard_run_request_stop_if_job_finished(struct shard *shard, struct task_run *run);
 
 #endif
--- a/src/shard/task_runs.c
+++ b/src/shard/task_runs.c
@@ -1,6 +1,6 @@
 /**
  * @file
- * Runs of tasks: their resources, requests to stop them, and the jobs they belong to.
+ * Runs of tasks: allocation of resources, stop requests, and the state of their jobs.
  */
 #include "shard_internal.h"
 
@@ -10,9 +10,9 @@
     return job && job->is_known && job->state == JOB_ACTIVE && job->spec ? job : NULL;
 }
 
-/* A cancellation that is only possible counts while this node has no lease, and can neither start
- * the task again nor learn more. With a lease the replica will show soon what became of it, and the
- * task might be stopped for nothing. */
+/* A possible cancellation counts only while this node has no lease: it can then neither start the
+ * task again nor learn more about the cancellation. With a lease, the replica will soon show the
+ * outcome, and the task might be stopped needlessly. */
 bool shard_job_is_finished(struct shard *shard, job_id id)
 {
     struct job *job = replica_get_job(shard->replica, id.text);
@@ -84,7 +84,7 @@
     if (!shard_job_is_finished(shard, run->job))
         return;
     shard_run_request_stop(run, 0);
-    run->stop.grace_s = 0; /* also if it was requested before: nobody needs what it would save */
+    run->stop.grace_s = 0; /* even if requested before: the saved state would not be used */
     if (run->stop.job_finished_since.us)
         return;
     run->stop.job_finished_since =
