--- a/src/scheduler/shard_dispatcher.c
+++ b/src/scheduler/shard_dispatcher.c
@@ -130,7 +130,7 @@
 /** Tells the cloud provider which machines the shard has cordoned, so that it can return them. */
 static void note_cordoned_machines(struct leader *leader, const cJSON *response)
 {
-    GPtrArray *names = dispatch_answer_decode(response);
+    GPtrArray *names = dispatch_response_decode(response);
     for (guint i = 0; i < names->len; i++)
         cloud_provider_note_cordoned(leader->cloud, names->pdata[i], leader->epoch);
     g_ptr_array_unref(names);
--- a/src/shard/dispatch_queue.c
+++ b/src/shard/dispatch_queue.c
@@ -1,7 +1,8 @@
 /**
  * @file
- * The queues of dispatched tasks, one for each ARQ class. A pass goes through all of them, by class
- * and arrival: each task is placed, moved to another queue, handed back to the leader, or waits.
+ * The queues of dispatched tasks, one for each ARQ class. A placement pass visits all queues by
+ * class and order of arrival. Each task is placed, moved to another queue, rejected, or left
+ * waiting.
  */
 #include "task_placement_internal.h"
 
@@ -12,27 +13,28 @@
 
 enum {
     SWITCH_RULE_INTERVAL_MS = 2000,
-    /** A task that has found no machine for so long goes back to the leader. */
+    /** A dispatch for which no machine is found within this time is rejected. */
     MAX_QUEUE_TIME_MS = 3000,
-    /** Between a heartbeat and the pass that it causes, for others that come meanwhile. */
+    /** Delay between a heartbeat and the placement pass that it triggers, so that one pass serves
+     * several heartbeats. */
     PLACEMENT_DELAY_MS = 5,
-    /** Searches for blocking attempts in one pass; each looks through all machines. */
+    /** Limit on searches for blocking attempts in one pass; each search visits all machines. */
     MAX_BLOCKED_ATTEMPT_SEARCHES = 16,
-    /** A run command without effect for so long may still be on its way. */
-    LATE_COMMAND_MS = 1000,
+    /** A run command without effect after this time may still be in transit. */
+    DELAYED_COMMAND_MS = 1000,
 };
 
-/** What a pass made of a dispatch. */
+/** Result of processing one dispatch in a pass. */
 enum dispatch_outcome {
-    /** It stays in its queue. */
+    /** The dispatch stays in its queue. */
     DISPATCH_WAITS,
-    /** It was put into another queue. */
+    /** The dispatch was put into another queue. */
     DISPATCH_MOVED,
-    /** It was placed or handed back, or its job is over. */
-    DISPATCH_SETTLED,
+    /** The dispatch was placed or rejected, or its job is finished. */
+    DISPATCH_FINISHED,
 };
 
-/* ---- the queues ---- */
+/* ---- queues ---- */
 
 void shard_enqueue_dispatch(struct shard *shard, const struct dispatch *dispatch)
 {
@@ -72,28 +74,28 @@
 
 /* ---- attempts that block their task ---- */
 
-/** Whether the machine's agent reports an earlier attempt that cannot be cleared while a command
- * for it may be on its way: only a new epoch ends that. */
-static bool blocked_by_old_attempt(struct shard *shard, const struct dispatch *dispatch,
-                                   const struct machine *machine)
+/** Returns whether the machine has an earlier attempt of the task that cannot be cleared because a
+ * run command for it may still be in transit. Only a new epoch resolves that. */
+static bool is_blocked_by_old_attempt(struct shard *shard, const struct dispatch *dispatch,
+                                      const struct machine *machine)
 {
     mono_time now = loop_now(shard->loop);
     for (guint i = 0; i < machine->runs->len; i++) {
         const struct task_run *run = machine->runs->pdata[i];
         if (run->index == dispatch->index && job_id_equal(run->job, dispatch->job) &&
             run->phase == TASK_RUN_RELEASED && !shard_can_clear_attempt(machine, run) &&
-            time_ms_since(now, run->start.sent_at) > LATE_COMMAND_MS)
+            time_ms_since(now, run->start.sent_at) > DELAYED_COMMAND_MS)
             return true;
     }
     return false;
 }
 
-/** Asks for a new epoch if an earlier attempt keeps the task from its machine: where no other
- * machine fits, the task would never start. */
-static void request_epoch_if_blocked(struct shard *shard, const struct dispatch *dispatch)
+/** Requests a new epoch if an earlier attempt keeps the task off a machine. If no other machine
+ * fits, the task would never start otherwise. */
+static void request_new_epoch_if_blocked(struct shard *shard, const struct dispatch *dispatch)
 {
     if (shard->placement.blocked_attempt_searches++ >= MAX_BLOCKED_ATTEMPT_SEARCHES)
-        return; /* looked for when it is dispatched again */
+        return; /* the search is repeated when the task is dispatched again */
     loop_add_work(shard->loop, g_hash_table_size(shard->machines));
     GHashTableIter iter;
     struct machine *machine;
@@ -101,26 +103,27 @@
     while (!shard->status.wants_epoch_raise &&
            g_hash_table_iter_next(&iter, NULL, (gpointer *)&machine))
         if (!dispatch->bound_machine[0] || strcmp(dispatch->bound_machine, machine->id.text) == 0)
-            shard->status.wants_epoch_raise = blocked_by_old_attempt(shard, dispatch, machine);
+            shard->status.wants_epoch_raise = is_blocked_by_old_attempt(shard, dispatch, machine);
 }
 
-/* ---- one dispatch ---- */
+/* ---- a single dispatch ---- */
 
-/** A task whose job is not in the replica, or has to wait for others there: the leader may have a
- * newer replica than this node. */
+/** Handles a task whose job is not in the replica, or has pending dependencies there. The leader's
+ * replica may be newer than that of this node. */
 static enum dispatch_outcome process_unready(struct shard *shard, const struct dispatch *dispatch,
-                                             bool is_live)
+                                             bool is_active)
 {
     const struct job *job = replica_get_job(shard->replica, dispatch->job.text);
-    if (!is_live && job && job->is_known)
-        return DISPATCH_SETTLED; /* over */
+    if (!is_active && job && job->is_known)
+        return DISPATCH_FINISHED; /* the job is finished */
     if (time_ms_since(loop_now(shard->loop), dispatch->dispatched_at) < MAX_QUEUE_TIME_MS)
         return DISPATCH_WAITS;
     shard_reject_dispatch(shard, dispatch);
-    return DISPATCH_SETTLED;
+    return DISPATCH_FINISHED;
 }
 
-/** The class by the share that the task asks of the smallest machine type that can hold it. */
+/** Returns the ARQ class of a task, by the share that it requests of the smallest machine type that
+ * can hold it. */
 static int classify(const struct shard *shard, const struct job_spec *spec)
 {
     const struct machine_type *type =
@@ -147,51 +150,54 @@
               image_cache_contains(machine->image_cache, spec->image));
 }
 
-/** A task for which no machine was chosen. */
+/** Handles a task for which no machine was chosen. */
 static enum dispatch_outcome process_unplaced(struct shard *shard, struct dispatch *dispatch,
                                               const struct job_spec *spec,
-                                              enum placement_result result, enum arq_move move)
+                                              enum placement_result result,
+                                              enum arq_decision decision)
 {
     mono_time now = loop_now(shard->loop);
-    if (move == ARQ_SWITCH) {
+    if (decision == ARQ_SWITCH) {
         dispatch->queued_at = now;
         return move_to_class(shard, dispatch, dispatch->queue_class + 1);
     }
     if (result != PLACEMENT_NO_CANDIDATE)
         return DISPATCH_WAITS;
     shard_remember_unschedulable(shard, dispatch, spec);
-    bool is_late = time_ms_since(now, dispatch->dispatched_at) > MAX_QUEUE_TIME_MS;
-    if (!is_late && !dispatch->bound_machine[0])
+    bool is_timed_out = time_ms_since(now, dispatch->dispatched_at) > MAX_QUEUE_TIME_MS;
+    if (!is_timed_out && !dispatch->bound_machine[0])
         return DISPATCH_WAITS;
-    request_epoch_if_blocked(shard, dispatch);
+    request_new_epoch_if_blocked(shard, dispatch);
     shard_reject_dispatch(shard, dispatch);
-    return DISPATCH_SETTLED;
+    return DISPATCH_FINISHED;
 }
 
 static enum dispatch_outcome process_dispatch(struct shard *shard, struct dispatch *dispatch,
-                                              bool is_rule_time)
+                                              bool is_switch_rule_due)
 {
-    const struct job *job = shard_find_live_job(shard, dispatch->job);
+    const struct job *job = shard_find_active_job(shard, dispatch->job);
     if (!job || job->has_pending_dependencies)
         return process_unready(shard, dispatch, job != NULL);
     if (dispatch->task_class == 0) {
         dispatch->task_class = dispatch->queue_class = classify(shard, job->spec);
-        /* A task that is bound to a machine chooses first: the others do not need just that one. */
+        /* A task that is bound to a machine is placed before the others, as they can use other
+         * machines. */
         if (!dispatch->bound_machine[0])
             return move_to_class(shard, dispatch, dispatch->task_class);
     }
-    enum arq_move move = shard_decide_move(shard, dispatch, job->spec, is_rule_time);
+    enum arq_decision decision =
+        shard_apply_switch_rule(shard, dispatch, job->spec, is_switch_rule_due);
     struct machine *machine;
-    enum placement_result result = shard_choose_machine(shard, dispatch, job, move, &machine);
+    enum placement_result result = shard_choose_machine(shard, dispatch, job, decision, &machine);
     if (result != PLACEMENT_FOUND)
-        return process_unplaced(shard, dispatch, job->spec, result, move);
+        return process_unplaced(shard, dispatch, job->spec, result, decision);
     place_task(shard, dispatch, machine, job->spec);
-    return DISPATCH_SETTLED;
+    return DISPATCH_FINISHED;
 }
 
-/* ---- a pass ---- */
+/* ---- placement pass ---- */
 
-/** The machines that take tasks and have free resources. */
+/** Collects the machines that accept tasks and have free resources. */
 static void collect_available_machines(struct shard *shard)
 {
     GPtrArray *available = shard->placement.available_machines;
@@ -206,19 +212,19 @@
             g_ptr_array_add(available, machine);
 }
 
-/** Processes the dispatches that are in a queue now, once each. */
-static void process_queue(struct shard *shard, GQueue *queue, bool is_rule_time)
+/** Processes each dispatch that is in the queue at the time of the call once. */
+static void process_queue(struct shard *shard, GQueue *queue, bool is_switch_rule_due)
 {
     guint length = queue->length;
     for (guint i = 0; i < length; i++) {
         struct dispatch *dispatch = g_queue_pop_head(queue);
-        switch (process_dispatch(shard, dispatch, is_rule_time)) {
+        switch (process_dispatch(shard, dispatch, is_switch_rule_due)) {
         case DISPATCH_WAITS:
             g_queue_push_tail(queue, dispatch);
             break;
         case DISPATCH_MOVED:
             break;
-        case DISPATCH_SETTLED:
+        case DISPATCH_FINISHED:
             g_free(dispatch);
             break;
         }
@@ -239,17 +245,17 @@
         return;
     mono_time now = loop_now(shard->loop);
     placement->blocked_attempt_searches = 0;
-    bool is_rule_time =
-        time_ms_since(now, placement->last_switch_rule_at) >= SWITCH_RULE_INTERVAL_MS;
-    if (!is_rule_time && !placement->capacity_changed)
+    bool is_switch_rule_due =
+        time_ms_since(now, placement->switch_rule_applied_at) >= SWITCH_RULE_INTERVAL_MS;
+    if (!is_switch_rule_due && !placement->capacity_changed)
         return;
     placement->capacity_changed = false;
-    if (is_rule_time)
-        placement->last_switch_rule_at = now;
+    if (is_switch_rule_due)
+        placement->switch_rule_applied_at = now;
     if (!count_waiting(shard))
         return;
     collect_available_machines(shard);
     g_array_set_size(placement->unschedulable, 0);
     for (int queue_class = 0; queue_class <= ARQ_CLASSES; queue_class++)
-        process_queue(shard, &placement->queues[queue_class], is_rule_time);
+        process_queue(shard, &placement->queues[queue_class], is_switch_rule_due);
 }
--- a/src/shard/shard_epoch.c
+++ b/src/shard/shard_epoch.c
@@ -1,8 +1,8 @@
 /**
  * @file
- * The beginning of an epoch of the shard map: what was dispatched in the last one and is not
- * recorded is void, and machines may have other owners. No transaction of the last epoch can be
- * carried out after the new map was written, as all are conditioned on the map.
+ * The start of a new shard map epoch. Dispatches of the previous epoch that have no record are
+ * void, and machines may have new owners. No transaction of the previous epoch can be committed
+ * after the new map was written, as all of them are conditioned on the map.
  */
 #include "shard_epoch_internal.h"
 
@@ -19,45 +19,46 @@
            shard_map_contains(shard->replica, label, membership_get_incarnation(shard->membership));
 }
 
-/** Forgets what was in flight in the last epoch.
- * @param skipped epochs were skipped: another owner's commands may still be on their way */
-static void reset_run(const struct shard *shard, struct task_run *run, bool skipped)
+/** Discards the state of a run that belonged to the previous epoch.
+ * @param epochs_skipped epochs were skipped, so that commands of another owner may still be in
+ *     transit */
+static void reset_run(const struct shard *shard, struct task_run *run, bool epochs_skipped)
 {
     run->record.is_in_txn = false;
-    if (skipped)
+    if (epochs_skipped)
         run->start.fencing_token.value = shard->epoch.value - 1;
     if (run->phase == TASK_RUN_ENDED)
-        run->phase = TASK_RUN_RECORDED; /* proven again by the next heartbeat */
+        run->phase = TASK_RUN_RECORDED; /* the next heartbeat proves the end again */
 }
 
-static void reset_machine(struct shard *shard, struct machine *machine, bool skipped)
+static void reset_machine(struct shard *shard, struct machine *machine, bool epochs_skipped)
 {
     machine->is_returning = shard_machine_is_returning(shard, machine->id.text);
-    if (skipped) {
-        machine->lease.owner_epoch = shard->epoch;
-        machine->lease.owned_at = loop_now(shard->loop);
+    if (epochs_skipped) {
+        machine->lease.owned_since_epoch = shard->epoch;
+        machine->lease.owned_since = loop_now(shard->loop);
     }
     for (guint i = 0; i < machine->runs->len; i++)
-        reset_run(shard, machine->runs->pdata[i], skipped);
+        reset_run(shard, machine->runs->pdata[i], epochs_skipped);
     machine->record.is_in_txn = false;
-    machine->record.change = MACHINE_RECORD_UNCHANGED;
+    machine->record.pending_change = MACHINE_RECORD_UNCHANGED;
 }
 
-/** Drops the machines that have another owner now. */
-static void update_kept_machines(struct shard *shard, bool skipped)
+/** Drops the machines that another node owns now, and resets the others. */
+static void update_kept_machines(struct shard *shard, bool epochs_skipped)
 {
     GHashTableIter iter;
     struct machine *machine;
     g_hash_table_iter_init(&iter, shard->machines);
     while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&machine)) {
         if (owns_machine(shard, machine->id.text))
-            reset_machine(shard, machine, skipped);
+            reset_machine(shard, machine, epochs_skipped);
         else
             g_hash_table_iter_remove(&iter);
     }
 }
 
-/** Adds the machines that have come to this node. */
+/** Adds the machines whose ownership has moved to this node. */
 static void add_new_machines(struct shard *shard)
 {
     GHashTableIter iter;
@@ -68,9 +69,10 @@
             shard_add_machine(shard, stored->id);
 }
 
-/** Drops what is placed and not recorded, and probes the machines that have not reported yet: the
- * answer shows what runs there. Returns the names of the machines that were returned. */
-static GPtrArray *settle_machines(struct shard *shard)
+/** Rejects runs that are placed but not recorded, and probes the machines that have not reported
+ * yet, as the response shows what is running there. Returns the names of the machines that were
+ * returned to the cloud. */
+static GPtrArray *reject_unrecorded_runs_and_probe(struct shard *shard)
 {
     GPtrArray *returned = g_ptr_array_new_with_free_func(g_free);
     GHashTableIter iter;
@@ -78,8 +80,8 @@
     g_hash_table_iter_init(&iter, shard->machines);
     while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&machine)) {
         shard_reject_unrecorded_runs(shard, machine, false);
-        shard->status.wants_epoch_raise = false; /* the epoch is new */
-        if (machine->is_gone)
+        shard->status.wants_epoch_raise = false; /* the new epoch has just begun */
+        if (machine->is_returned)
             g_ptr_array_add(returned, g_strdup(machine->id.text));
         else if (!machine->heartbeat.has_reported)
             shard_probe_agent(shard, machine);
@@ -88,10 +90,10 @@
 }
 
 /** Ends the runs of returned machines again. */
-static void settle_returned_machines(struct shard *shard, const GPtrArray *returned)
+static void end_runs_of_returned_machines(struct shard *shard, const GPtrArray *returned)
 {
     for (guint i = 0; i < returned->len; i++) {
-        shard_find_machine(shard, returned->pdata[i])->is_gone = false;
+        shard_find_machine(shard, returned->pdata[i])->is_returned = false;
         shard_handle_machine_returned(shard, returned->pdata[i]);
     }
 }
@@ -99,8 +101,8 @@
 void shard_begin_epoch(struct shard *shard)
 {
     /* If the replica shows several new epochs at once, a machine may have had another owner in
-     * between: it is treated as if it came to this node only now. */
-    bool skipped = shard->replica->shard_map_epoch.value != shard->epoch.value + 1;
+     * between. It is then treated as if this node had become its owner only now. */
+    bool epochs_skipped = shard->replica->shard_map_epoch.value != shard->epoch.value + 1;
     shard->epoch = shard->replica->shard_map_epoch;
     shard->generation++;
     shard->last_dispatch_sequence = 0;
@@ -108,13 +110,13 @@
     shard->status.wants_epoch_raise = false;
     shard_clear_dispatches(shard);
     g_hash_table_remove_all(shard->returns.cordoned);
-    update_kept_machines(shard, skipped);
+    update_kept_machines(shard, epochs_skipped);
     add_new_machines(shard);
     shard_records_reconcile(shard);
-    GPtrArray *returned = settle_machines(shard);
-    settle_returned_machines(shard, returned);
+    GPtrArray *returned = reject_unrecorded_runs_and_probe(shard);
+    end_runs_of_returned_machines(shard, returned);
     g_ptr_array_unref(returned);
-    /* The leader knows that nothing is dispatched in a new epoch. */
+    /* The leader knows that no dispatch of an earlier epoch is outstanding in a new one. */
     g_array_set_size(shard->status.rejected_dispatches, 0);
     shard_request_status(shard);
 }
--- a/src/shard/shard_status.c
+++ b/src/shard/shard_status.c
@@ -1,7 +1,8 @@
 /**
  * @file
- * The status messages to the leader: once a second, or sooner when something is wanted, what has
- * changed with the machines since the last one; all machines now and then.
+ * Status messages to the leader. One is sent every second, or earlier on request, with the machines
+ * that have changed since the last message. One in MESSAGES_PER_FULL_STATUS lists all machines, and
+ * so does the next one after a failure or the start of an epoch.
  */
 #include "shard_messages_internal.h"
 
@@ -12,23 +13,25 @@
 enum {
     STATUS_INTERVAL_MS = 1000,
     STATUS_TIMEOUT_MS = 2000,
-    /** After one is requested, for what else is to be said. */
+    /** Delay after a request, so that one message covers several changes. */
     STATUS_DELAY_MS = 15,
     STATUS_RETRY_MS = 250,
-    /** Every so many messages name all machines. */
-    FULL_STATUS_INTERVAL = 15,
-    /** Above the lease's time, until a machine that cannot be reached counts as expired. */
+    /** One message in this number lists all machines. */
+    MESSAGES_PER_FULL_STATUS = 15,
+    /** Time beyond the lease duration after which the lease of an unreachable machine may be
+     * reported as expired. */
     LEASE_EXPIRED_MARGIN_MS = 20000,
 };
 
-/** Of the time until a machine counts as unreachable, for each second of the heartbeat interval. */
-static const double UNREACHABLE_MS_PER_S = 2500;
+/** Milliseconds without contact, per second of the heartbeat interval, after which a machine counts
+ * as unreachable. */
+static const double UNREACHABLE_MS_PER_INTERVAL_S = 2500;
 
-/** A message whose answer is awaited. */
+/** A status message that awaits its response. */
 struct status_request {
     struct shard *shard;
     uint64_t generation;
-    /** How much of what waits for the leader is in it. */
+    /** Number of rejected dispatches and of events in the message. */
     guint rejected_count, event_count;
 };
 
@@ -44,46 +47,49 @@
         timer_start(shard->loop, &shard->status.timer, STATUS_DELAY_MS);
 }
 
-/* ---- the message ---- */
+/* ---- building the message ---- */
 
-/** Whether the lease of a machine's agent has expired well before now: by this node's heartbeats
- * or, as another node may have renewed it, by the proof. */
+/** Returns whether the lease of a machine's agent expired well before now. If heartbeats still
+ * arrive here, the agent has received no response for longer than its lease. Otherwise another node
+ * may have renewed the lease, and the proof of expiry is required. */
 static bool lease_expired_long_ago(struct shard *shard, struct machine *machine,
-                                   int64_t unreached_ms)
+                                   int64_t unreachable_ms)
 {
     int64_t lease_ms = (int64_t)(shard->settings->lease_s * 1000);
-    if (unreached_ms <= lease_ms + LEASE_EXPIRED_MARGIN_MS)
+    if (unreachable_ms <= lease_ms + LEASE_EXPIRED_MARGIN_MS)
         return false;
     mono_time now = loop_now(shard->loop);
     return time_ms_since(now, machine->heartbeat.received_at) < lease_ms ||
            shard_lease_has_expired(shard, machine);
 }
 
-/** The enum machine_flag of a machine. */
+/** Returns the flags (enum machine_flag) of a machine. */
 static int machine_flags(struct shard *shard, struct machine *machine)
 {
     const struct machine_reachability *reachability = &machine->reachability;
-    int64_t unreached_ms = time_ms_since(loop_now(shard->loop), reachability->confirmed_at);
-    int64_t limit_ms = (int64_t)(shard->settings->heartbeat_interval_s * UNREACHABLE_MS_PER_S);
+    int64_t unreachable_ms = time_ms_since(loop_now(shard->loop), reachability->confirmed_at);
+    int64_t unreachable_after_ms =
+        (int64_t)(shard->settings->heartbeat_interval_s * UNREACHABLE_MS_PER_INTERVAL_S);
     int flags = 0;
     if (machine->heartbeat.has_reported)
-        flags |= MACHINE_KNOWN;
-    if (machine->is_reclaimed)
-        flags |= MACHINE_RECLAIMED;
+        flags |= MACHINE_REPORTED;
+    if (machine->is_being_reclaimed)
+        flags |= MACHINE_BEING_RECLAIMED;
     if (!shard_machine_is_available(shard, machine))
         flags |= MACHINE_UNAVAILABLE;
-    if (reachability->probe_failures >= MIN_PROBE_FAILURES && unreached_ms > limit_ms) {
+    if (reachability->probe_failures >= UNREACHABLE_PROBE_FAILURES &&
+        unreachable_ms > unreachable_after_ms) {
         flags |= MACHINE_UNREACHABLE;
-        if (lease_expired_long_ago(shard, machine, unreached_ms))
+        if (lease_expired_long_ago(shard, machine, unreachable_ms))
             flags |= MACHINE_LEASE_EXPIRED;
     }
     return flags;
 }
 
-/** What the status says of a machine; notes that it was said. */
+/** Returns what the message reports about a machine, and remembers it as sent. */
 static struct machine_status describe_machine(struct machine *machine, int flags, bool is_full)
 {
-    bool with_images = is_full || !machine->sent_status.has_images;
+    bool include_images = is_full || !machine->sent_status.has_images;
     machine->sent_status = (struct machine_sent_status){flags, true};
     return (struct machine_status){
         .id = machine->id,
@@ -91,11 +97,11 @@
         .zone = machine->zone,
         .is_spot = machine->is_spot,
         .flags = flags,
-        .images = with_images ? g_ptr_array_ref(machine->image_cache) : NULL,
+        .images = include_images ? g_ptr_array_ref(machine->image_cache) : NULL,
     };
 }
 
-/** Adds the machines to the message: all of them, or those that have changed. */
+/** Adds the machines to the message: all of them, or only those that have changed. */
 static void add_machines(struct shard *shard, struct status_message *message)
 {
     GHashTableIter iter;
@@ -105,7 +111,7 @@
         int flags = machine_flags(shard, machine);
         const struct machine_sent_status *sent = &machine->sent_status;
         bool is_due = message->is_full || flags != sent->flags || !sent->has_images;
-        if (!is_due || machine->is_gone || !machine->type_name[0])
+        if (!is_due || machine->is_returned || !machine->type_name[0])
             continue;
         struct machine_status item = describe_machine(machine, flags, message->is_full);
         g_array_append_val(message->machines, item);
@@ -134,7 +140,7 @@
     status_message_init(&message);
     message.epoch = shard->epoch;
     message.sequence = ++status->sequence;
-    message.is_full = status->next_is_full || status->count++ % FULL_STATUS_INTERVAL == 0;
+    message.is_full = status->next_is_full || status->sent_count++ % MESSAGES_PER_FULL_STATUS == 0;
     message.wants_epoch_raise = status->wants_epoch_raise;
     status->next_is_full = false;
     if (message.is_full)
@@ -147,17 +153,17 @@
     return json;
 }
 
-/* ---- sending it ---- */
+/* ---- sending ---- */
 
-/** Cordons the machines that the answer names, and no others. */
-static void apply_cordoned_machines(struct shard *shard, const cJSON *answer)
+/** Cordons the machines that the response names, and uncordons all others. */
+static void apply_cordoned_machines(struct shard *shard, const cJSON *response)
 {
     GHashTableIter iter;
     struct machine *machine;
     g_hash_table_iter_init(&iter, shard->machines);
     while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&machine))
         machine->is_cordoned = false;
-    GPtrArray *names = status_answer_decode(answer);
+    GPtrArray *names = status_response_decode(response);
     for (guint i = 0; i < names->len; i++) {
         machine = shard_find_machine(shard, names->pdata[i]);
         if (machine)
@@ -167,16 +173,16 @@
     shard->placement.capacity_changed = true;
 }
 
-static int64_t next_status_ms(const struct shard_status *status, int http_status)
+static int64_t next_status_delay_ms(const struct shard_status *status, int http_status)
 {
     if (status->is_requested)
         return STATUS_DELAY_MS;
     return http_status == HTTP_STATUS_OK ? STATUS_INTERVAL_MS : STATUS_RETRY_MS;
 }
 
-/** What the leader has received is not sent again. If the answer was lost it may have been
- * received, and the next message is a full one. */
-static void handle_status_answer(void *arg, int http_status, const cJSON *answer)
+/** Drops what the leader has received. If the response was lost, the leader may have received the
+ * message or not, so the next one is a full message. */
+static void handle_status_response(void *arg, int http_status, const cJSON *response)
 {
     struct status_request *request = arg;
     struct shard *shard = request->shard;
@@ -186,11 +192,11 @@
         g_array_remove_range(status->rejected_dispatches, 0, request->rejected_count);
         g_array_remove_range(status->events, 0, request->event_count);
         status->wants_epoch_raise = false;
-        apply_cordoned_machines(shard, answer);
+        apply_cordoned_machines(shard, response);
     } else {
         status->next_is_full = true;
     }
-    timer_start(shard->loop, &status->timer, next_status_ms(status, http_status));
+    timer_start(shard->loop, &status->timer, next_status_delay_ms(status, http_status));
     g_free(request);
 }
 
@@ -211,5 +217,5 @@
                                        status->events->len};
     status->in_flight = true;
     node_rpc_call(shard->node_rpc, leader, SHARD_MESSAGE_STATUS, message, STATUS_TIMEOUT_MS,
-                  handle_status_answer, request);
+                  handle_status_response, request);
 }
