--- a/src/shard/completion_pages.c
+++ b/src/shard/completion_pages.c
@@ -42,34 +42,34 @@
 }
 
 /** The page whose completions are written out. */
-struct completions_writer {
+struct completions_encoder {
     struct page_completions *out;
     int page_number;
     bool legacy_format;
 };
 
 /** Adds a unit to the text of its page; a completion_unit_callback. */
-static void write_unit(struct shard *shard, struct completion_unit *unit, void *ctx)
+static void encode_unit(struct shard *shard, struct completion_unit *unit, void *ctx)
 {
-    struct completions_writer *writer = ctx;
+    struct completions_encoder *encoder = ctx;
     struct job *job =
-        unit->page == writer->page_number ? shard_find_live_job(shard, unit->job) : NULL;
+        unit->page == encoder->page_number ? shard_find_live_job(shard, unit->job) : NULL;
     if (!job || (unit->is_moving && is_covered_elsewhere(shard, unit)))
         return;
-    completions_encode(writer->out->text, unit->job, unit->number, unit->bits,
-                       writer->legacy_format);
-    writer->out->has_unwritten = writer->out->has_unwritten || unit->is_unwritten;
-    writer->out->reserved_bytes += unit_reserved_bytes(unit, job);
+    completions_encode(encoder->out->text, unit->job, unit->number, unit->bits,
+                       encoder->legacy_format);
+    encoder->out->has_unwritten = encoder->out->has_unwritten || unit->is_unwritten;
+    encoder->out->reserved_bytes += unit_reserved_bytes(unit, job);
 }
 
-void shard_completions_write(struct shard *shard, int page_number, bool legacy_format,
-                             struct page_completions *out)
+void shard_completions_encode(struct shard *shard, int page_number, bool legacy_format,
+                              struct page_completions *out)
 {
     g_string_truncate(out->text, 0);
     out->reserved_bytes = 0;
     out->has_unwritten = false;
-    struct completions_writer writer = {out, page_number, legacy_format};
-    completion_units_for_each(shard, write_unit, &writer);
+    struct completions_encoder encoder = {out, page_number, legacy_format};
+    completion_units_for_each(shard, encode_unit, &encoder);
 }
 
 /** The sum of what the units of a page may still come to take. */
@@ -117,7 +117,7 @@
     copy->is_unwritten = true;
 }
 
-void shard_completions_move(struct shard *shard, int page_number)
+void shard_completions_move_unit(struct shard *shard, int page_number)
 {
     struct completion_move move = {page_number, false};
     completion_units_for_each(shard, move_unit, &move);
@@ -126,11 +126,11 @@
 /* ---- the choice of pages ---- */
 
 /** The pages that units without a page may go to. */
-struct unit_placement {
+struct unit_assignment {
     const int *pages;
     guint page_count;
     /** Some units have no page yet. */
-    bool has_unplaced;
+    bool has_unassigned;
 };
 
 /** Marks a unit as empty. */
@@ -143,8 +143,8 @@
 
 /** Puts a unit on a page, or merges it with the one that is there; returns whether the page can
  * have it. */
-static bool try_place_unit(struct shard *shard, struct completion_unit *unit, const struct job *job,
-                           int page_number)
+static bool try_assign_unit(struct shard *shard, struct completion_unit *unit,
+                            const struct job *job, int page_number)
 {
     struct completion_unit *existing =
         completion_unit_find(shard, unit->job, unit->number, page_number);
@@ -165,42 +165,42 @@
 }
 
 /** Puts a unit without a page on the first one that can have it; a completion_unit_callback. */
-static void place_unit(struct shard *shard, struct completion_unit *unit, void *ctx)
+static void assign_unit(struct shard *shard, struct completion_unit *unit, void *ctx)
 {
-    struct unit_placement *placement = ctx;
+    struct unit_assignment *assignment = ctx;
     struct job *job = shard_find_live_job(shard, unit->job);
     if (unit->page >= 0 || !unit->is_unwritten || !job)
         return;
-    for (guint i = 0; i < placement->page_count; i++)
-        if (try_place_unit(shard, unit, job, placement->pages[i]))
+    for (guint i = 0; i < assignment->page_count; i++)
+        if (try_assign_unit(shard, unit, job, assignment->pages[i]))
             return;
-    placement->has_unplaced = true;
+    assignment->has_unassigned = true;
 }
 
-bool shard_completions_place(struct shard *shard, const int *pages, guint page_count)
+bool shard_completions_assign_pages(struct shard *shard, const int *pages, guint page_count)
 {
-    struct unit_placement placement = {pages, page_count, false};
-    completion_units_for_each(shard, place_unit, &placement);
-    return !placement.has_unplaced;
+    struct unit_assignment assignment = {pages, page_count, false};
+    completion_units_for_each(shard, assign_unit, &assignment);
+    return !assignment.has_unassigned;
 }
 
 /** Adds what the units of one key wait for. Returns whether some of them have no page. */
 static bool add_unit_demand(const GPtrArray *units, double *page_weights, double weight)
 {
-    bool has_unplaced = false;
+    bool has_unassigned = false;
     for (guint i = 0; i < units->len; i++) {
         struct completion_unit *unit = units->pdata[i];
-        unit->changed_in_txn = false;
+        unit->changed_since_txn = false;
         if (unit->is_unwritten && unit->page >= 0)
             page_weights[unit->page] += weight;
-        has_unplaced = has_unplaced || (unit->is_unwritten && unit->page < 0);
+        has_unassigned = has_unassigned || (unit->is_unwritten && unit->page < 0);
     }
-    return has_unplaced;
+    return has_unassigned;
 }
 
 bool shard_completions_add_demand(struct shard *shard, double *page_weights, double weight)
 {
-    bool has_unplaced = false;
+    bool has_unassigned = false;
     GHashTableIter iter;
     GPtrArray *units;
     g_hash_table_iter_init(&iter, shard->records.completion_units);
@@ -210,9 +210,9 @@
             /* Its job is over: its pages drop it when they are next written. */
             g_hash_table_iter_remove(&iter);
         else if (add_unit_demand(units, page_weights, weight))
-            has_unplaced = true;
+            has_unassigned = true;
     }
-    return has_unplaced;
+    return has_unassigned;
 }
 
 /* ---- after a transaction ---- */
@@ -232,7 +232,7 @@
         return;
     if (unit->is_moving && is_covered_elsewhere(shard, unit))
         unit_clear(unit);
-    else if (!unit->changed_in_txn)
+    else if (!unit->changed_since_txn)
         unit->is_unwritten = false;
 }
 
--- a/src/shard/completions.c
+++ b/src/shard/completions.c
@@ -148,7 +148,7 @@
     struct completion_unit *unit = completion_unit_get(shard, job->id, unit_number, page_number);
     unit_set_bit(unit, run->index % COMPLETION_UNIT_TASKS);
     unit->is_unwritten = true;
-    unit->changed_in_txn = true;
+    unit->changed_since_txn = true;
     shard->records.is_dirty = true;
 }
 
@@ -163,11 +163,11 @@
 static void read_unit(void *ctx, job_id job, uint32_t unit_number, const GByteArray *bits)
 {
     struct completions_reader *reader = ctx;
-    struct job *live_job = shard_find_live_job(reader->shard, job);
-    if (!live_job || unit_number * COMPLETION_UNIT_TASKS >= live_job->task_count)
+    struct job *active_job = shard_find_live_job(reader->shard, job);
+    if (!active_job || unit_number * COMPLETION_UNIT_TASKS >= active_job->task_count)
         return;
     struct completion_unit *unit =
-        completion_unit_get(reader->shard, live_job->id, unit_number, reader->page_number);
+        completion_unit_get(reader->shard, active_job->id, unit_number, reader->page_number);
     bitmap_merge(unit->bits, bits);
 }
 
--- a/src/shard/completions_internal.h
+++ b/src/shard/completions_internal.h
@@ -31,7 +31,7 @@
     /** The page does not hold all of the bits yet. */
     bool is_unwritten;
     /** Bits were added since the transaction in flight was made. */
-    bool changed_in_txn;
+    bool changed_since_txn;
     /** The page drops it as soon as others hold its bits. */
     bool is_moving;
 };
@@ -76,17 +76,17 @@
 
 /** The completions that a page is to hold.
  * @param out its text is replaced. */
-void shard_completions_write(struct shard *shard, int page_number, bool legacy_format,
-                             struct page_completions *out);
+void shard_completions_encode(struct shard *shard, int page_number, bool legacy_format,
+                              struct page_completions *out);
 
 /** Bytes that the completions on a page may still come to take. */
 gsize shard_completions_reserved_bytes(struct shard *shard, int page_number);
 
 /** Has a unit leave a page that is too long. */
-void shard_completions_move(struct shard *shard, int page_number);
+void shard_completions_move_unit(struct shard *shard, int page_number);
 
 /** Puts units without a page on the given pages, and returns whether all have one now. */
-bool shard_completions_place(struct shard *shard, const int *pages, guint page_count);
+bool shard_completions_assign_pages(struct shard *shard, const int *pages, guint page_count);
 
 /** Begins a batch: forgets the completions of jobs that are over, and adds a weight to each page
  * for each of its units that is unwritten. Returns whether some units have no page. */
--- a/src/shard/machine_inventory.c
+++ b/src/shard/machine_inventory.c
@@ -31,7 +31,7 @@
 };
 
 /** This node's inventory of that number; adds it if there is none. */
-static struct own_inventory *get_inventory(struct shard *shard, int number)
+static struct own_inventory *get_own_inventory(struct shard *shard, int number)
 {
     GPtrArray *inventories = shard->records.inventories;
     while ((int)inventories->len <= number)
@@ -48,7 +48,7 @@
 
 static void reconcile_inventory(struct shard *shard, const struct machine_inventory *inventory)
 {
-    struct own_inventory *own = get_inventory(shard, inventory->number);
+    struct own_inventory *own = get_own_inventory(shard, inventory->number);
     own->mod_revision = inventory->mod_revision;
     for (guint i = 0; i < inventory->machines->len; i++) {
         struct machine_record *machine_record = inventory->machines->pdata[i];
@@ -72,7 +72,7 @@
     struct machine_inventory *inventory;
     struct machine *machine;
     for (guint i = 0; i < shard->records.inventories->len; i++)
-        *get_inventory(shard, (int)i) = (struct own_inventory){0};
+        *get_own_inventory(shard, (int)i) = (struct own_inventory){0};
     g_hash_table_iter_init(&iter, shard->replica->inventories);
     while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&inventory))
         if (is_own_inventory(shard, inventory))
@@ -84,10 +84,10 @@
 
 /* ---- when one is written ---- */
 
-void shard_inventory_drop_machine(struct shard *shard, const struct machine *machine)
+void shard_inventory_mark_stale(struct shard *shard, const struct machine *machine)
 {
     if (machine->record.inventory_number >= 0)
-        get_inventory(shard, machine->record.inventory_number)->is_stale = true;
+        get_own_inventory(shard, machine->record.inventory_number)->is_stale = true;
 }
 
 /** Whether a machine with runs is described by nothing but its pages. */
@@ -101,12 +101,12 @@
 static int first_stale_inventory(struct shard *shard)
 {
     for (guint i = 0; i < shard->records.inventories->len; i++)
-        if (get_inventory(shard, (int)i)->is_stale)
+        if (get_own_inventory(shard, (int)i)->is_stale)
             return (int)i;
     return -1;
 }
 
-bool shard_inventory_due(struct shard *shard)
+bool shard_inventory_is_due(struct shard *shard)
 {
     int64_t elapsed_ms = time_ms_since(loop_now(shard->loop), shard->records.inventory_written_at);
     /* Nodes of version 0 do not read inventories. */
@@ -194,7 +194,7 @@
     for (int pass = PASS_LISTED; pass < PASS_COUNT && fits; pass++)
         fits = append_machines(shard, pass, number, text);
     if (!fits && number == (int)shard->records.inventories->len - 1)
-        get_inventory(shard, number + 1);
+        get_own_inventory(shard, number + 1);
     return text;
 }
 
@@ -219,7 +219,7 @@
             machine->record.inventory_number = write->number;
         machine->record.joins_inventory = false;
     }
-    get_inventory(shard, write->number)->mod_revision = committed_at;
+    get_own_inventory(shard, write->number)->mod_revision = committed_at;
     shard->records.txn_in_flight = false;
     shard_request_flush(shard);
     g_free(write);
@@ -240,7 +240,7 @@
 void shard_inventory_write(struct shard *shard)
 {
     int number = choose_inventory(shard);
-    struct own_inventory *inventory = get_inventory(shard, number);
+    struct own_inventory *inventory = get_own_inventory(shard, number);
     GString *text = make_inventory_text(shard, number);
     inventory->is_stale = false;
     shard->records.inventory_written_at = loop_now(shard->loop);
--- a/src/shard/machine_inventory_internal.h
+++ b/src/shard/machine_inventory_internal.h
@@ -13,10 +13,10 @@
 
 /** Whether an inventory is to be written: machines with runs are listed nowhere, or one lists
  * machines that this node does not own any more. */
-bool shard_inventory_due(struct shard *shard);
+bool shard_inventory_is_due(struct shard *shard);
 
 /** Notes that a machine is not to be listed any more. */
-void shard_inventory_drop_machine(struct shard *shard, const struct machine *machine);
+void shard_inventory_mark_stale(struct shard *shard, const struct machine *machine);
 
 /** Writes one inventory; to be called when one is due and no transaction is in flight. */
 void shard_inventory_write(struct shard *shard);
--- a/src/shard/machine_returns.c
+++ b/src/shard/machine_returns.c
@@ -11,12 +11,13 @@
 #include "task_end_internal.h"
 #include "task_placement_internal.h"
 
-void shard_reject_unrecorded_runs(struct shard *shard, struct machine *machine, bool keep_undecided)
+void shard_reject_unrecorded_runs(struct shard *shard, struct machine *machine,
+                                  bool keep_possibly_recorded)
 {
     for (guint i = 0; i < machine->runs->len;) {
         const struct task_run *run = machine->runs->pdata[i];
         if (run->phase != TASK_RUN_PLACED || run->record.is_in_txn ||
-            (keep_undecided && run->record.may_be_recorded)) {
+            (keep_possibly_recorded && run->record.may_be_recorded)) {
             i++;
             continue;
         }
@@ -38,9 +39,9 @@
 static void remember_returned(struct shard_returns *returns, const char *machine_name)
 {
     if (g_hash_table_size(returns->returned) >= MAX_TRACKED_MACHINES) {
-        GHashTable *recycled = returns->older_returned;
+        GHashTable *emptied = returns->older_returned;
         returns->older_returned = returns->returned;
-        returns->returned = recycled;
+        returns->returned = emptied;
         g_hash_table_remove_all(returns->returned);
     }
     g_hash_table_add(returns->returned, g_strdup(machine_name));
@@ -66,7 +67,7 @@
         return;
     LOG_INFO("machine_returned", "machine=%s", machine_name);
     machine->is_gone = true;
-    shard_inventory_drop_machine(shard, machine);
+    shard_inventory_mark_stale(shard, machine);
     shard_reject_unrecorded_runs(shard, machine, false);
     shard_end_all_runs(shard, machine, RUN_END_MACHINE_RETURNED);
     if (machine->record.mod_revision.value || machine->record.is_in_txn ||
--- a/src/shard/machine_returns_internal.h
+++ b/src/shard/machine_returns_internal.h
@@ -20,6 +20,6 @@
  * @param keep_undecided keeps those that a transaction with an unknown outcome may have recorded;
  *     else a new epoch is asked for, which decides it. */
 void shard_reject_unrecorded_runs(struct shard *shard, struct machine *machine,
-                                  bool keep_undecided);
+                                  bool keep_possibly_recorded);
 
 #endif
--- a/src/shard/page_draft.c
+++ b/src/shard/page_draft.c
@@ -10,7 +10,7 @@
 {
     struct page_draft *draft = data;
     g_array_unref(draft->records);
-    g_hash_table_unref(draft->jobs);
+    g_hash_table_unref(draft->job_keys);
     g_string_free(draft->completions.text, TRUE);
     g_free(draft);
 }
@@ -30,12 +30,12 @@
     return record_batch_find_draft(batch, page_number) != NULL;
 }
 
-struct page_draft *page_draft_open(struct record_batch *batch, int page_number)
+struct page_draft *record_batch_add_draft(struct record_batch *batch, int page_number)
 {
     struct page_draft *draft = g_new0(struct page_draft, 1);
     draft->number = page_number;
     draft->records = g_array_new(FALSE, FALSE, sizeof(struct record_page_entry));
-    draft->jobs = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    draft->job_keys = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
     draft->completions.text = g_string_new(NULL);
     shard_get_own_page(batch->shard, page_number);
     g_ptr_array_add(batch->drafts, draft);
@@ -52,21 +52,21 @@
 
 static void draft_append(struct page_draft *draft, const struct record_page_entry *record)
 {
-    g_hash_table_add(draft->jobs, g_strdup(record->job.text));
-    g_hash_table_add(draft->jobs, attempt_key(record));
+    g_hash_table_add(draft->job_keys, g_strdup(record->job.text));
+    g_hash_table_add(draft->job_keys, attempt_key(record));
     g_array_append_val(draft->records, *record);
 }
 
 bool page_draft_has_job(const struct page_draft *draft, job_id job)
 {
-    return g_hash_table_contains(draft->jobs, job.text);
+    return g_hash_table_contains(draft->job_keys, job.text);
 }
 
 static bool page_draft_has_attempt(const struct page_draft *draft,
                                    const struct record_page_entry *record)
 {
     char *key = attempt_key(record);
-    bool has_attempt = g_hash_table_contains(draft->jobs, key);
+    bool has_attempt = g_hash_table_contains(draft->job_keys, key);
     g_free(key);
     return has_attempt;
 }
@@ -112,7 +112,7 @@
         draft->is_changed = true;
         return;
     }
-    struct record_page_entry record = shard_page_record_of(machine, run);
+    struct record_page_entry record = shard_make_page_entry(machine, run);
     draft_append(draft, &record);
 }
 
@@ -130,8 +130,8 @@
 {
     struct shard *shard = batch->shard;
     g_array_set_size(draft->records, 0);
-    g_hash_table_remove_all(draft->jobs);
-    shard_completions_write(shard, draft->number, batch->legacy_format, &draft->completions);
+    g_hash_table_remove_all(draft->job_keys);
+    shard_completions_encode(shard, draft->number, batch->legacy_format, &draft->completions);
     draft->is_changed = draft->completions.has_unwritten;
     draft->used_bytes = draft->completions.text->len + draft->completions.reserved_bytes;
     keep_foreign_records(shard, draft);
@@ -143,7 +143,7 @@
     gsize min_bytes;
     draft->used_bytes +=
         record_page_encoded_bytes(draft->records, batch->legacy_format, &min_bytes);
-    draft->is_too_long = min_bytes + draft->completions.text->len > shard_max_page_bytes(shard);
+    draft->is_oversized = min_bytes + draft->completions.text->len > shard_max_page_bytes(shard);
 }
 
 void page_draft_write(struct record_batch *batch, struct page_draft *draft)
@@ -157,7 +157,7 @@
         LOG_ERROR("page_too_long", "page=%s bytes=%zu", key, bytes);
     record_txn_put_page(batch->txn, key, page->mod_revision, text->str,
                         draft->completions.text->str);
-    page->bytes = bytes;
+    page->used_bytes = bytes;
     g_free(key);
     g_string_free(text, TRUE);
 }
--- a/src/shard/page_split.c
+++ b/src/shard/page_split.c
@@ -24,20 +24,20 @@
     /** Not yet: it waits until all nodes support the other two. */
     SPLIT_IMPOSSIBLE,
     /** By one transaction. */
-    SPLIT_AT_ONCE,
+    SPLIT_IN_ONE_TXN,
     /** By copies, of which the next transaction writes some. */
-    SPLIT_BY_COPIES,
+    SPLIT_BY_COPYING,
 };
 
 /* ---- which page is split, and by whom ---- */
 
-bool shard_label_has_long_page(const struct shard *shard, const char *label)
+bool shard_node_has_oversized_page(const struct shard *shard, const char *label)
 {
     GHashTableIter iter;
     struct record_page *page;
     g_hash_table_iter_init(&iter, shard->replica->pages);
     while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&page))
-        if (shard_page_is_too_long(shard, page) && strcmp(page->label, label) == 0)
+        if (shard_page_is_oversized(shard, page) && strcmp(page->label, label) == 0)
             return true;
     return false;
 }
@@ -52,29 +52,29 @@
         const char *label = g_array_index(shard_map, struct shard_map_entry, i).label;
         if (strcmp(label, page->label) == 0)
             return strcmp(label, shard->settings->label) == 0;
-        if (!first_capable && node_supports_multi_page(shard, label))
+        if (!first_capable && node_supports_machine_on_multiple_pages(shard, label))
             first_capable = label;
     }
     return first_capable && strcmp(first_capable, shard->settings->label) == 0;
 }
 
 /** The first page by key that is too long and that this node is to split, or NULL. */
-static struct record_page *next_long_page(const struct shard *shard)
+static struct record_page *next_oversized_page(const struct shard *shard)
 {
     GHashTableIter iter;
     struct record_page *page, *found = NULL;
     g_hash_table_iter_init(&iter, shard->replica->pages);
     while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&page))
-        if (shard_page_is_too_long(shard, page) && is_split_by_this_node(shard, page) &&
+        if (shard_page_is_oversized(shard, page) && is_split_by_this_node(shard, page) &&
             (!found || strcmp(page->key, found->key) < 0))
             found = page;
     return found;
 }
 
-bool shard_split_due(struct shard *shard)
+bool shard_split_is_due(struct shard *shard)
 {
     return !time_before(loop_now(shard->loop), shard->records.split_retry_at) &&
-           next_long_page(shard);
+           next_oversized_page(shard);
 }
 
 /* ---- its transactions ---- */
@@ -112,8 +112,8 @@
     if (!pages)
         return SPLIT_IMPOSSIBLE;
     if (pages->len <= max_writes)
-        return SPLIT_AT_ONCE;
-    return legacy_format ? SPLIT_IMPOSSIBLE : SPLIT_BY_COPIES;
+        return SPLIT_IN_ONE_TXN;
+    return legacy_format ? SPLIT_IMPOSSIBLE : SPLIT_BY_COPYING;
 }
 
 /** The key of a page of the same node that does not exist. A copy gets one behind the long page in
@@ -128,17 +128,17 @@
         ++*page_number;
         bool is_behind = strcmp(key, page->key) > 0;
         if (!g_hash_table_contains(shard->replica->pages, key) &&
-            (method != SPLIT_BY_COPIES || is_behind))
+            (method != SPLIT_BY_COPYING || is_behind))
             return key;
         g_free(key);
     }
 }
 
-static void put_split_page(struct txn *txn, const char *key, revision mod_revision,
-                           struct split_page *split_page)
+static void put_planned_page(struct txn *txn, const char *key, revision mod_revision,
+                             struct planned_page *planned_page)
 {
-    GString *text = record_page_encode(split_page->records, split_page->legacy_format);
-    record_txn_put_page(txn, key, mod_revision, text->str, split_page->completions->str);
+    GString *text = record_page_encode(planned_page->records, planned_page->legacy_format);
+    record_txn_put_page(txn, key, mod_revision, text->str, planned_page->completions->str);
     g_string_free(text, TRUE);
 }
 
@@ -149,23 +149,23 @@
                                   enum split_method method)
 {
     struct txn *txn = record_txn_new(shard);
-    guint end = method == SPLIT_BY_COPIES ? max_writes + 1 : max_writes;
+    guint end = method == SPLIT_BY_COPYING ? max_writes + 1 : max_writes;
     int page_number = 0;
     for (guint i = 1; i < MIN(pages->len, end); i++) {
         char *key = unused_page_key(shard, page, &page_number, method);
-        put_split_page(txn, key, (revision){0}, pages->pdata[i]);
+        put_planned_page(txn, key, (revision){0}, pages->pdata[i]);
         g_free(key);
     }
-    if (method == SPLIT_BY_COPIES)
+    if (method == SPLIT_BY_COPYING)
         record_txn_compare_page(txn, page);
     else
-        put_split_page(txn, page->key, page->mod_revision, pages->pdata[0]);
+        put_planned_page(txn, page->key, page->mod_revision, pages->pdata[0]);
     return txn;
 }
 
-bool shard_split(struct shard *shard)
+bool shard_split_page(struct shard *shard)
 {
-    struct record_page *page = next_long_page(shard);
+    struct record_page *page = next_oversized_page(shard);
     bool legacy_format = shard_uses_legacy_format(shard);
     guint max_writes = max_split_writes(shard, legacy_format);
     GPtrArray *pages = page_split_plan(shard, page, legacy_format);
@@ -177,7 +177,7 @@
     }
     struct txn *txn = make_split_txn(shard, page, pages, max_writes, method);
     LOG_INFO("page_split", "page=%s bytes=%zu pages=%u copies=%d", page->key, page->size_bytes,
-             pages->len, method == SPLIT_BY_COPIES);
+             pages->len, method == SPLIT_BY_COPYING);
     struct pending_write *write = g_new(struct pending_write, 1);
     *write = (struct pending_write){shard, shard->generation};
     record_txn_commit(shard, txn, handle_split_outcome, write);
--- a/src/shard/page_split_plan.c
+++ b/src/shard/page_split_plan.c
@@ -7,7 +7,7 @@
 
 #include "completions_internal.h"
 
-bool node_supports_multi_page(const struct shard *shard, const char *label)
+bool node_supports_machine_on_multiple_pages(const struct shard *shard, const char *label)
 {
     const struct node_record *node = g_hash_table_lookup(shard->replica->nodes, label);
     return node && node->understood_version >= NODE_VERSION_JOB_DAG;
@@ -15,36 +15,36 @@
 
 /* ---- one of the pages ---- */
 
-static void split_page_free(gpointer data)
+static void planned_page_free(gpointer data)
 {
-    struct split_page *split_page = data;
-    g_array_unref(split_page->records);
-    g_string_free(split_page->completions, TRUE);
-    g_free(split_page);
+    struct planned_page *planned_page = data;
+    g_array_unref(planned_page->records);
+    g_string_free(planned_page->completions, TRUE);
+    g_free(planned_page);
 }
 
 /** Adds an empty page to the plan. */
-static struct split_page *split_page_new(GPtrArray *pages, bool legacy_format)
+static struct planned_page *planned_page_new(GPtrArray *pages, bool legacy_format)
 {
-    struct split_page *split_page = g_new0(struct split_page, 1);
-    split_page->records = g_array_new(FALSE, FALSE, sizeof(struct record_page_entry));
-    split_page->completions = g_string_new(NULL);
-    split_page->legacy_format = legacy_format;
-    g_ptr_array_add(pages, split_page);
-    return split_page;
+    struct planned_page *planned_page = g_new0(struct planned_page, 1);
+    planned_page->records = g_array_new(FALSE, FALSE, sizeof(struct record_page_entry));
+    planned_page->completions = g_string_new(NULL);
+    planned_page->legacy_format = legacy_format;
+    g_ptr_array_add(pages, planned_page);
+    return planned_page;
 }
 
 /** The bytes of its texts, with those that its completions may come to take. Sorts the records. */
-static gsize split_page_bytes(struct split_page *split_page)
+static gsize planned_page_bytes(struct planned_page *planned_page)
 {
     gsize min_bytes;
-    record_page_encoded_bytes(split_page->records, split_page->legacy_format, &min_bytes);
-    return min_bytes + MAX(split_page->reserved_bytes, split_page->completions->len);
+    record_page_encoded_bytes(planned_page->records, planned_page->legacy_format, &min_bytes);
+    return min_bytes + MAX(planned_page->reserved_bytes, planned_page->completions->len);
 }
 
-static bool split_page_fits(const struct shard *shard, struct split_page *split_page)
+static bool planned_page_fits(const struct shard *shard, struct planned_page *planned_page)
 {
-    return split_page_bytes(split_page) <= shard_max_page_bytes(shard);
+    return planned_page_bytes(planned_page) <= shard_max_page_bytes(shard);
 }
 
 /* ---- run records ---- */
@@ -72,14 +72,14 @@
 }
 
 /** Takes a group out of a page again. One by one, as measuring the page has sorted its records. */
-static void remove_record_group(struct split_page *split_page,
+static void remove_record_group(struct planned_page *planned_page,
                                 const struct record_page_entry *group, guint count)
 {
-    for (guint i = 0; i < split_page->records->len;) {
+    for (guint i = 0; i < planned_page->records->len;) {
         const struct record_page_entry *record =
-            &g_array_index(split_page->records, struct record_page_entry, i);
+            &g_array_index(planned_page->records, struct record_page_entry, i);
         if (group_contains(group, count, record))
-            g_array_remove_index_fast(split_page->records, i);
+            g_array_remove_index_fast(planned_page->records, i);
         else
             i++;
     }
@@ -90,38 +90,38 @@
 static bool add_record_group(struct shard *shard, GPtrArray *pages,
                              const struct record_page_entry *group, guint count)
 {
-    struct split_page *split_page = pages->pdata[pages->len - 1];
-    guint previous_count = split_page->records->len;
-    g_array_append_vals(split_page->records, group, count);
-    if (split_page_fits(shard, split_page))
+    struct planned_page *planned_page = pages->pdata[pages->len - 1];
+    guint previous_count = planned_page->records->len;
+    g_array_append_vals(planned_page->records, group, count);
+    if (planned_page_fits(shard, planned_page))
         return true;
-    remove_record_group(split_page, group, count);
+    remove_record_group(planned_page, group, count);
     if (!previous_count)
         return false;
-    split_page = split_page_new(pages, split_page->legacy_format);
-    g_array_append_vals(split_page->records, group, count);
-    return split_page_fits(shard, split_page);
+    planned_page = planned_page_new(pages, planned_page->legacy_format);
+    g_array_append_vals(planned_page->records, group, count);
+    return planned_page_fits(shard, planned_page);
 }
 
 /** Whether a record must not move, as a node of version 0 owns its machine. Such a node has noted
  * at the beginning of its epoch which page the machine's records are on, and takes them off that
  * page only: a record moved to another page would stay there, and be on two. It stays where it is
  * until its owner has adopted it, which is soon. */
-static bool must_stay_on_page(const struct shard *shard, const struct record_page_entry *record)
+static bool is_pinned_to_page(const struct shard *shard, const struct record_page_entry *record)
 {
     const char *owner = shard_map_get_owner(shard->replica, record->machine.text);
-    return owner && !node_supports_multi_page(shard, owner);
+    return owner && !node_supports_machine_on_multiple_pages(shard, owner);
 }
 
 /** Puts the records that must stay on the first page, and returns the others in order. */
 static GArray *collect_movable_records(struct shard *shard, const struct record_page *page,
-                                       bool legacy_format, struct split_page *first_page)
+                                       bool legacy_format, struct planned_page *first_page)
 {
     GArray *movable = g_array_new(FALSE, FALSE, sizeof(struct record_page_entry));
     for (guint i = 0; i < page->run_records->len; i++) {
         struct record_page_entry record =
-            shard_page_record_in_replica(shard, page->run_records->pdata[i]);
-        bool stays = legacy_format && must_stay_on_page(shard, &record);
+            shard_make_page_entry_from_replica(shard, page->run_records->pdata[i]);
+        bool stays = legacy_format && is_pinned_to_page(shard, &record);
         g_array_append_val(stays ? first_page->records : movable, record);
     }
     g_array_sort(movable, compare_by_machine);
@@ -145,9 +145,9 @@
 static bool split_records(struct shard *shard, const struct record_page *page, bool legacy_format,
                           GPtrArray *pages)
 {
-    struct split_page *first_page = pages->pdata[0];
+    struct planned_page *first_page = pages->pdata[0];
     GArray *movable = collect_movable_records(shard, page, legacy_format, first_page);
-    bool fits = split_page_fits(shard, first_page);
+    bool fits = planned_page_fits(shard, first_page);
     for (guint i = 0; i < movable->len && fits;) {
         guint size = group_size_at(movable, i, legacy_format);
         fits = add_record_group(shard, pages, &g_array_index(movable, struct record_page_entry, i),
@@ -163,7 +163,7 @@
 /** The state of dividing a page's completions. */
 struct completion_split {
     struct shard *shard;
-    /** struct split_page */
+    /** struct planned_page */
     GPtrArray *pages;
     /** "JOB UNIT" -> GByteArray: bits that other pages of the node hold. */
     GHashTable *covered;
@@ -193,9 +193,9 @@
     struct record_page *other;
     g_hash_table_iter_init(&iter, split->shard->replica->pages);
     while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&other)) {
-        bool counts = other != page && strcmp(other->label, page->label) == 0 &&
-                      !shard_page_is_too_long(split->shard, other);
-        if (counts && other->completions_text)
+        bool is_relevant = other != page && strcmp(other->label, page->label) == 0 &&
+                           !shard_page_is_oversized(split->shard, other);
+        if (is_relevant && other->completions_text)
             completions_decode(other->completions_text, add_covered_unit, split);
     }
 }
@@ -218,14 +218,14 @@
 }
 
 /** The first page with so many free bytes, or a new one. */
-static struct split_page *page_with_free_bytes(struct completion_split *split, gsize bytes)
+static struct planned_page *page_with_free_bytes(struct completion_split *split, gsize bytes)
 {
     for (guint i = 0; i < split->pages->len; i++) {
-        struct split_page *split_page = split->pages->pdata[i];
-        if (split_page_bytes(split_page) + bytes <= shard_max_page_bytes(split->shard))
-            return split_page;
+        struct planned_page *planned_page = split->pages->pdata[i];
+        if (planned_page_bytes(planned_page) + bytes <= shard_max_page_bytes(split->shard))
+            return planned_page;
     }
-    return split_page_new(split->pages, split->legacy_format);
+    return planned_page_new(split->pages, split->legacy_format);
 }
 
 /** Puts a unit on a page, with the bytes that it may come to take; a completions_callback. */
@@ -233,16 +233,16 @@
                                   const GByteArray *bits)
 {
     struct completion_split *split = ctx;
-    struct job *live_job = shard_find_live_job(split->shard, job);
-    if (!live_job || unit_number * COMPLETION_UNIT_TASKS >= live_job->task_count ||
+    struct job *active_job = shard_find_live_job(split->shard, job);
+    if (!active_job || unit_number * COMPLETION_UNIT_TASKS >= active_job->task_count ||
         is_covered(split, job, unit_number, bits))
         return;
-    guint bitmap_bytes = MAX(shard_completion_unit_bytes(live_job, unit_number), bits->len);
+    guint bitmap_bytes = MAX(shard_completion_unit_bytes(active_job, unit_number), bits->len);
     gsize unit_bytes = completions_max_bytes(job, unit_number, bitmap_bytes, split->legacy_format);
-    struct split_page *target = page_with_free_bytes(split, unit_bytes);
+    struct planned_page *target = page_with_free_bytes(split, unit_bytes);
     target->reserved_bytes += unit_bytes;
     completions_encode(target->completions, job, unit_number, bits, split->legacy_format);
-    if (!split_page_fits(split->shard, target))
+    if (!planned_page_fits(split->shard, target))
         split->fits = false;
 }
 
@@ -266,8 +266,8 @@
 
 GPtrArray *page_split_plan(struct shard *shard, const struct record_page *page, bool legacy_format)
 {
-    GPtrArray *pages = g_ptr_array_new_with_free_func(split_page_free);
-    split_page_new(pages, legacy_format);
+    GPtrArray *pages = g_ptr_array_new_with_free_func(planned_page_free);
+    planned_page_new(pages, legacy_format);
     bool fits = split_records(shard, page, legacy_format, pages);
     if (fits && page->completions_text)
         fits = split_completions(shard, page, legacy_format, pages);
--- a/src/shard/page_split_plan.h
+++ b/src/shard/page_split_plan.h
@@ -8,7 +8,7 @@
 #include "run_records_internal.h"
 
 /** One of the pages that a long page is split into. */
-struct split_page {
+struct planned_page {
     /** struct record_page_entry */
     GArray *records;
     /** Completions, as they are written. */
@@ -19,13 +19,13 @@
     bool legacy_format;
 };
 
-/** Divides a page's contents: struct split_page, each within the limits. The first one is what
+/** Divides a page's contents: struct planned_page, each within the limits. The first one is what
  * stays on the page itself. Completions of jobs that are over are left out, and those that other
  * pages of the node hold already. The caller owns the array; NULL: the contents cannot be divided
  * as long as nodes of version 0 may read them. */
 GPtrArray *page_split_plan(struct shard *shard, const struct record_page *page, bool legacy_format);
 
 /** Whether a node understands that the records of a machine may be on several pages. */
-bool node_supports_multi_page(const struct shard *shard, const char *label);
+bool node_supports_machine_on_multiple_pages(const struct shard *shard, const char *label);
 
 #endif
--- a/src/shard/record_batch.c
+++ b/src/shard/record_batch.c
@@ -8,7 +8,7 @@
     /** Conditions that a transaction may have, for each write that it may have. */
     COMPARES_PER_WRITE = 4,
     /** One part in so many of a page is left free of new starts, for completions. */
-    COMPLETIONS_SHARE = 8,
+    COMPLETIONS_RESERVE_DIVISOR = 8,
 };
 
 struct record_batch *record_batch_new(struct shard *shard)
@@ -53,7 +53,7 @@
 /* ---- drafts with what has to stay ---- */
 
 /** Notes that the transaction does not record the end of any run on the page after all. */
-static void forget_ends_on_page(struct shard *shard, int page_number)
+static void exclude_run_ends_on_page(struct shard *shard, int page_number)
 {
     GHashTableIter iter;
     struct machine *machine;
@@ -68,21 +68,21 @@
 
 /** Takes a page out of the batch, as it would be too long: some completions are to move to other
  * pages first, with a later batch. */
-static void withdraw_draft(struct record_batch *batch, guint position)
+static void drop_draft(struct record_batch *batch, guint position)
 {
     int page_number = draft_at(batch, position)->number;
-    shard_completions_move(batch->shard, page_number);
+    shard_completions_move_unit(batch->shard, page_number);
     batch->has_more = true;
-    forget_ends_on_page(batch->shard, page_number);
+    exclude_run_ends_on_page(batch->shard, page_number);
     g_ptr_array_remove_index(batch->drafts, position);
 }
 
 /** Withdraws the first draft that is too long; returns false if there is none. */
-static bool withdraw_long_draft(struct record_batch *batch)
+static bool drop_oversized_draft(struct record_batch *batch)
 {
     for (guint i = 0; i < batch->drafts->len; i++)
-        if (draft_at(batch, i)->is_too_long) {
-            withdraw_draft(batch, i);
+        if (draft_at(batch, i)->is_oversized) {
+            drop_draft(batch, i);
             return true;
         }
     return false;
@@ -96,7 +96,7 @@
     do {
         for (guint i = 0; i < batch->drafts->len; i++)
             page_draft_keep_existing(batch, draft_at(batch, i));
-    } while (withdraw_long_draft(batch));
+    } while (drop_oversized_draft(batch));
 }
 
 /* ---- records of new starts ---- */
@@ -105,7 +105,7 @@
  * one for each machine's own record that it may yet write or remove. */
 static guint reserved_compare_count(const struct record_batch *batch)
 {
-    int spare_writes = batch->spare_writes - (int)txn_write_count(batch->txn);
+    int spare_writes = batch->max_machine_writes - (int)txn_write_count(batch->txn);
     return batch->drafts->len + batch->source_pages->len + (guint)MAX(spare_writes, 0);
 }
 
@@ -154,7 +154,7 @@
         if (run->record.is_in_txn && run->record.next_page >= 0)
             return run->record.next_page;
     }
-    return shard_page_of_machine(machine);
+    return shard_find_page_of_machine(machine);
 }
 
 /** Adds a record to the draft of the page, and returns the draft; NULL: there is none, or it is
@@ -167,10 +167,10 @@
     return draft && page_draft_try_add(draft, record, max_bytes) ? draft : NULL;
 }
 
-bool record_batch_put_run(struct record_batch *batch, struct machine *machine, struct task_run *run,
-                          gsize max_bytes)
+bool record_batch_try_add_run(struct record_batch *batch, struct machine *machine,
+                              struct task_run *run, gsize max_bytes)
 {
-    struct record_page_entry record = shard_page_record_of(machine, run);
+    struct record_page_entry record = shard_make_page_entry(machine, run);
     int required_page = required_page_of_machine(batch, machine);
     struct page_draft *draft = required_page >= 0
                                    ? add_to_draft_of_page(batch, required_page, &record, max_bytes)
@@ -188,16 +188,17 @@
 static void add_placed_runs(struct record_batch *batch, struct machine *machine)
 {
     struct shard *shard = batch->shard;
-    gsize max_bytes = shard_max_page_bytes(shard) - shard_max_page_bytes(shard) / COMPLETIONS_SHARE;
+    gsize max_bytes =
+        shard_max_page_bytes(shard) - shard_max_page_bytes(shard) / COMPLETIONS_RESERVE_DIVISOR;
     for (guint i = 0; i < machine->runs->len; i++) {
         struct task_run *run = machine->runs->pdata[i];
         struct job *job =
             run->phase == TASK_RUN_PLACED ? shard_find_live_job(shard, run->job) : NULL;
         if (!job)
             continue;
-        record_batch_describe_machine(batch, machine);
+        record_batch_try_write_machine(batch, machine);
         if (record_batch_is_machine_described(machine) && add_job_compare(batch, job) &&
-            record_batch_put_run(batch, machine, run, max_bytes))
+            record_batch_try_add_run(batch, machine, run, max_bytes))
             run->record.may_be_recorded = true;
         else
             batch->has_more = true;
@@ -207,17 +208,17 @@
 /* ---- the batch as a whole ---- */
 
 /** Puts completions that are on no page yet on pages that are written. */
-static void place_completions(struct record_batch *batch)
+static void assign_completions(struct record_batch *batch)
 {
     int page_numbers[batch->drafts->len + 1];
     for (guint i = 0; i < batch->drafts->len; i++)
         page_numbers[i] = draft_at(batch, i)->number;
-    if (!shard_completions_place(batch->shard, page_numbers, batch->drafts->len))
+    if (!shard_completions_assign_pages(batch->shard, page_numbers, batch->drafts->len))
         batch->has_more = true;
 }
 
 /** Lists the machine if the transaction changes a record of it. */
-static void list_machine(struct record_batch *batch, struct machine *machine)
+static void add_changed_machine_id(struct record_batch *batch, struct machine *machine)
 {
     if (machine->record.is_in_txn)
         g_ptr_array_add(batch->machine_ids, g_strdup(machine->id.text));
@@ -235,11 +236,11 @@
 void record_batch_fill(struct record_batch *batch)
 {
     record_batch_select_pages(batch);
-    place_completions(batch);
+    assign_completions(batch);
     build_drafts(batch);
     for_each_machine(batch, record_batch_adopt_machine);
     for_each_machine(batch, add_placed_runs);
-    for_each_machine(batch, record_batch_finish_machine);
-    for_each_machine(batch, list_machine);
+    for_each_machine(batch, record_batch_finalize_machine);
+    for_each_machine(batch, add_changed_machine_id);
     write_pages(batch);
 }
--- a/src/shard/record_batch_adopt.c
+++ b/src/shard/record_batch_adopt.c
@@ -10,17 +10,17 @@
                                  bool legacy_format)
 {
     const struct kv_limits *limits = kv_client_limits(shard->kv);
-    if (!legacy_format && shard_label_has_long_page(shard, page->label))
+    if (!legacy_format && shard_node_has_oversized_page(shard, page->label))
         return false;
-    if (!shard_page_is_too_long(shard, page))
+    if (!shard_page_is_oversized(shard, page))
         return true;
     const struct node_record *node = g_hash_table_lookup(shard->replica->nodes, page->label);
     return legacy_format && node && node->understood_version < NODE_VERSION_JOB_DAG &&
            !limits->rate_limit_lowered;
 }
 
-struct record_page *shard_source_page_of_run(struct shard *shard, const struct machine *machine,
-                                             const struct task_run *run)
+struct record_page *shard_find_source_page(struct shard *shard, const struct machine *machine,
+                                           const struct task_run *run)
 {
     if (!run->record.is_foreign || run->phase == TASK_RUN_RELEASED)
         return NULL;
@@ -32,8 +32,8 @@
 /* ---- adopting ---- */
 
 /** Takes the record of a run out of a draft again. */
-static void draft_remove_run(struct page_draft *draft, const struct machine *machine,
-                             const struct task_run *run)
+static void draft_remove_record(struct page_draft *draft, const struct machine *machine,
+                                const struct task_run *run)
 {
     for (guint i = 0; i < draft->records->len; i++) {
         const struct record_page_entry *record =
@@ -56,7 +56,7 @@
         struct page_draft *draft =
             run->record.is_in_txn ? record_batch_find_draft(batch, run->record.next_page) : NULL;
         if (draft)
-            draft_remove_run(draft, machine, run);
+            draft_remove_record(draft, machine, run);
         run->record.is_in_txn = false;
     }
 }
@@ -72,14 +72,14 @@
         machine->record.is_in_txn = true;
         return true;
     }
-    return record_batch_put_run(batch, machine, run, shard_max_page_bytes(batch->shard));
+    return record_batch_try_add_run(batch, machine, run, shard_max_page_bytes(batch->shard));
 }
 
 void record_batch_adopt_machine(struct record_batch *batch, struct machine *machine)
 {
     for (guint i = 0; i < machine->runs->len; i++) {
         struct task_run *run = machine->runs->pdata[i];
-        struct record_page *source = shard_source_page_of_run(batch->shard, machine, run);
+        struct record_page *source = shard_find_source_page(batch->shard, machine, run);
         if (!source || !g_ptr_array_find(batch->source_pages, source, NULL))
             continue;
         bool was_adopted = adopt_run(batch, machine, run);
@@ -112,7 +112,7 @@
         struct run_record *run_record = page->run_records->pdata[i];
         if (is_adopted(shard, run_record))
             continue;
-        struct record_page_entry record = shard_page_record_in_replica(shard, run_record);
+        struct record_page_entry record = shard_make_page_entry_from_replica(shard, run_record);
         g_array_append_val(remaining, record);
     }
     if (remaining->len < page->run_records->len) {
--- a/src/shard/record_batch_internal.h
+++ b/src/shard/record_batch_internal.h
@@ -22,12 +22,12 @@
     /** struct record_page_entry */
     GArray *records;
     /** "JOB" and "JOB ATTEMPT" of its records: a further record of the same takes fewer bytes. */
-    GHashTable *jobs;
+    GHashTable *job_keys;
     struct page_completions completions;
     /** The most bytes that its texts take, with those that completions may still come to take. */
     gsize used_bytes;
     /** Even what has to stay on the page exceeds the limit: it cannot be written in this batch. */
-    bool is_too_long;
+    bool is_oversized;
     /** It differs from the page; others are not written. */
     bool is_changed;
 };
@@ -53,7 +53,7 @@
      * them; valid only until the transaction is sent. */
     GPtrArray *source_pages;
     /** Writes that the transaction may have besides the pages, for the machines' own records. */
-    int spare_writes;
+    int max_machine_writes;
     /** Something waits for the next batch. */
     bool has_more;
 };
@@ -74,8 +74,8 @@
 /** Adds the record of a run to a draft, preferably to one that has records of the same job. Returns
  * false if none has enough free bytes.
  * @param max_bytes of the draft with the record. */
-bool record_batch_put_run(struct record_batch *batch, struct machine *machine, struct task_run *run,
-                          gsize max_bytes);
+bool record_batch_try_add_run(struct record_batch *batch, struct machine *machine,
+                              struct task_run *run, gsize max_bytes);
 
 /* ---- record_batch_select.c: what goes into the transaction ---- */
 
@@ -94,7 +94,7 @@
 bool record_batch_writes_page(const void *batch, int page_number);
 
 /** Adds an empty draft to the batch. */
-struct page_draft *page_draft_open(struct record_batch *batch, int page_number);
+struct page_draft *record_batch_add_draft(struct record_batch *batch, int page_number);
 
 /** Frees a struct page_draft. */
 void page_draft_free(gpointer draft);
@@ -127,8 +127,8 @@
 /** The page of another node that has the record of a run; NULL: none has. It is looked up each
  * time, as a long page may have been split meanwhile: taken off a page that no longer has it, the
  * record would be left on two. */
-struct record_page *shard_source_page_of_run(struct shard *shard, const struct machine *machine,
-                                             const struct task_run *run);
+struct record_page *shard_find_source_page(struct shard *shard, const struct machine *machine,
+                                           const struct task_run *run);
 
 /** Adopts the machine's records that are on the chosen pages of other nodes, as far as they fit
  * into the drafts. Where all records of a machine have to be on one page: all of them or none. */
@@ -145,12 +145,12 @@
 /** Writes the machine's own record, if it has none or has newer images, and there are writes to
  * spare. Otherwise its pages or an inventory go on describing it: one write for each of many new
  * machines would delay the starts of their tasks. */
-void record_batch_describe_machine(struct record_batch *batch, struct machine *machine);
+void record_batch_try_write_machine(struct record_batch *batch, struct machine *machine);
 
 /** To be called once all runs are in the transaction. The record of a machine that is gone is
  * removed with its last run, not sooner, as the pages would have to describe it again; a machine
  * with runs is described. */
-void record_batch_finish_machine(struct record_batch *batch, struct machine *machine);
+void record_batch_finalize_machine(struct record_batch *batch, struct machine *machine);
 
 /* ---- record_batch_outcome.c: what became of the transaction ---- */
 
--- a/src/shard/record_batch_machine.c
+++ b/src/shard/record_batch_machine.c
@@ -8,15 +8,15 @@
 
 enum {
     /** A machine's record is written again for new images no sooner. */
-    DESCRIBE_INTERVAL_MS = 30000,
+    MIN_REWRITE_INTERVAL_MS = 30000,
     /** Machines are described while the transaction is no longer than this. */
-    MAX_DESCRIPTION_BYTES = MAX_BATCH_BYTES / 4,
+    MAX_TXN_BYTES_FOR_MACHINES = MAX_BATCH_BYTES / 4,
     /** Of the write budget, kept for run records: machines are described with what is above it. */
-    RESERVED_WRITES = MAX_WRITE_BURST / 2,
+    WRITES_RESERVED_FOR_RUNS = MAX_WRITE_BURST / 2,
     /** Of a value, for the list of images. */
-    IMAGE_LIST_BYTES = 16,
+    IMAGE_LIST_OVERHEAD_BYTES = 16,
     /** For one image besides its name. */
-    IMAGE_ENTRY_BYTES = 4,
+    IMAGE_ENTRY_OVERHEAD_BYTES = 4,
 };
 
 /** The position in the image cache from which on the images fit into a value: the most recently
@@ -24,9 +24,9 @@
 static guint first_image_that_fits(const struct machine *machine, gsize used_bytes, gsize max_bytes)
 {
     guint first_image = machine->image_cache->len;
-    for (used_bytes += IMAGE_LIST_BYTES; first_image > 0; first_image--) {
+    for (used_bytes += IMAGE_LIST_OVERHEAD_BYTES; first_image > 0; first_image--) {
         const char *image = machine->image_cache->pdata[first_image - 1];
-        used_bytes += 2 * strlen(image) + IMAGE_ENTRY_BYTES;
+        used_bytes += 2 * strlen(image) + IMAGE_ENTRY_OVERHEAD_BYTES;
         if (used_bytes > max_bytes)
             break;
     }
@@ -50,13 +50,13 @@
 }
 
 /** Whether the transaction may have one more write, besides those kept for pages. */
-static bool has_spare_write(const struct record_batch *batch)
+static bool can_write_machine_record(const struct record_batch *batch)
 {
-    return (int)txn_write_count(batch->txn) < batch->spare_writes;
+    return (int)txn_write_count(batch->txn) < batch->max_machine_writes;
 }
 
 /** Whether the machine's own record is missing, or names too few images and is not recent. */
-static bool needs_description(const struct shard *shard, const struct machine *machine)
+static bool needs_machine_record_write(const struct shard *shard, const struct machine *machine)
 {
     const struct machine_record_state *record = &machine->record;
     if (machine->is_gone || record->change == MACHINE_RECORD_WRITTEN || !machine->address[0])
@@ -64,7 +64,7 @@
     if (!record->mod_revision.value)
         return true;
     return record->has_unrecorded_images &&
-           time_ms_since(loop_now(shard->loop), record->written_at) > DESCRIBE_INTERVAL_MS;
+           time_ms_since(loop_now(shard->loop), record->written_at) > MIN_REWRITE_INTERVAL_MS;
 }
 
 bool record_batch_is_machine_described(struct machine *machine)
@@ -73,15 +73,15 @@
            machine->record.inventory_number >= 0 || shard_machine_page_description(machine);
 }
 
-void record_batch_describe_machine(struct record_batch *batch, struct machine *machine)
+void record_batch_try_write_machine(struct record_batch *batch, struct machine *machine)
 {
     struct shard *shard = batch->shard;
-    if (!needs_description(shard, machine) || !has_spare_write(batch) ||
-        txn_size_bytes(batch->txn) > MAX_DESCRIPTION_BYTES)
+    if (!needs_machine_record_write(shard, machine) || !can_write_machine_record(batch) ||
+        txn_size_bytes(batch->txn) > MAX_TXN_BYTES_FOR_MACHINES)
         return;
     double budget_left = shard->records.write_budget - txn_write_count(batch->txn);
     /* If nothing else describes it, no run of it can be recorded before its own record is. */
-    if (record_batch_is_machine_described(machine) && budget_left <= RESERVED_WRITES)
+    if (record_batch_is_machine_described(machine) && budget_left <= WRITES_RESERVED_FOR_RUNS)
         return;
     gsize max_bytes = kv_client_limits(shard->kv)->max_value_bytes;
     record_txn_put_machine(batch->txn, machine, encode_machine_value(machine, max_bytes));
@@ -94,9 +94,9 @@
 /** Removes the own record of a machine that is gone. Many may go at once when machines are
  * returned, so those for which no write is left wait for the next transaction: one with too many
  * writes would be refused for ever. */
-static void remove_machine(struct record_batch *batch, struct machine *machine)
+static void try_delete_machine_record(struct record_batch *batch, struct machine *machine)
 {
-    if (!has_spare_write(batch)) {
+    if (!can_write_machine_record(batch)) {
         batch->has_more = true;
         return;
     }
@@ -110,22 +110,22 @@
 {
     for (guint i = 0; i < machine->runs->len; i++) {
         const struct task_run *run = machine->runs->pdata[i];
-        bool leaves_records =
+        bool is_removed_by_txn =
             run->phase == TASK_RUN_ENDED && run->record.is_in_txn && run->record.next_page < 0;
-        if (run->phase != TASK_RUN_RELEASED && !leaves_records)
+        if (run->phase != TASK_RUN_RELEASED && !is_removed_by_txn)
             return true;
     }
     return false;
 }
 
-void record_batch_finish_machine(struct record_batch *batch, struct machine *machine)
+void record_batch_finalize_machine(struct record_batch *batch, struct machine *machine)
 {
-    bool is_leaving = machine->is_gone && !has_runs_after_txn(machine);
-    if (is_leaving && machine->record.mod_revision.value)
-        remove_machine(batch, machine);
+    bool is_removable = machine->is_gone && !has_runs_after_txn(machine);
+    if (is_removable && machine->record.mod_revision.value)
+        try_delete_machine_record(batch, machine);
     /* Also a machine without a record of its own is listed in the batch: it is freed with it. */
-    if (is_leaving)
+    if (is_removable)
         machine->record.is_in_txn = true;
     if (!machine->is_gone && shard_machine_has_runs(machine))
-        record_batch_describe_machine(batch, machine);
+        record_batch_try_write_machine(batch, machine);
 }
--- a/src/shard/record_batch_outcome.c
+++ b/src/shard/record_batch_outcome.c
@@ -46,15 +46,15 @@
 /* ---- committed ---- */
 
 /** What the commit of a transaction does to a run. */
-enum run_commit {
-    RUN_STAYS,
+enum run_commit_result {
+    RUN_COMMIT_KEPT,
     /** Its record was removed: the attempt is over for good, and its resources are released. */
-    RUN_RELEASED,
+    RUN_COMMIT_RELEASED,
 };
 
 /** Makes the record of a run as the transaction has it. */
-static enum run_commit commit_run(struct shard *shard, struct machine *machine,
-                                  struct task_run *run)
+static enum run_commit_result commit_run(struct shard *shard, struct machine *machine,
+                                         struct task_run *run)
 {
     run->record.is_in_txn = false;
     run->record.page = run->record.next_page;
@@ -63,13 +63,13 @@
     if (run->phase == TASK_RUN_PLACED) {
         run->phase = TASK_RUN_RECORDED;
         shard_run_stop_if_job_over(shard, run);
-        return RUN_STAYS;
+        return RUN_COMMIT_KEPT;
     }
     if (run->phase != TASK_RUN_ENDED || run->record.page >= 0)
-        return RUN_STAYS;
+        return RUN_COMMIT_KEPT;
     shard_run_release_resources(shard, machine, run);
     run->phase = TASK_RUN_RELEASED;
-    return RUN_RELEASED;
+    return RUN_COMMIT_RELEASED;
 }
 
 /** Makes the records of a machine's runs as the transaction has them. A released run is freed,
@@ -78,9 +78,9 @@
 {
     for (guint i = 0; i < machine->runs->len;) {
         struct task_run *run = machine->runs->pdata[i];
-        enum run_commit result =
-            run->record.is_in_txn ? commit_run(shard, machine, run) : RUN_STAYS;
-        if (result == RUN_RELEASED && run->reported.visibility != RUN_REPORTED)
+        enum run_commit_result result =
+            run->record.is_in_txn ? commit_run(shard, machine, run) : RUN_COMMIT_KEPT;
+        if (result == RUN_COMMIT_RELEASED && run->reported.visibility != RUN_REPORTED)
             g_ptr_array_remove_index_fast(machine->runs, i);
         else
             i++;
@@ -121,7 +121,7 @@
 }
 
 /** The machine at a position in the batch's list, or NULL if the shard has it no longer. */
-static struct machine *listed_machine(const struct record_batch *batch, guint position)
+static struct machine *find_batch_machine(const struct record_batch *batch, guint position)
 {
     return shard_find_machine(batch->shard, batch->machine_ids->pdata[position]);
 }
@@ -130,7 +130,7 @@
 {
     batch->shard->records.txn_in_flight = false;
     for (guint i = 0; i < batch->machine_ids->len; i++) {
-        struct machine *machine = listed_machine(batch, i);
+        struct machine *machine = find_batch_machine(batch, i);
         if (machine)
             machine->record.is_in_txn = false;
     }
@@ -153,7 +153,7 @@
     shard_completions_mark_durable(shard, record_batch_writes_page, batch);
     record_batch_close(batch);
     for (guint i = 0; i < batch->machine_ids->len; i++) {
-        struct machine *machine = listed_machine(batch, i);
+        struct machine *machine = find_batch_machine(batch, i);
         if (machine)
             commit_machine(shard, machine, committed_at);
     }
@@ -180,7 +180,7 @@
 static void rollback_machines(struct record_batch *batch)
 {
     for (guint i = 0; i < batch->machine_ids->len; i++) {
-        struct machine *machine = listed_machine(batch, i);
+        struct machine *machine = find_batch_machine(batch, i);
         if (machine)
             rollback_machine(machine);
     }
@@ -189,7 +189,7 @@
 static void push_commands(struct record_batch *batch)
 {
     for (guint i = 0; i < batch->machine_ids->len; i++) {
-        struct machine *machine = listed_machine(batch, i);
+        struct machine *machine = find_batch_machine(batch, i);
         if (machine)
             shard_push_commands(batch->shard, machine);
     }
--- a/src/shard/record_batch_select.c
+++ b/src/shard/record_batch_select.c
@@ -22,11 +22,11 @@
 /** Shares of a page's bytes, as one part in so many. */
 enum {
     /** A page with so many free bytes may be chosen for new records. */
-    ROOMY_PAGE_SHARE = 4,
+    NEW_RECORDS_FREE_DIVISOR = 4,
     /** So many free bytes on the pages that are written anyway are enough for new starts. */
-    ENOUGH_FOR_STARTS_SHARE = 5,
+    STARTS_FREE_DIVISOR = 5,
     /** And so many when records are adopted as well. */
-    ENOUGH_FOR_ADOPTION_SHARE = 2,
+    ADOPTION_FREE_DIVISOR = 2,
 };
 
 /** What waits to be written. */
@@ -35,7 +35,7 @@
     /** By page number: the sum of the weights of what waits for that page. */
     double *page_weights;
     /** There are starts or completions that may go to any page. */
-    bool has_unplaced;
+    bool has_unassigned;
     /** struct record_page: of other nodes, that records are to be adopted from. */
     GPtrArray *source_pages;
 };
@@ -43,7 +43,7 @@
 /* ---- what waits ---- */
 
 /** Removes runs that were not recorded before their job was cancelled: nothing was started. */
-static void drop_placed_runs_of_over_jobs(struct shard *shard, struct machine *machine)
+static void drop_placed_runs_of_finished_jobs(struct shard *shard, struct machine *machine)
 {
     for (guint i = 0; i < machine->runs->len;) {
         struct task_run *run = machine->runs->pdata[i];
@@ -67,8 +67,8 @@
 static void add_run_demand(struct record_batch *batch, struct write_demand *demand,
                            struct machine *machine, const struct task_run *run)
 {
-    struct record_page *source_page = shard_source_page_of_run(batch->shard, machine, run);
-    int required_page = batch->legacy_format ? shard_page_of_machine(machine) : -1;
+    struct record_page *source_page = shard_find_source_page(batch->shard, machine, run);
+    int required_page = batch->legacy_format ? shard_find_page_of_machine(machine) : -1;
     if (source_page)
         add_source_demand(batch, demand, source_page);
     if (run->phase == TASK_RUN_ENDED && run->record.page >= 0)
@@ -79,7 +79,7 @@
     if (run->phase == TASK_RUN_PLACED && required_page >= 0)
         demand->page_weights[required_page] += START_WEIGHT;
     if (run->phase == TASK_RUN_PLACED && required_page < 0)
-        demand->has_unplaced = true;
+        demand->has_unassigned = true;
 }
 
 /** Collects what all runs and completions wait for. */
@@ -93,12 +93,12 @@
     struct machine *machine;
     g_hash_table_iter_init(&iter, shard->machines);
     while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&machine)) {
-        drop_placed_runs_of_over_jobs(shard, machine);
+        drop_placed_runs_of_finished_jobs(shard, machine);
         for (guint i = 0; i < machine->runs->len; i++)
             add_run_demand(batch, demand, machine, machine->runs->pdata[i]);
     }
     if (shard_completions_add_demand(shard, demand->page_weights, COMPLETION_WEIGHT))
-        demand->has_unplaced = true;
+        demand->has_unassigned = true;
 }
 
 /* ---- pages for new records ---- */
@@ -116,9 +116,9 @@
 
 /** The page with the most free bytes that is not in the batch; an unused one if they are all quite
  * full. */
-static int choose_page_for_more(struct shard *shard, const struct record_batch *batch)
+static int choose_page_for_new_records(struct shard *shard, const struct record_batch *batch)
 {
-    gsize wanted_bytes = shard_max_page_bytes(shard) / ROOMY_PAGE_SHARE;
+    gsize wanted_bytes = shard_max_page_bytes(shard) / NEW_RECORDS_FREE_DIVISOR;
     int best = -1;
     for (guint i = 0; i < shard->records.pages->len; i++) {
         gsize free_bytes =
@@ -135,60 +135,60 @@
 
 /** The page with the highest weight that is not in the batch yet and can be written; -1: none.
  * @param page_count of the pages that the weights are known of. */
-static int most_demanded_page(struct record_batch *batch, const struct write_demand *demand,
-                              guint page_count)
+static int find_highest_weight_page(struct record_batch *batch, const struct write_demand *demand,
+                                    guint page_count)
 {
     int best = -1;
     for (guint i = 0; i < page_count; i++)
         if (demand->page_weights[i] > 0 &&
             (best < 0 || demand->page_weights[i] > demand->page_weights[best]) &&
             !record_batch_find_draft(batch, (int)i) &&
-            !shard_own_page_is_too_long(batch->shard, (int)i))
+            !shard_own_page_is_oversized(batch->shard, (int)i))
             best = (int)i;
     return best;
 }
 
 /** Chooses the pages of other nodes to adopt records from. Each batch begins with another one, so
  * that none waits for ever. */
-static void choose_sources(struct record_batch *batch, const struct write_demand *demand,
-                           guint max_pages)
+static void select_source_pages(struct record_batch *batch, const struct write_demand *demand,
+                                guint max_pages)
 {
     struct shard *shard = batch->shard;
-    guint wanted = demand->source_pages->len;
-    guint chosen = MIN(MIN(wanted, MAX_SOURCE_PAGES), max_pages);
-    for (guint i = 0; i < chosen; i++) {
-        guint position = (i + shard->records.first_source_page) % wanted;
+    guint candidate_count = demand->source_pages->len;
+    guint selected_count = MIN(MIN(candidate_count, MAX_SOURCE_PAGES), max_pages);
+    for (guint i = 0; i < selected_count; i++) {
+        guint position = (i + shard->records.first_source_page) % candidate_count;
         g_ptr_array_add(batch->source_pages, demand->source_pages->pdata[position]);
     }
-    batch->has_more = chosen < wanted;
+    batch->has_more = selected_count < candidate_count;
     shard->records.first_source_page++;
 }
 
 /** Chooses the own pages to write and opens their drafts. */
-static void choose_drafts(struct record_batch *batch, const struct write_demand *demand,
-                          guint max_pages)
+static void select_own_pages(struct record_batch *batch, const struct write_demand *demand,
+                             guint max_pages)
 {
     struct shard *shard = batch->shard;
     guint page_count = shard->records.pages->len;
     bool adopts_records = batch->source_pages->len > 0;
-    bool takes_new_records = demand->has_unplaced || adopts_records;
+    bool accepts_new_records = demand->has_unassigned || adopts_records;
     gsize free_bytes = 0;
     gsize enough_bytes = shard_max_page_bytes(shard) /
-                         (adopts_records ? ENOUGH_FOR_ADOPTION_SHARE : ENOUGH_FOR_STARTS_SHARE);
+                         (adopts_records ? ADOPTION_FREE_DIVISOR : STARTS_FREE_DIVISOR);
     for (;;) {
-        bool needs_one_more = takes_new_records && free_bytes < enough_bytes;
+        bool needs_one_more = accepts_new_records && free_bytes < enough_bytes;
         if (batch->drafts->len >= max_pages - needs_one_more)
             break;
-        int number = most_demanded_page(batch, demand, page_count);
+        int number = find_highest_weight_page(batch, demand, page_count);
         if (number < 0)
             break;
-        page_draft_open(batch, number);
+        record_batch_add_draft(batch, number);
         free_bytes += shard_page_free_bytes(shard, number);
     }
-    if (most_demanded_page(batch, demand, page_count) >= 0)
+    if (find_highest_weight_page(batch, demand, page_count) >= 0)
         batch->has_more = true;
-    if (takes_new_records && free_bytes < enough_bytes)
-        page_draft_open(batch, choose_page_for_more(shard, batch));
+    if (accepts_new_records && free_bytes < enough_bytes)
+        record_batch_add_draft(batch, choose_page_for_new_records(shard, batch));
 }
 
 /** Own pages that a transaction may write: half of its writes at most, so that the other half is
@@ -206,9 +206,9 @@
     guint max_drafts = max_draft_count(limits);
     struct write_demand demand;
     collect_demand(batch, &demand);
-    choose_sources(batch, &demand, (guint)limits->max_txn_operations - max_drafts - 1);
-    choose_drafts(batch, &demand, max_drafts);
-    batch->spare_writes =
+    select_source_pages(batch, &demand, (guint)limits->max_txn_operations - max_drafts - 1);
+    select_own_pages(batch, &demand, max_drafts);
+    batch->max_machine_writes =
         limits->max_txn_operations - (int)(batch->drafts->len + batch->source_pages->len);
     g_free(demand.page_weights);
     g_ptr_array_unref(demand.source_pages);
--- a/src/shard/run_records_flush.c
+++ b/src/shard/run_records_flush.c
@@ -17,7 +17,7 @@
 };
 
 /** Of the writes that the state service allows, the share that the records of all nodes may use. */
-static const double RECORDS_SHARE = 0.8;
+static const double RECORD_WRITE_SHARE = 0.8;
 
 void shard_request_flush(struct shard *shard)
 {
@@ -41,13 +41,14 @@
 static double write_rate_share(const struct shard *shard)
 {
     const struct kv_limits *limits = kv_client_limits(shard->kv);
-    return limits->rate_limit_write_rps * RECORDS_SHARE / MAX(shard->replica->shard_map->len, 1);
+    return limits->rate_limit_write_rps * RECORD_WRITE_SHARE /
+           MAX(shard->replica->shard_map->len, 1);
 }
 
 /** Refills the write budget, a token bucket, and tells whether there is a write in it. If not, the
  * flush timer is set to when there will be: the longer changes wait, the more go into one
  * transaction. */
-static bool has_write_budget(struct shard *shard)
+static bool refill_write_budget(struct shard *shard)
 {
     struct shard_records *records = &shard->records;
     double writes_per_s = write_rate_share(shard);
@@ -117,16 +118,16 @@
     struct shard *shard = arg;
     if (shard->records.txn_in_flight || !record_txn_is_allowed(shard))
         return;
-    bool split_due = shard_split_due(shard);
-    bool inventory_due = shard_inventory_due(shard);
-    if (!shard->records.is_dirty && !split_due && !inventory_due)
+    bool needs_split = shard_split_is_due(shard);
+    bool needs_inventory_write = shard_inventory_is_due(shard);
+    if (!shard->records.is_dirty && !needs_split && !needs_inventory_write)
         return;
-    if (!has_write_budget(shard))
+    if (!refill_write_budget(shard))
         return;
     /* A page that is being split by copies must not be written before that has ended. */
-    if (split_due && shard_split(shard))
+    if (needs_split && shard_split_page(shard))
         return;
-    if (inventory_due)
+    if (needs_inventory_write)
         shard_inventory_write(shard);
     else
         write_batch(shard);
--- a/src/shard/run_records_internal.h
+++ b/src/shard/run_records_internal.h
@@ -39,7 +39,7 @@
     revision mod_revision;
     /** Of its texts as they were last written or seen, and at most of what is reserved on it since.
      */
-    gsize bytes;
+    gsize used_bytes;
     /** struct record_page_entry: records of machines that other nodes own by now and have not
      * adopted yet. They stay on the page until their owners take them off. */
     GArray *foreign_records;
@@ -52,7 +52,7 @@
 
 /** Whether a page of any node is longer than that. It can be read, but not written again before it
  * was split. */
-bool shard_page_is_too_long(const struct shard *shard, const struct record_page *page);
+bool shard_page_is_oversized(const struct shard *shard, const struct record_page *page);
 
 /** Whether nodes of version 0 may come to read what is written. They expect all records of a
  * machine on one page, and completions that begin with their unit. */
@@ -71,8 +71,8 @@
 /** The same page as the replica has it, or NULL. The replica owns it. */
 struct record_page *shard_find_replica_page(struct shard *shard, int page_number);
 
-/** shard_page_is_too_long() for a page of this node. */
-bool shard_own_page_is_too_long(struct shard *shard, int page_number);
+/** shard_page_is_oversized() for a page of this node. */
+bool shard_own_page_is_oversized(struct shard *shard, int page_number);
 
 /** Whether nothing is stored on the page and nothing is reserved on it. */
 bool shard_own_page_is_empty(struct shard *shard, int page_number);
@@ -82,7 +82,7 @@
                                          const struct task_run *run);
 
 /** The first own page that has a record of the machine; -1: none has. */
-int shard_page_of_machine(const struct machine *machine);
+int shard_find_page_of_machine(const struct machine *machine);
 
 /** The description of a machine for the pages with records of it; NULL: it is described elsewhere,
  * its address is not known yet, or a page cannot hold it, as a word of it has separators. The
@@ -90,12 +90,12 @@
 const char *shard_machine_page_description(struct machine *machine);
 
 /** The record of a run, as it is written. Its description belongs to the machine. */
-struct record_page_entry shard_page_record_of(struct machine *machine, const struct task_run *run);
+struct record_page_entry shard_make_page_entry(struct machine *machine, const struct task_run *run);
 
 /** The record as the replica has it, with the description of its machine if pages need that. The
  * description belongs to the replica. */
-struct record_page_entry shard_page_record_in_replica(struct shard *shard,
-                                                      const struct run_record *run_record);
+struct record_page_entry shard_make_page_entry_from_replica(struct shard *shard,
+                                                            const struct run_record *run_record);
 
 /** Whether one more run of the machine can be recorded. It always can, unless a node that expects
  * all records of a machine on one page may come to read it: then that page needs enough free bytes.
--- a/src/shard/run_records_pages.c
+++ b/src/shard/run_records_pages.c
@@ -17,7 +17,7 @@
     return kv_client_limits(shard->kv)->max_value_bytes - PAGE_VALUE_OVERHEAD_BYTES;
 }
 
-bool shard_page_is_too_long(const struct shard *shard, const struct record_page *page)
+bool shard_page_is_oversized(const struct shard *shard, const struct record_page *page)
 {
     return page->size_bytes > shard_max_page_bytes(shard);
 }
@@ -58,15 +58,15 @@
     return page;
 }
 
-bool shard_own_page_is_too_long(struct shard *shard, int page_number)
+bool shard_own_page_is_oversized(struct shard *shard, int page_number)
 {
     struct record_page *page = shard_find_replica_page(shard, page_number);
-    return page && shard_page_is_too_long(shard, page);
+    return page && shard_page_is_oversized(shard, page);
 }
 
 bool shard_own_page_is_empty(struct shard *shard, int page_number)
 {
-    return !shard_get_own_page(shard, page_number)->bytes &&
+    return !shard_get_own_page(shard, page_number)->used_bytes &&
            !shard_find_replica_page(shard, page_number);
 }
 
@@ -80,7 +80,7 @@
     return is_same_run ? run_record : NULL;
 }
 
-int shard_page_of_machine(const struct machine *machine)
+int shard_find_page_of_machine(const struct machine *machine)
 {
     for (guint i = 0; i < machine->runs->len; i++) {
         const struct task_run *run = machine->runs->pdata[i];
@@ -102,14 +102,14 @@
     return record->page_description;
 }
 
-struct record_page_entry shard_page_record_of(struct machine *machine, const struct task_run *run)
+struct record_page_entry shard_make_page_entry(struct machine *machine, const struct task_run *run)
 {
     return (struct record_page_entry){machine->id, run->job, run->attempt, run->index,
                                       shard_machine_page_description(machine)};
 }
 
-struct record_page_entry shard_page_record_in_replica(struct shard *shard,
-                                                      const struct run_record *run_record)
+struct record_page_entry shard_make_page_entry_from_replica(struct shard *shard,
+                                                            const struct run_record *run_record)
 {
     const struct machine_record *machine = run_record->machine;
     return (struct record_page_entry){
@@ -143,18 +143,18 @@
         return true;
     if (has_foreign_record(machine))
         return false;
-    int page_number = shard_page_of_machine(machine);
+    int page_number = shard_find_page_of_machine(machine);
     if (page_number < 0)
         return true;
     gsize record_bytes = new_record_max_bytes(machine, job);
-    return !shard_own_page_is_too_long(shard, page_number) &&
-           shard_get_own_page(shard, page_number)->bytes + record_bytes <=
+    return !shard_own_page_is_oversized(shard, page_number) &&
+           shard_get_own_page(shard, page_number)->used_bytes + record_bytes <=
                shard_max_page_bytes(shard);
 }
 
 void shard_reserve_record(struct shard *shard, struct machine *machine, job_id job)
 {
-    int page_number = shard_page_of_machine(machine);
+    int page_number = shard_find_page_of_machine(machine);
     gsize record_bytes = new_record_max_bytes(machine, job);
     if (page_number >= 0)
         shard_page_reserve(shard, page_number, record_bytes);
@@ -163,15 +163,15 @@
 
 void shard_page_reserve(struct shard *shard, int page_number, gsize bytes)
 {
-    shard_get_own_page(shard, page_number)->bytes += bytes;
+    shard_get_own_page(shard, page_number)->used_bytes += bytes;
 }
 
 gsize shard_page_free_bytes(struct shard *shard, int page_number)
 {
     gsize max_bytes = shard_max_page_bytes(shard);
-    gsize used_bytes = shard_get_own_page(shard, page_number)->bytes +
+    gsize used_bytes = shard_get_own_page(shard, page_number)->used_bytes +
                        shard_completions_reserved_bytes(shard, page_number);
-    if (shard_own_page_is_too_long(shard, page_number) || used_bytes > max_bytes)
+    if (shard_own_page_is_oversized(shard, page_number) || used_bytes > max_bytes)
         return 0;
     return max_bytes - used_bytes;
 }
--- a/src/shard/run_records_reconcile.c
+++ b/src/shard/run_records_reconcile.c
@@ -30,14 +30,14 @@
     g_array_set_size(page->foreign_records, 0);
     if (!replica_page) {
         page->mod_revision = (revision){0};
-        page->bytes = 0;
+        page->used_bytes = 0;
         return;
     }
     page->mod_revision = replica_page->mod_revision;
     collect_foreign_records(shard, replica_page, page->foreign_records);
     if (replica_page->completions_text)
         shard_completions_read(shard, replica_page->completions_text, page_number);
-    page->bytes = replica_page->size_bytes;
+    page->used_bytes = replica_page->size_bytes;
 }
 
 /** Makes the machines' runs agree with the records on one own page or (-1) with all records. */
--- a/tests/test_record_pages.c
+++ b/tests/test_record_pages.c
@@ -198,7 +198,7 @@
     }
     assert_true(run && run->record.is_in_txn && run->record.is_foreign);
     int put = run->record.next_page;
-    ((struct own_page *)shard->records.pages->pdata[put])->bytes = shard_max_page_bytes(shard);
+    ((struct own_page *)shard->records.pages->pdata[put])->used_bytes = shard_max_page_bytes(shard);
     world_submit(world, 0, "wk-2", "sweep", 1);
     for (int i = 0; i < 3000 && run->record.is_foreign; i++)
         world_run(world, 1);
