--- a/src/shard/completion_pages.c
+++ b/src/shard/completion_pages.c
@@ -1,16 +1,17 @@
 /**
  * @file
- * Which pages completions are written on: their choice, the text on a page, moving them off a
- * page that is too long, and what a committed transaction makes durable.
+ * Assigning completions to pages: choosing the pages, encoding the completions of a page, moving
+ * completions off an oversized page, and marking them durable after a transaction was committed.
  */
 #include "completions_internal.h"
 #include "run_records_internal.h"
 
 #include "log.h"
 
-/* ---- the text on a page ---- */
+/* ---- encoding ---- */
 
-/** Bytes that a unit may still come to take on its page, two hexadecimal digits for eight tasks. */
+/** Returns the bytes that a unit may still grow by on its page: two hexadecimal digits for each
+ * byte that its bitmap can still get. */
 static gsize unit_reserved_bytes(const struct completion_unit *unit, const struct job *job)
 {
     guint max_bytes = shard_completion_unit_bytes(job, unit->number);
@@ -19,7 +20,7 @@
     return 2 * (gsize)(max_bytes - unit->bits->len);
 }
 
-/** Whether a durable unit of another page has the bit. */
+/** Whether a durable unit of another page has the bit set. */
 static bool is_bit_covered(const GPtrArray *units, const struct completion_unit *unit, uint32_t bit)
 {
     for (guint i = 0; i < units->len; i++) {
@@ -31,7 +32,8 @@
     return false;
 }
 
-/** Whether durable units of other pages have all bits of this one: its page may drop it. */
+/** Whether durable units of other pages store all bits of this one, so that its page may drop it.
+ */
 static bool is_covered_elsewhere(struct shard *shard, const struct completion_unit *unit)
 {
     GPtrArray *units = completion_units_find(shard, unit->job, unit->number);
@@ -41,14 +43,14 @@
     return true;
 }
 
-/** The page whose completions are written out. */
+/** The page whose completions are being encoded. */
 struct completions_encoder {
     struct page_completions *out;
     int page_number;
     bool legacy_format;
 };
 
-/** Adds a unit to the text of its page; a completion_unit_callback. */
+/** Appends a unit to the completions of its page; a completion_unit_callback. */
 static void encode_unit(struct shard *shard, struct completion_unit *unit, void *ctx)
 {
     struct completions_encoder *encoder = ctx;
@@ -72,7 +74,7 @@
     completion_units_for_each(shard, encode_unit, &encoder);
 }
 
-/** The sum of what the units of a page may still come to take. */
+/** The total number of bytes that the units of a page may still grow by. */
 struct reserved_total {
     int page_number;
     gsize bytes;
@@ -94,16 +96,17 @@
     return total.bytes;
 }
 
-/* ---- moving off a page that is too long ---- */
+/* ---- moving units off an oversized page ---- */
 
 /** The page that a unit is moved off. */
 struct completion_move {
     int page_number;
-    /** One was moved: one at a time is enough. */
+    /** A unit was moved. One is moved at a time. */
     bool is_done;
 };
 
-/** Copies the bits of a unit to one without a page. */
+/** Copies the bits of a unit to the unassigned unit of the same number; a completion_unit_callback.
+ */
 static void move_unit(struct shard *shard, struct completion_unit *unit, void *ctx)
 {
     struct completion_move *move = ctx;
@@ -123,17 +126,17 @@
     completion_units_for_each(shard, move_unit, &move);
 }
 
-/* ---- the choice of pages ---- */
+/* ---- assignment to pages ---- */
 
-/** The pages that units without a page may go to. */
+/** The pages that unassigned units may be assigned to. */
 struct unit_assignment {
     const int *pages;
     guint page_count;
-    /** Some units have no page yet. */
+    /** Some units are still unassigned. */
     bool has_unassigned;
 };
 
-/** Marks a unit as empty. */
+/** Empties a unit. */
 static void unit_clear(struct completion_unit *unit)
 {
     g_byte_array_set_size(unit->bits, 0);
@@ -141,8 +144,8 @@
     unit->is_moving = false;
 }
 
-/** Puts a unit on a page, or merges it with the one that is there; returns whether the page can
- * have it. */
+/** Assigns a unit to a page, or merges it with the unit that is there. Returns false if the page
+ * cannot take it. */
 static bool try_assign_unit(struct shard *shard, struct completion_unit *unit,
                             const struct job *job, int page_number)
 {
@@ -164,7 +167,7 @@
     return true;
 }
 
-/** Puts a unit without a page on the first one that can have it; a completion_unit_callback. */
+/** Assigns an unassigned unit to the first page that can take it; a completion_unit_callback. */
 static void assign_unit(struct shard *shard, struct completion_unit *unit, void *ctx)
 {
     struct unit_assignment *assignment = ctx;
@@ -184,7 +187,8 @@
     return !assignment.has_unassigned;
 }
 
-/** Adds what the units of one key wait for. Returns whether some of them have no page. */
+/** Adds the weights of units with the same job and number to their pages. Returns whether some of
+ * the units are unassigned. */
 static bool add_unit_demand(const GPtrArray *units, double *page_weights, double weight)
 {
     bool has_unassigned = false;
@@ -207,7 +211,7 @@
     while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&units)) {
         const struct completion_unit *first = units->pdata[0];
         if (!shard_find_live_job(shard, first->job))
-            /* Its job is over: its pages drop it when they are next written. */
+            /* The job is finished: pages drop the unit when they are next written. */
             g_hash_table_iter_remove(&iter);
         else if (add_unit_demand(units, page_weights, weight))
             has_unassigned = true;
@@ -223,8 +227,8 @@
     const void *ctx;
 };
 
-/** Notes that a page holds a unit, unless the unit has changed since; a completion_unit_callback.
- */
+/** Marks a unit as durable if its page was written and it has not changed since the transaction was
+ * created. Empties a moved unit whose bits are durable elsewhere. A completion_unit_callback. */
 static void mark_unit_durable(struct shard *shard, struct completion_unit *unit, void *ctx)
 {
     struct written_pages *pages = ctx;
--- a/src/shard/completions.c
+++ b/src/shard/completions.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * The completions that this node knows of its own tasks: what it saw, and what its pages held
- * before. completion_pages.c has which pages they are written on.
+ * The completions of tasks on this node's machines: those that it saw, and those that its pages
+ * stored before. completion_pages.c assigns them to pages.
  */
 #include "completions_internal.h"
 #include "run_records_internal.h"
@@ -93,9 +93,8 @@
     unit->bits->data[bit / 8] |= (guint8)(1 << (bit % 8));
 }
 
-/* ---- bytes ---- */
+/* ---- sizes ---- */
 
-/** The bytes of a unit's bits once all its tasks have completed. */
 guint shard_completion_unit_bytes(const struct job *job, uint32_t unit_number)
 {
     guint later_tasks = job->task_count - unit_number * COMPLETION_UNIT_TASKS;
@@ -109,8 +108,9 @@
                                  shard_uses_legacy_format(shard));
 }
 
-/** In the legacy format a late task of a long job takes a long text. If that may be too long for a
- * page, the task's end stays off the records until nodes of version 0 can no longer read it. */
+/** In the legacy format, the higher the index of a task, the longer its encoded completion. If it
+ * might be too long for a page, the end of the task is not recorded until nodes of version 0 can no
+ * longer read the pages. */
 bool shard_can_record_completion(struct shard *shard, const struct task_run *run)
 {
     gsize legacy_bytes = completions_max_bytes(run->job, run->index / COMPLETION_UNIT_TASKS,
@@ -118,10 +118,11 @@
     return legacy_bytes <= shard_max_page_bytes(shard) / 2 || !shard_uses_legacy_format(shard);
 }
 
-/* ---- what is known ---- */
+/* ---- which tasks completed ---- */
 
-/** The page for a completion: the one that loses the run's record, so that one write does both; -1
- * if that has too few free bytes. Reserves the bytes of a new unit on it. */
+/** Returns the page for a completion: the one with the run's record, so that one write both removes
+ * the record and adds the completion. -1 if that page has too few free bytes, or the unit is being
+ * moved off it. Reserves the bytes of a new unit on the page. */
 static int choose_completion_page(struct shard *shard, const struct job *job, uint32_t unit_number,
                                   int record_page)
 {
@@ -142,7 +143,7 @@
 {
     struct job *job = shard_find_live_job(shard, run->job);
     if (!job)
-        return; /* cancelled: nobody asks any more which of its tasks completed */
+        return; /* cancelled: its completions are no longer needed */
     uint32_t unit_number = run->index / COMPLETION_UNIT_TASKS;
     int page_number = choose_completion_page(shard, job, unit_number, run->record.page);
     struct completion_unit *unit = completion_unit_get(shard, job->id, unit_number, page_number);
@@ -158,7 +159,7 @@
     int page_number;
 };
 
-/** Adds the bits of a unit that a page holds; a completions_callback. They stay on that page, also
+/** Adds the bits of a unit that a page stores; a completions_callback. They stay on that page, even
  * if an earlier process of this node wrote them. */
 static void read_unit(void *ctx, job_id job, uint32_t unit_number, const GByteArray *bits)
 {
@@ -177,8 +178,7 @@
     completions_decode(text, read_unit, &reader);
 }
 
-/** Whether a unit's bits are on record for good, or come on record with the pages of the predicate.
- */
+/** Whether a unit's bits are durable, or will be once the pages of the predicate are written. */
 static bool is_unit_written(const struct completion_unit *unit, page_predicate is_written,
                             const void *ctx)
 {
@@ -191,7 +191,7 @@
                                  page_predicate is_written, const void *ctx)
 {
     if (run->end.proof != RUN_END_COMPLETED || !shard_find_live_job(shard, run->job))
-        return true; /* there is no completion to be written */
+        return true; /* there is no completion to record */
     GPtrArray *units = completion_units_find(shard, run->job, run->index / COMPLETION_UNIT_TASKS);
     for (guint i = 0; units && i < units->len; i++) {
         struct completion_unit *unit = units->pdata[i];
--- a/src/shard/machine_inventory.c
+++ b/src/shard/machine_inventory.c
@@ -1,36 +1,38 @@
 /**
  * @file
- * Inventories: one value each, that describes many machines (address, type, zone, spot). Until a
- * machine is listed in one, each page with records of it has to describe it, which takes more bytes
- * there than its runs do.
+ * Inventories: values that describe many machines each (address, type, zone, spot). Until an
+ * inventory lists a machine, each page with records of the machine has to describe it, and the
+ * description takes more bytes than the records of the machine's runs.
  */
 #include "machine_inventory_internal.h"
 #include "record_txn.h"
 
 enum {
-    /** Between two writes: machines that come meanwhile are listed together. */
+    /** The minimum time between two writes, so that machines that join in the meantime are added
+     * together. */
     INVENTORY_INTERVAL_MS = 4000,
-    /** After this, an inventory is also written only to take machines off it that are gone. */
+    /** Once this time has passed since the last write, an inventory is also written if machines
+     * only have to be removed from it. */
     INVENTORY_CLEANUP_MS = 12000,
-    /** Of an inventory's value besides its text. */
+    /** Size of an inventory's value without the list of machines. */
     INVENTORY_VALUE_OVERHEAD_BYTES = 32,
 };
 
-/** An inventory of this node. */
+/** What this node knows about one of its own inventories. */
 struct own_inventory {
     /** 0: it is not stored yet. */
     revision mod_revision;
-    /** It lists machines that this node does not own any more, or that are gone. */
+    /** The inventory lists machines that this node does not own any more, or that were returned. */
     bool is_stale;
 };
 
-/** A write of an inventory until its end. */
+/** The context of a write of an inventory. */
 struct inventory_write {
     struct pending_write pending;
     int number;
 };
 
-/** This node's inventory of that number; adds it if there is none. */
+/** Returns this node's inventory with that number, and creates it if necessary. */
 static struct own_inventory *get_own_inventory(struct shard *shard, int number)
 {
     GPtrArray *inventories = shard->records.inventories;
@@ -39,7 +41,7 @@
     return inventories->pdata[number];
 }
 
-/* ---- agreement with the replica ---- */
+/* ---- consistency with the replica ---- */
 
 static bool is_own_inventory(const struct shard *shard, const struct machine_inventory *inventory)
 {
@@ -82,7 +84,7 @@
         reconcile_machine(shard, machine);
 }
 
-/* ---- when one is written ---- */
+/* ---- when an inventory is written ---- */
 
 void shard_inventory_mark_stale(struct shard *shard, const struct machine *machine)
 {
@@ -90,14 +92,14 @@
         get_own_inventory(shard, machine->record.inventory_number)->is_stale = true;
 }
 
-/** Whether a machine with runs is described by nothing but its pages. */
+/** Whether a machine with runs is described by its pages only. */
 static bool needs_inventory(const struct machine *machine)
 {
     return machine->record.inventory_number < 0 && !machine->record.mod_revision.value &&
            !machine->is_gone && machine->address[0] && shard_machine_has_runs(machine);
 }
 
-/** The first inventory that lists machines that this node does not own any more; -1: none does. */
+/** Returns the number of the first inventory that is stale; -1: none is. */
 static int first_stale_inventory(struct shard *shard)
 {
     for (guint i = 0; i < shard->records.inventories->len; i++)
@@ -123,20 +125,22 @@
     return false;
 }
 
-/** The inventory to be written: a stale one, else the last, which may be new. */
+/** Returns the number of the inventory to write: a stale one, otherwise the last one, which may be
+ * new. */
 static int choose_inventory(struct shard *shard)
 {
     int stale = first_stale_inventory(shard);
     return stale >= 0 ? stale : MAX((int)shard->records.inventories->len - 1, 0);
 }
 
-/* ---- its text ---- */
+/* ---- encoding ---- */
 
-/** Why a machine is listed in the inventory that is written. */
+/** Passes over the machines when an inventory is encoded. */
 enum inventory_pass {
-    /** It is listed there already. They come first, as they have to find a place. */
+    /** Machines that this inventory lists already. They come first because they must not be crowded
+     * out. */
     PASS_LISTED,
-    /** It is not listed anywhere yet. */
+    /** Machines that no inventory lists yet. */
     PASS_NEW,
     PASS_COUNT,
 };
@@ -149,7 +153,7 @@
            !machine->record.mod_revision.value;
 }
 
-/** Adds a machine to the text; returns whether it could be described. */
+/** Appends a machine to an encoded inventory; returns whether it could be described. */
 static bool append_machine(struct machine *machine, GString *text)
 {
     char *description = machine_description_encode(machine->address, machine->type_name,
@@ -162,8 +166,8 @@
     return text->len > previous_length;
 }
 
-/** Adds the machines of one pass to the text, and notes in them that they are listed. Returns false
- * once one does not fit. */
+/** Appends the machines of one pass to an encoded inventory, and marks them as part of the
+ * inventory being written. Returns false once a machine does not fit. */
 static bool append_machines(struct shard *shard, enum inventory_pass pass, int number,
                             GString *text)
 {
@@ -185,8 +189,8 @@
     return true;
 }
 
-/** The text of an inventory. If not all machines fit into the last one, adds an empty one for the
- * rest. The caller frees the text. */
+/** Encodes an inventory. If it is the last one and some machines do not fit, adds an empty
+ * inventory for them. The caller frees the string. */
 static GString *make_inventory_text(struct shard *shard, int number)
 {
     GString *text = g_string_new(NULL);
@@ -198,7 +202,7 @@
     return text;
 }
 
-/* ---- its transaction ---- */
+/* ---- transaction ---- */
 
 static void finish_inventory_write(void *arg, bool ok)
 {
@@ -207,7 +211,7 @@
     g_free(write);
 }
 
-/** Notes which machines the inventory lists now. */
+/** Notes which machines the inventory lists now, and ends the write. */
 static void commit_inventory(struct inventory_write *write, revision committed_at)
 {
     struct shard *shard = write->pending.shard;
--- a/src/shard/machine_returns.c
+++ b/src/shard/machine_returns.c
@@ -1,7 +1,8 @@
 /**
  * @file
- * Machines that go back to the cloud. Before the leader records a return it asks the owner to place
- * nothing more on the machine; after the return, the runs on it have ended.
+ * Returning machines to the cloud provider. Before the leader records the intent to return a
+ * machine, it asks the owner to place nothing more on it. Once the machine is returned, all runs on
+ * it have ended.
  */
 #include "machine_returns_internal.h"
 
@@ -21,7 +22,7 @@
             i++;
             continue;
         }
-        /* Not recorded, so it was not started, and is not going to be. */
+        /* The run is not recorded, so it was not started and will not be. */
         struct dispatch dispatch = {.job = run->job,
                                     .index = run->index,
                                     .attempt = run->attempt,
@@ -34,8 +35,8 @@
     }
 }
 
-/** Delayed heartbeats must not add the machine again. When there are very many, the oldest half is
- * forgotten. */
+/** Remembers a returned machine, because delayed heartbeats must not add it again. When the limit
+ * is reached, the older half is forgotten. */
 static void remember_returned(struct shard_returns *returns, const char *machine_name)
 {
     if (g_hash_table_size(returns->returned) >= MAX_TRACKED_MACHINES) {
@@ -77,9 +78,10 @@
         g_hash_table_remove(shard->machines, machine_name);
 }
 
-/* What is placed and not recorded goes back to the leader or, if a transaction may record it, is
- * waited for. A later owner sees the recorded intent in its replica before it owns the machine, as
- * that is conditioned on the shard map. */
+/* Placed runs that are not recorded are handed back to the leader or, if a transaction may still
+ * record them, waited for. A later owner cannot miss the leader's intent: its replica shows the
+ * recorded intent before it owns the machine, because the transaction of the intent compares the
+ * shard map. */
 bool shard_cordon_for_return(struct shard *shard, const char *machine_name)
 {
     g_hash_table_add(shard->returns.cordoned, g_strdup(machine_name));
--- a/src/shard/page_draft.c
+++ b/src/shard/page_draft.c
@@ -1,6 +1,6 @@
 /**
  * @file
- * Drafts: own pages as a transaction is going to write them, and the texts made of them.
+ * Drafts: the new contents of own pages, and their encoding.
  */
 #include "record_batch_internal.h"
 
@@ -44,7 +44,7 @@
 
 /* ---- records of a draft ---- */
 
-/** The key in page_draft.jobs of a record's attempt. */
+/** Returns the key of a record's attempt in page_draft.job_keys. */
 static char *attempt_key(const struct record_page_entry *record)
 {
     return g_strdup_printf("%s %" G_GUINT64_FORMAT, record->job.text, record->attempt.value);
@@ -83,9 +83,9 @@
     return true;
 }
 
-/* ---- what has to stay on the page ---- */
+/* ---- contents that stay on the page ---- */
 
-/** Keeps the records of machines that other nodes own: only their owners take them off, in the
+/** Keeps the records of machines that other nodes own. Only their owners remove them, in the
  * transactions that adopt them. */
 static void keep_foreign_records(struct shard *shard, struct page_draft *draft)
 {
@@ -98,8 +98,8 @@
     }
 }
 
-/** Keeps the record of a run, unless its end is proven and its completion is on record for good or
- * comes on record with this transaction. */
+/** Keeps the record of a run, unless its end is proven and its completion, if any, is durable or
+ * recorded by this transaction. */
 static void keep_run(struct record_batch *batch, struct page_draft *draft, struct machine *machine,
                      struct task_run *run)
 {
--- a/src/shard/page_split.c
+++ b/src/shard/page_split.c
@@ -1,12 +1,13 @@
 /**
  * @file
- * Pages from when the state service accepted longer values: they can be read, but not written any
- * more. Their contents go to pages that are short enough, before this node writes anything else.
+ * Splitting oversized pages, which were written when the state service accepted longer values. They
+ * can be read but not written any more, so their contents are moved to pages within the size limit
+ * before this node writes anything else.
  *
- * Either in one transaction, which writes the page with what stays on it and all new pages; or, if
- * that would be more writes than a transaction may have, by copies: transactions that only add new
- * pages with copies of records, until what is not copied can be written in one. docs/safety.md,
- * "Pages that exceed today's limits", argues why each step by itself is safe.
+ * If the writes fit into one transaction, it writes the page with the contents that stay on it, and
+ * all new pages. Otherwise the page is split by copies: transactions that only add new pages with
+ * copies of records, until the rest can be written by one transaction. docs/safety.md, "Pages that
+ * exceed today's limits", argues why each step is safe by itself.
  */
 #include "page_split_internal.h"
 #include "page_split_plan.h"
@@ -15,21 +16,21 @@
 #include "log.h"
 
 enum {
-    /** Until a page that could not be split is tried again. */
+    /** The time until the next attempt if a page could not be split. */
     SPLIT_RETRY_DELAY_MS = 200,
 };
 
 /** How a page can be split. */
 enum split_method {
-    /** Not yet: it waits until all nodes support the other two. */
+    /** The page cannot be split until all nodes support the current format. */
     SPLIT_IMPOSSIBLE,
-    /** By one transaction. */
+    /** One transaction writes the page and all new pages. */
     SPLIT_IN_ONE_TXN,
-    /** By copies, of which the next transaction writes some. */
+    /** The next transaction adds some new pages with copies. */
     SPLIT_BY_COPYING,
 };
 
-/* ---- which page is split, and by whom ---- */
+/* ---- which pages this node splits ---- */
 
 bool shard_node_has_oversized_page(const struct shard *shard, const char *label)
 {
@@ -42,8 +43,9 @@
     return false;
 }
 
-/** Whether this node is to split the page. A node splits its own pages. For one that is not in the
- * shard map, the first of the map does it that supports records of a machine on several pages. */
+/** Whether this node has to split the page. A node splits its own pages. The pages of a node that
+ * is not in the shard map are split by the first node in the map that supports records of one
+ * machine on several pages. */
 static bool is_split_by_this_node(const struct shard *shard, const struct record_page *page)
 {
     const GArray *shard_map = shard->replica->shard_map;
@@ -58,7 +60,7 @@
     return first_capable && strcmp(first_capable, shard->settings->label) == 0;
 }
 
-/** The first page by key that is too long and that this node is to split, or NULL. */
+/** Returns the first oversized page, by key, that this node has to split, or NULL. */
 static struct record_page *next_oversized_page(const struct shard *shard)
 {
     GHashTableIter iter;
@@ -77,7 +79,7 @@
            next_oversized_page(shard);
 }
 
-/* ---- its transactions ---- */
+/* ---- transactions ---- */
 
 static void finish_split(void *arg, bool ok)
 {
@@ -86,16 +88,17 @@
     g_free(write);
 }
 
-/** A txn_callback. Whatever the outcome, all pages are read anew from the replica. */
+/** Handles the outcome of a split; a txn_callback. Whatever the outcome, all pages are read again
+ * from the replica. */
 static void handle_split_outcome(void *arg, const struct txn_outcome *outcome)
 {
     struct pending_write *write = arg;
     record_txn_await_outcome(write->shard, outcome, finish_split, write);
 }
 
-/** The writes that the transaction may have. While nodes of version 0 may read the pages they
- * cannot be split by copies: then as many as the present limits allow, unless those have been
- * lowered. */
+/** Returns the maximum number of writes of the transaction. In the legacy format pages cannot be
+ * split by copies. A split may then use as many writes as the present limits of the state service
+ * allow, unless the service has lowered them already. */
 static guint max_split_writes(const struct shard *shard, bool legacy_format)
 {
     const struct kv_limits *limits = kv_client_limits(shard->kv);
@@ -105,7 +108,8 @@
     return max_writes;
 }
 
-/** @param pages the plan, or NULL. */
+/** Chooses how a page is split.
+ * @param pages the plan; NULL if there is none. */
 static enum split_method choose_split_method(const GPtrArray *pages, guint max_writes,
                                              bool legacy_format)
 {
@@ -116,10 +120,10 @@
     return legacy_format ? SPLIT_IMPOSSIBLE : SPLIT_BY_COPYING;
 }
 
-/** The key of a page of the same node that does not exist. A copy gets one behind the long page in
- * the order of keys: a node that has just been started reads keys in that order, and has to find
- * each record last where it is going to stay.
- * @param page_number the first number to be tried; set to the next one. */
+/** Returns the key of a page of the same node that does not exist yet. The caller frees it. The key
+ * of a copy has to sort after that of the oversized page: a node that has just started reads keys
+ * in this order, and has to find each record last on the page where it will stay.
+ * @param page_number the first number to try; set to the next one. */
 static char *unused_page_key(struct shard *shard, const struct record_page *page, int *page_number,
                              enum split_method method)
 {
@@ -142,8 +146,9 @@
     g_string_free(text, TRUE);
 }
 
-/** Puts the new pages into a transaction, as many as it may write, and the page itself: with what
- * stays on it, or only as a condition if it is left as it is for now. */
+/** Creates the transaction of a split. It writes as many of the new pages as it may, and either
+ * writes the page itself with the contents that stay on it, or only compares it if it is left
+ * unchanged for now. */
 static struct txn *make_split_txn(struct shard *shard, const struct record_page *page,
                                   const GPtrArray *pages, guint max_writes,
                                   enum split_method method)
--- a/src/shard/page_split_plan.c
+++ b/src/shard/page_split_plan.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * How the contents of a page that is too long are divided among pages that are short enough: first
- * its run records, in the order of machines, then its completions.
+ * Planning how the contents of an oversized page are distributed over pages within the size limit:
+ * first its run records, in the order of machines, then its completions.
  */
 #include "page_split_plan.h"
 
@@ -13,7 +13,7 @@
     return node && node->understood_version >= NODE_VERSION_JOB_DAG;
 }
 
-/* ---- one of the pages ---- */
+/* ---- planned pages ---- */
 
 static void planned_page_free(gpointer data)
 {
@@ -34,7 +34,8 @@
     return planned_page;
 }
 
-/** The bytes of its texts, with those that its completions may come to take. Sorts the records. */
+/** Returns the length of the page's strings, including the bytes that its completions may still
+ * grow by. Sorts the records. */
 static gsize planned_page_bytes(struct planned_page *planned_page)
 {
     gsize min_bytes;
@@ -71,7 +72,8 @@
     return false;
 }
 
-/** Takes a group out of a page again. One by one, as measuring the page has sorted its records. */
+/** Removes a group of records from a page. They are searched for one by one because computing the
+ * page's length has sorted its records. */
 static void remove_record_group(struct planned_page *planned_page,
                                 const struct record_page_entry *group, guint count)
 {
@@ -86,7 +88,7 @@
 }
 
 /** Adds records that have to be on one page to the last page, or to a new one if they do not fit
- * there. Returns false if they do not fit on an empty one either. */
+ * there. Returns false if they do not fit on an empty page either. */
 static bool add_record_group(struct shard *shard, GPtrArray *pages,
                              const struct record_page_entry *group, guint count)
 {
@@ -103,17 +105,18 @@
     return planned_page_fits(shard, planned_page);
 }
 
-/** Whether a record must not move, as a node of version 0 owns its machine. Such a node has noted
- * at the beginning of its epoch which page the machine's records are on, and takes them off that
- * page only: a record moved to another page would stay there, and be on two. It stays where it is
- * until its owner has adopted it, which is soon. */
+/** Whether a record must stay on its page because a node of version 0 owns its machine. At the
+ * start of an epoch, such a node notes which page has the machine's records, and removes them from
+ * that page only. If the record were moved, it would remain on the other page and be stored twice.
+ * It stays until its owner adopts it, which happens soon. */
 static bool is_pinned_to_page(const struct shard *shard, const struct record_page_entry *record)
 {
     const char *owner = shard_map_get_owner(shard->replica, record->machine.text);
     return owner && !node_supports_machine_on_multiple_pages(shard, owner);
 }
 
-/** Puts the records that must stay on the first page, and returns the others in order. */
+/** Adds the records that must stay to the first page, and returns the others in the order of
+ * machines. */
 static GArray *collect_movable_records(struct shard *shard, const struct record_page *page,
                                        bool legacy_format, struct planned_page *first_page)
 {
@@ -128,8 +131,8 @@
     return movable;
 }
 
-/** How many records from a position on have to be on one page: in the legacy format all of a
- * machine, as nodes of version 0 expect them on one. */
+/** Returns how many records, from a position on, have to be on the same page. In the legacy format
+ * these are all records of a machine, because nodes of version 0 expect them on one page. */
 static guint group_size_at(const GArray *records, guint position, bool legacy_format)
 {
     const struct record_page_entry *first =
@@ -141,7 +144,7 @@
     return size;
 }
 
-/** Divides the run records of a page; returns false if they do not fit. */
+/** Distributes the run records of a page; returns false if they do not fit. */
 static bool split_records(struct shard *shard, const struct record_page *page, bool legacy_format,
                           GPtrArray *pages)
 {
@@ -160,19 +163,19 @@
 
 /* ---- completions ---- */
 
-/** The state of dividing a page's completions. */
+/** The state of distributing a page's completions. */
 struct completion_split {
     struct shard *shard;
     /** struct planned_page */
     GPtrArray *pages;
-    /** "JOB UNIT" -> GByteArray: bits that other pages of the node hold. */
+    /** "JOB UNIT" -> GByteArray: the bits that other pages of the node store. */
     GHashTable *covered;
     bool legacy_format;
-    /** All that was divided so far fits. */
+    /** Everything that was distributed so far fits. */
     bool fits;
 };
 
-/** Notes a unit that another page holds; a completions_callback. */
+/** Notes a unit that another page stores; a completions_callback. */
 static void add_covered_unit(void *ctx, job_id job, uint32_t unit_number, const GByteArray *bits)
 {
     struct completion_split *split = ctx;
@@ -186,7 +189,7 @@
     g_free(key);
 }
 
-/** Notes the completions of all other pages of the node that are not too long themselves. */
+/** Collects the completions on all other pages of the node that are not oversized themselves. */
 static void collect_covered_units(struct completion_split *split, const struct record_page *page)
 {
     GHashTableIter iter;
@@ -200,7 +203,7 @@
     }
 }
 
-/** Whether other pages hold all bits of a unit. */
+/** Whether other pages store all bits of a unit. */
 static bool is_covered(struct completion_split *split, job_id job, uint32_t unit_number,
                        const GByteArray *bits)
 {
@@ -217,7 +220,7 @@
     return true;
 }
 
-/** The first page with so many free bytes, or a new one. */
+/** Returns the first page with that many free bytes, or a new one. */
 static struct planned_page *page_with_free_bytes(struct completion_split *split, gsize bytes)
 {
     for (guint i = 0; i < split->pages->len; i++) {
@@ -228,7 +231,7 @@
     return planned_page_new(split->pages, split->legacy_format);
 }
 
-/** Puts a unit on a page, with the bytes that it may come to take; a completions_callback. */
+/** Adds a unit to a page, and reserves the bytes that it may grow to; a completions_callback. */
 static void split_completion_unit(void *ctx, job_id job, uint32_t unit_number,
                                   const GByteArray *bits)
 {
@@ -246,7 +249,7 @@
         split->fits = false;
 }
 
-/** Divides the completions of a page; returns false if they do not fit. */
+/** Distributes the completions of a page; returns false if they do not fit. */
 static bool split_completions(struct shard *shard, const struct record_page *page,
                               bool legacy_format, GPtrArray *pages)
 {
--- a/src/shard/record_batch.c
+++ b/src/shard/record_batch.c
@@ -1,13 +1,14 @@
 /**
  * @file
- * Makes the transaction of a batch: fills drafts, and adds the records of new starts to them.
+ * Building the transaction of a batch: fills the drafts of pages, and adds the records of new runs
+ * to them.
  */
 #include "record_batch_internal.h"
 
 enum {
-    /** Conditions that a transaction may have, for each write that it may have. */
+    /** The maximum number of compares of a transaction, for each write that it may have. */
     COMPARES_PER_WRITE = 4,
-    /** One part in so many of a page is left free of new starts, for completions. */
+    /** A page's bytes divided by this are kept free of the records of new runs, for completions. */
     COMPLETIONS_RESERVE_DIVISOR = 8,
 };
 
@@ -50,7 +51,7 @@
         step(batch, machine);
 }
 
-/* ---- drafts with what has to stay ---- */
+/* ---- contents that stay on the pages ---- */
 
 /** Notes that the transaction does not record the end of any run on the page after all. */
 static void exclude_run_ends_on_page(struct shard *shard, int page_number)
@@ -66,8 +67,8 @@
         }
 }
 
-/** Takes a page out of the batch, as it would be too long: some completions are to move to other
- * pages first, with a later batch. */
+/** Removes a draft from the batch because the page would exceed the size limit. Some of its
+ * completions have to move to other pages first, which a later batch does. */
 static void drop_draft(struct record_batch *batch, guint position)
 {
     int page_number = draft_at(batch, position)->number;
@@ -77,7 +78,7 @@
     g_ptr_array_remove_index(batch->drafts, position);
 }
 
-/** Withdraws the first draft that is too long; returns false if there is none. */
+/** Removes the first oversized draft from the batch; returns false if there is none. */
 static bool drop_oversized_draft(struct record_batch *batch)
 {
     for (guint i = 0; i < batch->drafts->len; i++)
@@ -88,9 +89,9 @@
     return false;
 }
 
-/** Fills all drafts with what has to stay on their pages. Once one is withdrawn, its completions do
- * not come on record with this transaction, and other pages may have to keep the records of those
- * runs: so all are filled again. */
+/** Fills all drafts with the contents that have to stay on their pages. If a draft is dropped, this
+ * transaction does not record its completions, so other pages may have to keep the records of those
+ * runs: all drafts are filled again. */
 static void build_drafts(struct record_batch *batch)
 {
     do {
@@ -99,20 +100,20 @@
     } while (drop_oversized_draft(batch));
 }
 
-/* ---- records of new starts ---- */
+/* ---- records of new runs ---- */
 
-/** Conditions that the transaction is still to get besides those on jobs: one for each page, and
- * one for each machine's own record that it may yet write or remove. */
+/** Counts the compares that the transaction still has to get besides those of jobs: one for each
+ * page, and one for each machine's own record that it may yet write or delete. */
 static guint reserved_compare_count(const struct record_batch *batch)
 {
     int spare_writes = batch->max_machine_writes - (int)txn_write_count(batch->txn);
     return batch->drafts->len + batch->source_pages->len + (guint)MAX(spare_writes, 0);
 }
 
-/** Conditions the transaction on the job of a start: it is recorded only if the job is as it was
- * seen, not cancelled meanwhile. Returns false if the transaction has no condition left, or the job
- * depends on others that this node has not seen done (docs/safety.md, "Too early is impossible").
- */
+/** Adds a compare of the job of a run that is going to be recorded, so that the transaction fails
+ * if the job was cancelled in the meantime. Returns false if the transaction can have no more
+ * compares, or if the job has dependencies that this node has not seen done (docs/safety.md, "Too
+ * early is impossible"). */
 static bool add_job_compare(struct record_batch *batch, const struct job *job)
 {
     if (job->has_pending_dependencies)
@@ -128,8 +129,8 @@
     return true;
 }
 
-/** Adds a record to the first draft with enough free bytes, preferably one that has records of its
- * job; returns that draft, or NULL. */
+/** Adds a record to the first draft with enough free bytes, preferably one that has records of the
+ * same job. Returns that draft, or NULL. */
 static struct page_draft *add_to_any_draft(struct record_batch *batch,
                                            const struct record_page_entry *record, gsize max_bytes)
 {
@@ -143,8 +144,8 @@
     return NULL;
 }
 
-/** The page that all records of the machine have to be on, for nodes of version 0: where one of
- * them is, or comes to be with this transaction; -1: any. */
+/** Returns the number of the page that all records of the machine have to be on in the legacy
+ * format: the one that has any of them, or will have with this transaction. -1: any page. */
 static int required_page_of_machine(const struct record_batch *batch, const struct machine *machine)
 {
     if (!batch->legacy_format)
@@ -157,8 +158,8 @@
     return shard_find_page_of_machine(machine);
 }
 
-/** Adds a record to the draft of the page, and returns the draft; NULL: there is none, or it is
- * full. */
+/** Adds a record to the draft of a page and returns the draft; NULL: there is no such draft, or it
+ * is full. */
 static struct page_draft *add_to_draft_of_page(struct record_batch *batch, int page_number,
                                                const struct record_page_entry *record,
                                                gsize max_bytes)
@@ -184,7 +185,7 @@
     return true;
 }
 
-/** Records a machine's placed runs, as far as they fit. */
+/** Adds the records of a machine's placed runs, as far as they fit. */
 static void add_placed_runs(struct record_batch *batch, struct machine *machine)
 {
     struct shard *shard = batch->shard;
@@ -205,9 +206,9 @@
     }
 }
 
-/* ---- the batch as a whole ---- */
+/* ---- the whole batch ---- */
 
-/** Puts completions that are on no page yet on pages that are written. */
+/** Assigns unassigned completions to the pages that the batch writes. */
 static void assign_completions(struct record_batch *batch)
 {
     int page_numbers[batch->drafts->len + 1];
@@ -217,7 +218,7 @@
         batch->has_more = true;
 }
 
-/** Lists the machine if the transaction changes a record of it. */
+/** Adds the machine to the batch's list if the transaction changes a record of it. */
 static void add_changed_machine_id(struct record_batch *batch, struct machine *machine)
 {
     if (machine->record.is_in_txn)
--- a/src/shard/record_batch_adopt.c
+++ b/src/shard/record_batch_adopt.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * Adopts run records from pages of other nodes, for machines that this node owns by now. One
- * transaction puts a record on an own page and takes it off the other node's.
+ * Adopting run records of machines that this node owns now from pages of other nodes. The same
+ * transaction that writes a record to an own page removes it from the other node's page.
  */
 #include "page_split_internal.h"
 #include "record_batch_internal.h"
@@ -31,7 +31,7 @@
 
 /* ---- adopting ---- */
 
-/** Takes the record of a run out of a draft again. */
+/** Removes the record of a run from a draft. */
 static void draft_remove_record(struct page_draft *draft, const struct machine *machine,
                                 const struct task_run *run)
 {
@@ -46,7 +46,7 @@
     }
 }
 
-/** Takes all adopted records of a machine out of the batch again. */
+/** Removes all adopted records of a machine from the batch. */
 static void undo_adoption(struct record_batch *batch, struct machine *machine)
 {
     for (guint i = 0; i < machine->runs->len; i++) {
@@ -61,8 +61,9 @@
     }
 }
 
-/** Adopts the record of one run. If its end is proven and its completion comes on record, it is
- * only taken off the other node's page. Returns false if no draft has enough free bytes. */
+/** Adopts the record of one run. If the end of the run is proven and its completion, if any, is
+ * durable or recorded by this transaction, the record is only removed from the other node's page.
+ * Returns false if no draft has enough free bytes. */
 static bool adopt_run(struct record_batch *batch, struct machine *machine, struct task_run *run)
 {
     run->record.next_page = -1;
@@ -91,7 +92,7 @@
     }
 }
 
-/* ---- the other node's page ---- */
+/* ---- the pages of other nodes ---- */
 
 /** Whether the transaction adopts a record of another node's page. */
 static bool is_adopted(struct shard *shard, const struct run_record *run_record)
--- a/src/shard/record_batch_machine.c
+++ b/src/shard/record_batch_machine.c
@@ -1,26 +1,29 @@
 /**
  * @file
- * The machines' own records: what a machine is, and which images it has cached. A machine gets one
- * when there are writes to spare, and loses it when it is gone and its last run is off the records.
+ * The machines' own records, which store what a machine is and which images it has cached. A
+ * machine gets one when the limits leave a write for it. The record is deleted when the machine was
+ * returned and its last run is no longer recorded.
  */
 #include "record_batch_internal.h"
 #include "stored_fields.h"
 
 enum {
-    /** A machine's record is written again for new images no sooner. */
+    /** The minimum time between two writes of a machine's record for new images. */
     MIN_REWRITE_INTERVAL_MS = 30000,
-    /** Machines are described while the transaction is no longer than this. */
+    /** No machine records are added once the transaction exceeds this size. */
     MAX_TXN_BYTES_FOR_MACHINES = MAX_BATCH_BYTES / 4,
-    /** Of the write budget, kept for run records: machines are described with what is above it. */
+    /** The part of the write budget that is kept for run records. Machine records may only use what
+     * exceeds it. */
     WRITES_RESERVED_FOR_RUNS = MAX_WRITE_BURST / 2,
-    /** Of a value, for the list of images. */
+    /** Size of the image list in a value without its entries. */
     IMAGE_LIST_OVERHEAD_BYTES = 16,
-    /** For one image besides its name. */
+    /** Size of an entry of the image list without the name. */
     IMAGE_ENTRY_OVERHEAD_BYTES = 4,
 };
 
-/** The position in the image cache from which on the images fit into a value: the most recently
- * used ones stand last. A name counts twice, as its characters may have to be escaped. */
+/** Returns the index of the first cached image that is stored: the last ones, which are the most
+ * recently used, as far as they fit into a value. Names count twice because their characters may
+ * have to be escaped. */
 static guint first_image_that_fits(const struct machine *machine, gsize used_bytes, gsize max_bytes)
 {
     guint first_image = machine->image_cache->len;
@@ -33,7 +36,7 @@
     return first_image;
 }
 
-/** The value of a machine in the state service, of about max_bytes at most. */
+/** Returns the machine's own record as it is stored, with about max_bytes at most. */
 static json_object *encode_machine_value(const struct machine *machine, gsize max_bytes)
 {
     json_object *object = json_object_new_object(), *images = json_object_new_array();
@@ -49,13 +52,14 @@
     return object;
 }
 
-/** Whether the transaction may have one more write, besides those kept for pages. */
+/** Whether the transaction may have one more write of a machine's own record. */
 static bool can_write_machine_record(const struct record_batch *batch)
 {
     return (int)txn_write_count(batch->txn) < batch->max_machine_writes;
 }
 
-/** Whether the machine's own record is missing, or names too few images and is not recent. */
+/** Whether the machine's own record is missing, or lacks cached images and was not written
+ * recently. */
 static bool needs_machine_record_write(const struct shard *shard, const struct machine *machine)
 {
     const struct machine_record_state *record = &machine->record;
@@ -80,7 +84,8 @@
         txn_size_bytes(batch->txn) > MAX_TXN_BYTES_FOR_MACHINES)
         return;
     double budget_left = shard->records.write_budget - txn_write_count(batch->txn);
-    /* If nothing else describes it, no run of it can be recorded before its own record is. */
+    /* No run of a machine can be recorded before the machine is described, so the first description
+     * may use the whole budget. */
     if (record_batch_is_machine_described(machine) && budget_left <= WRITES_RESERVED_FOR_RUNS)
         return;
     gsize max_bytes = kv_client_limits(shard->kv)->max_value_bytes;
@@ -91,9 +96,9 @@
     machine->record.written_at = loop_now(shard->loop);
 }
 
-/** Removes the own record of a machine that is gone. Many may go at once when machines are
- * returned, so those for which no write is left wait for the next transaction: one with too many
- * writes would be refused for ever. */
+/** Deletes the own record of a machine that was returned. Many machines can be returned at once, so
+ * records that exceed the limit wait for the next transaction: one with too many writes would be
+ * refused every time. */
 static void try_delete_machine_record(struct record_batch *batch, struct machine *machine)
 {
     if (!can_write_machine_record(batch)) {
@@ -105,7 +110,7 @@
     machine->record.is_in_txn = true;
 }
 
-/** Whether the transaction leaves a run of the machine on record. */
+/** Whether any run of the machine is still recorded, or to be recorded, after the transaction. */
 static bool has_runs_after_txn(const struct machine *machine)
 {
     for (guint i = 0; i < machine->runs->len; i++) {
@@ -123,7 +128,8 @@
     bool is_removable = machine->is_gone && !has_runs_after_txn(machine);
     if (is_removable && machine->record.mod_revision.value)
         try_delete_machine_record(batch, machine);
-    /* Also a machine without a record of its own is listed in the batch: it is freed with it. */
+    /* A machine without an own record is added to the list of the batch as well, because the end of
+     * the batch frees it. */
     if (is_removable)
         machine->record.is_in_txn = true;
     if (!machine->is_gone && shard_machine_has_runs(machine))
--- a/src/shard/record_batch_outcome.c
+++ b/src/shard/record_batch_outcome.c
@@ -1,13 +1,16 @@
 /**
  * @file
- * What became of a batch's transaction. If it was committed, machines and runs follow it; if it was
- * not, or nobody knows, they follow the replica.
+ * Handling the outcome of a batch's transaction. If it was committed, the state of machines and
+ * runs is updated to match the transaction; otherwise, to match the replica.
  *
- * - Committed: records are where the transaction put them, and ends are off the records.
- * - Conflict, a condition did not hold: all is read anew at the revision of the conflict.
- * - Unknown: all is read anew behind a read barrier.
+ * - Committed: records are where the transaction put them, and the records of ended runs are
+ *   removed.
+ * - Conflict, a compare failed: everything is read again from the replica, at the revision of the
+ *   conflict or later.
+ * - Unknown: everything is read again after a read barrier.
  * - Lease expired or refused: nothing was written, and all records are where they were.
- * - Any of these in a later epoch: nothing, as all was read anew when the epoch changed.
+ * - Any of these in a later epoch: nothing is done, as everything was read again when the epoch
+ *   changed.
  */
 #include "agent_session_internal.h"
 #include "record_batch_internal.h"
@@ -16,9 +19,10 @@
 
 #include "log.h"
 
-/* ---- how long changes wait ---- */
+/* ---- statistics ---- */
 
-/** Counts how long a start or an end has waited for its record: it shows when writes are scarce. */
+/** Adds up how long run starts and run ends have waited to be recorded: long waits show that the
+ * write rate is a bottleneck. */
 static void count_write_wait(struct shard *shard, const struct task_run *run)
 {
     struct write_waits *waits = &shard->records.write_waits;
@@ -45,14 +49,14 @@
 
 /* ---- committed ---- */
 
-/** What the commit of a transaction does to a run. */
+/** What happens to a run when the transaction is committed. */
 enum run_commit_result {
     RUN_COMMIT_KEPT,
-    /** Its record was removed: the attempt is over for good, and its resources are released. */
+    /** Its record was removed: the attempt has ended for good, and its resources are released. */
     RUN_COMMIT_RELEASED,
 };
 
-/** Makes the record of a run as the transaction has it. */
+/** Updates a run to match the committed transaction. */
 static enum run_commit_result commit_run(struct shard *shard, struct machine *machine,
                                          struct task_run *run)
 {
@@ -72,8 +76,8 @@
     return RUN_COMMIT_RELEASED;
 }
 
-/** Makes the records of a machine's runs as the transaction has them. A released run is freed,
- * unless the machine's agent still reports it. */
+/** Updates the runs of a machine to match the committed transaction. Frees released runs, unless
+ * the machine's agent still reports them. */
 static void commit_runs(struct shard *shard, struct machine *machine)
 {
     for (guint i = 0; i < machine->runs->len;) {
@@ -87,7 +91,7 @@
     }
 }
 
-/** Makes a machine's own record as the transaction has it. */
+/** Updates the state of a machine's own record to match the committed transaction. */
 static void commit_machine_record(struct machine *machine, revision committed_at)
 {
     switch (machine->record.change) {
@@ -103,8 +107,8 @@
     machine->record.change = MACHINE_RECORD_UNCHANGED;
 }
 
-/** Makes all records of a machine as the transaction has them, and has its agent sent what was
- * recorded. Frees a machine that is gone and has no records any more. */
+/** Updates a machine and its runs to match the committed transaction, and sends its agent commands
+ * for the recorded runs. Frees a machine that was returned and has no records any more. */
 static void commit_machine(struct shard *shard, struct machine *machine, revision committed_at)
 {
     commit_machine_record(machine, committed_at);
@@ -114,13 +118,14 @@
     } else if (!machine->record.mod_revision.value && !shard_machine_has_runs(machine)) {
         g_hash_table_remove(shard->machines, machine->id.text);
     } else {
-        /* It went while this was being written; what was just recorded went with it. */
+        /* The machine was returned while the transaction was in flight, so the runs that were just
+         * recorded have ended. */
         shard_end_all_runs(shard, machine, RUN_END_MACHINE_RETURNED);
         shard_mark_dirty(shard);
     }
 }
 
-/** The machine at a position in the batch's list, or NULL if the shard has it no longer. */
+/** Returns the machine at a position in the batch's list, or NULL if the shard no longer has it. */
 static struct machine *find_batch_machine(const struct record_batch *batch, guint position)
 {
     return shard_find_machine(batch->shard, batch->machine_ids->pdata[position]);
@@ -136,7 +141,7 @@
     }
 }
 
-/** Notes the new mod revisions of the pages that the transaction wrote. */
+/** Stores the new mod revisions of the pages that the transaction wrote. */
 static void commit_pages(struct record_batch *batch, revision committed_at)
 {
     for (guint i = 0; i < batch->drafts->len; i++) {
@@ -163,9 +168,9 @@
     shard_request_flush(shard);
 }
 
-/* ---- not committed, or not known ---- */
+/* ---- not committed, or unknown ---- */
 
-/** Notes that nothing of a machine is in a transaction any more. */
+/** Resets the changes that the transaction would have made to a machine and its runs. */
 static void rollback_machine(struct machine *machine)
 {
     if (machine->record.change == MACHINE_RECORD_WRITTEN)
@@ -195,8 +200,9 @@
     }
 }
 
-/** Ends a batch that was not committed, as far as is known here.
- * @param ok the replica is past the end of the transaction, and shows what is on record. */
+/** Ends a batch that was not committed, whose outcome is unknown, or that was created in an earlier
+ * epoch.
+ * @param ok the replica has reached the outcome of the transaction, and shows what is recorded. */
 static void reconcile_batch(void *arg, bool ok)
 {
     struct record_batch *batch = arg;
--- a/src/shard/record_batch_select.c
+++ b/src/shard/record_batch_select.c
@@ -1,48 +1,50 @@
 /**
  * @file
- * Chooses what a batch is about: collects what waits to be written, and picks the pages for which
- * most does.
+ * Selecting the pages of a batch: collects the changes that are pending for each page, and selects
+ * the pages with the highest weight.
  */
 #include "record_batch_internal.h"
 
-/** What waits for a page, in terms of ends that are fresh; an end counts 1 more for each second
- * that it has waited, as it keeps resources allocated. */
+/** The weights of pending changes, relative to the end of a run that has not waited yet. That
+ * weight grows by 1 for each second that the end waits, because the run keeps its resources
+ * allocated until its end is recorded. */
 enum {
     END_WEIGHT = 1,
-    /** A start, or a record to be adopted. */
+    /** A new run to record, or a record to adopt. */
     START_WEIGHT = 1,
     COMPLETION_WEIGHT = 1,
 };
 
 enum {
-    /** Pages of other nodes that one transaction adopts records from. */
+    /** The maximum number of pages of other nodes that one transaction adopts records from. */
     MAX_SOURCE_PAGES = 4,
 };
 
-/** Shares of a page's bytes, as one part in so many. */
+/** Divisors of the maximum size of a page, which give numbers of free bytes. */
 enum {
-    /** A page with so many free bytes may be chosen for new records. */
+    /** A page needs this much free space to be selected for new records. */
     NEW_RECORDS_FREE_DIVISOR = 4,
-    /** So many free bytes on the pages that are written anyway are enough for new starts. */
+    /** If the pages selected for other reasons have this much free space in total, no page is added
+     * for the records of new runs. */
     STARTS_FREE_DIVISOR = 5,
-    /** And so many when records are adopted as well. */
+    /** The same, if the batch adopts records as well. */
     ADOPTION_FREE_DIVISOR = 2,
 };
 
-/** What waits to be written. */
+/** The changes that are pending. */
 struct write_demand {
     mono_time now;
-    /** By page number: the sum of the weights of what waits for that page. */
+    /** By page number: the total weight of the changes that are pending for the page. */
     double *page_weights;
-    /** There are starts or completions that may go to any page. */
+    /** There are new runs or completions that can be recorded on any page. */
     bool has_unassigned;
-    /** struct record_page: of other nodes, that records are to be adopted from. */
+    /** struct record_page: the pages of other nodes that have records to adopt. */
     GPtrArray *source_pages;
 };
 
-/* ---- what waits ---- */
+/* ---- pending changes ---- */
 
-/** Removes runs that were not recorded before their job was cancelled: nothing was started. */
+/** Removes runs whose job was cancelled before they were recorded. They were never started. */
 static void drop_placed_runs_of_finished_jobs(struct shard *shard, struct machine *machine)
 {
     for (guint i = 0; i < machine->runs->len;) {
@@ -54,7 +56,7 @@
     }
 }
 
-/** Adds the page of another node that has the record of a run, if there is one. */
+/** Adds a page of another node that has a record to adopt. */
 static void add_source_demand(struct record_batch *batch, struct write_demand *demand,
                               struct record_page *source_page)
 {
@@ -63,7 +65,7 @@
         g_ptr_array_add(demand->source_pages, source_page);
 }
 
-/** Adds what one run waits for. */
+/** Adds the pending changes of one run. */
 static void add_run_demand(struct record_batch *batch, struct write_demand *demand,
                            struct machine *machine, const struct task_run *run)
 {
@@ -82,7 +84,7 @@
         demand->has_unassigned = true;
 }
 
-/** Collects what all runs and completions wait for. */
+/** Collects the pending changes of all runs and completions. */
 static void collect_demand(struct record_batch *batch, struct write_demand *demand)
 {
     struct shard *shard = batch->shard;
@@ -103,7 +105,8 @@
 
 /* ---- pages for new records ---- */
 
-/** The number of the first page that is empty and not in the batch, or that does not exist yet. */
+/** Returns the number of the first page that is empty and not in the batch, or that does not exist
+ * yet. */
 static int find_unused_page(struct shard *shard, const struct record_batch *batch)
 {
     int number = 0;
@@ -114,8 +117,8 @@
     return number;
 }
 
-/** The page with the most free bytes that is not in the batch; an unused one if they are all quite
- * full. */
+/** Returns the number of the page with the most free bytes that is not in the batch, or of an
+ * unused page if none has enough. */
 static int choose_page_for_new_records(struct shard *shard, const struct record_batch *batch)
 {
     gsize wanted_bytes = shard_max_page_bytes(shard) / NEW_RECORDS_FREE_DIVISOR;
@@ -131,10 +134,11 @@
     return best >= 0 ? best : find_unused_page(shard, batch);
 }
 
-/* ---- the choice ---- */
+/* ---- selection ---- */
 
-/** The page with the highest weight that is not in the batch yet and can be written; -1: none.
- * @param page_count of the pages that the weights are known of. */
+/** Returns the number of the page with the highest weight that can be written and is not in the
+ * batch yet; -1: there is none.
+ * @param page_count the number of pages with a known weight. */
 static int find_highest_weight_page(struct record_batch *batch, const struct write_demand *demand,
                                     guint page_count)
 {
@@ -148,8 +152,8 @@
     return best;
 }
 
-/** Chooses the pages of other nodes to adopt records from. Each batch begins with another one, so
- * that none waits for ever. */
+/** Selects the pages of other nodes to adopt records from. Each batch begins with a different page,
+ * so that none is starved. */
 static void select_source_pages(struct record_batch *batch, const struct write_demand *demand,
                                 guint max_pages)
 {
@@ -164,7 +168,7 @@
     shard->records.first_source_page++;
 }
 
-/** Chooses the own pages to write and opens their drafts. */
+/** Selects the own pages to write and adds their drafts. */
 static void select_own_pages(struct record_batch *batch, const struct write_demand *demand,
                              guint max_pages)
 {
@@ -191,8 +195,8 @@
         record_batch_add_draft(batch, choose_page_for_new_records(shard, batch));
 }
 
-/** Own pages that a transaction may write: half of its writes at most, so that the other half is
- * left for pages of other nodes and for the machines' own records. */
+/** Returns the maximum number of own pages that a transaction writes: at most half of its writes,
+ * so that the other half is left for pages of other nodes and for the machines' own records. */
 static guint max_draft_count(const struct kv_limits *limits)
 {
     guint by_writes = (guint)MAX(limits->max_txn_operations / 2, 1);
--- a/src/shard/record_txn.c
+++ b/src/shard/record_txn.c
@@ -1,6 +1,7 @@
 /**
  * @file
- * The transactions that write run records and what belongs to them, with all their conditions.
+ * The transactions that write run records, machine records and inventories, with all their
+ * compares.
  */
 #include "record_txn.h"
 #include "stored_fields.h"
@@ -23,7 +24,7 @@
     return txn;
 }
 
-/** The value of a page in the state service. */
+/** Encodes the value of a page. */
 static json_object *encode_page_value(const char *run_records, const char *completions)
 {
     json_object *object = json_object_new_object();
--- a/src/shard/run_records_flush.c
+++ b/src/shard/run_records_flush.c
@@ -1,7 +1,7 @@
 /**
  * @file
- * When records are written: soon after a change, one transaction at a time, within this node's
- * share of the writes that the state service allows.
+ * When records are written: shortly after a change, by one transaction at a time, within this
+ * node's share of the writes that the state service allows.
  */
 #include "machine_inventory_internal.h"
 #include "page_split_internal.h"
@@ -10,13 +10,15 @@
 #include <math.h>
 
 enum {
-    /** After a change: other changes of that moment go into the same transaction. */
+    /** The delay after a change, so that other changes of the same moment go into the same
+     * transaction. */
     FLUSH_DELAY_MS = 4,
-    /** After a transaction that was refused, or of which the outcome could not be read. */
+    /** The delay after a transaction that was refused, or whose outcome could not be determined. */
     RETRY_DELAY_MS = 120,
 };
 
-/** Of the writes that the state service allows, the share that the records of all nodes may use. */
+/** The fraction of the state service's write rate that the records of all nodes together may use.
+ */
 static const double RECORD_WRITE_SHARE = 0.8;
 
 void shard_request_flush(struct shard *shard)
@@ -36,8 +38,8 @@
     shard_request_flush(shard);
 }
 
-/** Writes a second that this node may make. The live nodes share the writes, as they share the
- * machines. */
+/** Returns the writes per second that this node may make. The live nodes share the write rate
+ * equally, as they share the machines. */
 static double write_rate_share(const struct shard *shard)
 {
     const struct kv_limits *limits = kv_client_limits(shard->kv);
@@ -45,8 +47,8 @@
            MAX(shard->replica->shard_map->len, 1);
 }
 
-/** Refills the write budget, a token bucket, and tells whether there is a write in it. If not, the
- * flush timer is set to when there will be: the longer changes wait, the more go into one
+/** Refills the write budget, a token bucket, and returns whether it allows a write. If not, sets
+ * the flush timer to the moment when it will. The longer changes wait, the more of them go into one
  * transaction. */
 static bool refill_write_budget(struct shard *shard)
 {
@@ -79,8 +81,8 @@
     shard_schedule_flush(shard, ok);
 }
 
-/** Drops a batch in which there is nothing to write, either because nothing has changed or because
- * what waits fits on no page now. Machines that are gone and have no records are freed. */
+/** Drops a batch that has nothing to write, because nothing has changed or the pending changes fit
+ * on no page at present. Frees machines that were returned and have no records. */
 static void discard_batch(struct record_batch *batch)
 {
     struct shard *shard = batch->shard;
@@ -98,7 +100,7 @@
         shard_schedule_flush(shard, false);
 }
 
-/** Makes a batch of what has changed and commits it. */
+/** Creates a batch of the pending changes and commits it. */
 static void write_batch(struct shard *shard)
 {
     shard->records.is_dirty = false;
@@ -124,7 +126,7 @@
         return;
     if (!refill_write_budget(shard))
         return;
-    /* A page that is being split by copies must not be written before that has ended. */
+    /* A page that is being split by copies must not be written until the split has ended. */
     if (needs_split && shard_split_page(shard))
         return;
     if (needs_inventory_write)
--- a/src/shard/run_records_pages.c
+++ b/src/shard/run_records_pages.c
@@ -1,14 +1,15 @@
 /**
  * @file
- * This node's pages: which of them a machine's records are on, and how many bytes are free on them.
+ * This node's pages: which of them have the records of a machine, and how many bytes are free on
+ * them.
  */
 #include "completions_internal.h"
 #include "run_records_internal.h"
 
 enum {
-    /** Of a page's value besides its texts. */
+    /** Size of a page's value without its strings. */
     PAGE_VALUE_OVERHEAD_BYTES = 32,
-    /** A task's index of the most digits that one may have. */
+    /** The highest index that a task can have; it takes the most digits. */
     MAX_TASK_INDEX = 99999,
 };
 
@@ -117,8 +118,8 @@
         replica_get_machine_description(shard->replica, machine->id.text)};
 }
 
-/** The most bytes that the record of one more run of the machine may take. Its attempt and index
- * are not known yet, so the longest ones count. */
+/** Returns the maximum length that the record of one more run of the machine can take. The longest
+ * attempt number and task index are assumed, because those of the run are not known yet. */
 static gsize new_record_max_bytes(struct machine *machine, job_id job)
 {
     struct record_page_entry record = {
@@ -126,7 +127,7 @@
     return record_page_entry_max_bytes(&record, false, false);
 }
 
-/** Whether a record of the machine has not been adopted from another node's page yet. */
+/** Whether any record of the machine has not been adopted from another node's page yet. */
 static bool has_foreign_record(const struct machine *machine)
 {
     for (guint i = 0; i < machine->runs->len; i++) {
--- a/src/shard/run_records_reconcile.c
+++ b/src/shard/run_records_reconcile.c
@@ -1,14 +1,14 @@
 /**
  * @file
- * Agreement with the replica: takes from it what this node's pages hold, and which records its
- * machines have.
+ * Reconciling this node's state with the replica: the contents of its pages, and the records of its
+ * machines.
  */
 #include "completions_internal.h"
 #include "machine_inventory_internal.h"
 #include "run_records_internal.h"
 
-/** Takes over the records on the page whose machines other nodes own: they stay there until those
- * adopt them. */
+/** Collects the records on a page whose machines belong to other nodes. They stay on the page until
+ * their owners adopt them. */
 static void collect_foreign_records(struct shard *shard, const struct record_page *replica_page,
                                     GArray *foreign_records)
 {
@@ -22,7 +22,7 @@
     }
 }
 
-/** Makes one own page agree with the replica. */
+/** Updates one own page to match the replica. */
 static void reconcile_page(struct shard *shard, int page_number)
 {
     struct own_page *page = shard_get_own_page(shard, page_number);
@@ -40,7 +40,8 @@
     page->used_bytes = replica_page->size_bytes;
 }
 
-/** Makes the machines' runs agree with the records on one own page or (-1) with all records. */
+/** Updates the machines' runs to match the records on one own page.
+ * @param page_number -1: the records of all pages. */
 static void reconcile_machines(struct shard *shard, int page_number)
 {
     GHashTableIter iter;
@@ -69,14 +70,14 @@
 {
     struct record_page *page = g_hash_table_lookup(shard->replica->pages, key);
     bool is_own = page && shard_is_own_page(shard, page);
-    /* What is missed while a transaction is in flight shows as a conflict when the page is next
-     * written. */
+    /* Changes that are missed while a transaction is in flight show up as a conflict when the page
+     * is next written. */
     if (shard->records.txn_in_flight || !is_own)
         return;
     revision known = shard_get_own_page(shard, page->number)->mod_revision;
     if (page->mod_revision.value <= known.value)
         return;
     reconcile_page(shard, page->number);
-    /* Only this page: of the others the replica may be older than what is known here. */
+    /* Only this page: the replica may be older than this node's state of the other pages. */
     reconcile_machines(shard, page->number);
 }
