--- a/src/shard/completion_pages.c
+++ b/src/shard/completion_pages.c
@@ -1,16 +1,17 @@
 /**
  * @file
- * Which pages completions are written on: their choice, the text on a page, moving them off a
- * page that is too long, and what a committed transaction makes durable.
+ * Assigning completions to pages: choosing the pages, encoding the completions of a page, moving
+ * completions off an oversized page, and marking them durable after a transaction was committed.
  */
 #include "completions_internal.h"
 #include "run_records_internal.h"
 
 #include "log.h"
 
-/* ---- the text on a page ---- */
+/* ---- encoding ---- */
 
-/** Bytes that a unit may still come to take on its page, two hexadecimal digits for eight tasks. */
+/** Returns the bytes that a unit may still grow by on its page: two hexadecimal digits for each
+ * byte that its bitmap can still get. */
 static gsize unit_reserved_bytes(const struct completion_unit *unit, const struct job *job)
 {
     guint max_bytes = shard_completion_unit_bytes(job, unit->number);
@@ -19,7 +20,7 @@
     return 2 * (gsize)(max_bytes - unit->bits->len);
 }
 
-/** Whether a durable unit of another page has the bit. */
+/** Whether a durable unit of another page has the bit set. */
 static bool is_bit_covered(const GPtrArray *units, const struct completion_unit *unit, uint32_t bit)
 {
     for (guint i = 0; i < units->len; i++) {
@@ -31,7 +32,8 @@
     return false;
 }
 
-/** Whether durable units of other pages have all bits of this one: its page may drop it. */
+/** Whether durable units of other pages store all bits of this one, so that its page may drop it.
+ */
 static bool is_covered_elsewhere(struct shard *shard, const struct completion_unit *unit)
 {
     GPtrArray *units = completion_units_find(shard, unit->job, unit->number);
@@ -41,38 +43,38 @@
     return true;
 }
 
-/** The page whose completions are written out. */
-struct completions_writer {
+/** The page whose completions are being encoded. */
+struct completions_encoder {
     struct page_completions *out;
     int page_number;
     bool legacy_format;
 };
 
-/** Adds a unit to the text of its page; a completion_unit_callback. */
-static void write_unit(struct shard *shard, struct completion_unit *unit, void *ctx)
+/** Appends a unit to the completions of its page; a completion_unit_callback. */
+static void encode_unit(struct shard *shard, struct completion_unit *unit, void *ctx)
 {
-    struct completions_writer *writer = ctx;
+    struct completions_encoder *encoder = ctx;
     struct job *job =
-        unit->page == writer->page_number ? shard_find_active_job(shard, unit->job) : NULL;
+        unit->page == encoder->page_number ? shard_find_active_job(shard, unit->job) : NULL;
     if (!job || (unit->is_moving && is_covered_elsewhere(shard, unit)))
         return;
-    completions_encode(writer->out->text, unit->job, unit->number, unit->bits,
-                       writer->legacy_format);
-    writer->out->has_unwritten = writer->out->has_unwritten || unit->is_unwritten;
-    writer->out->reserved_bytes += unit_reserved_bytes(unit, job);
+    completions_encode(encoder->out->text, unit->job, unit->number, unit->bits,
+                       encoder->legacy_format);
+    encoder->out->has_unwritten = encoder->out->has_unwritten || unit->is_unwritten;
+    encoder->out->reserved_bytes += unit_reserved_bytes(unit, job);
 }
 
-void shard_completions_write(struct shard *shard, int page_number, bool legacy_format,
-                             struct page_completions *out)
+void shard_completions_encode(struct shard *shard, int page_number, bool legacy_format,
+                              struct page_completions *out)
 {
     g_string_truncate(out->text, 0);
     out->reserved_bytes = 0;
     out->has_unwritten = false;
-    struct completions_writer writer = {out, page_number, legacy_format};
-    completion_units_for_each(shard, write_unit, &writer);
+    struct completions_encoder encoder = {out, page_number, legacy_format};
+    completion_units_for_each(shard, encode_unit, &encoder);
 }
 
-/** The sum of what the units of a page may still come to take. */
+/** The total number of bytes that the units of a page may still grow by. */
 struct reserved_total {
     int page_number;
     gsize bytes;
@@ -94,16 +96,17 @@
     return total.bytes;
 }
 
-/* ---- moving off a page that is too long ---- */
+/* ---- moving units off an oversized page ---- */
 
 /** The page that a unit is moved off. */
 struct completion_move {
     int page_number;
-    /** One was moved: one at a time is enough. */
+    /** A unit was moved. One is moved at a time. */
     bool is_done;
 };
 
-/** Copies the bits of a unit to one without a page. */
+/** Copies the bits of a unit to the unassigned unit of the same number; a completion_unit_callback.
+ */
 static void move_unit(struct shard *shard, struct completion_unit *unit, void *ctx)
 {
     struct completion_move *move = ctx;
@@ -117,23 +120,23 @@
     copy->is_unwritten = true;
 }
 
-void shard_completions_move(struct shard *shard, int page_number)
+void shard_completions_move_unit(struct shard *shard, int page_number)
 {
     struct completion_move move = {page_number, false};
     completion_units_for_each(shard, move_unit, &move);
 }
 
-/* ---- the choice of pages ---- */
+/* ---- assignment to pages ---- */
 
-/** The pages that units without a page may go to. */
-struct unit_placement {
+/** The pages that unassigned units may be assigned to. */
+struct unit_assignment {
     const int *pages;
     guint page_count;
-    /** Some units have no page yet. */
-    bool has_unplaced;
+    /** Some units are still unassigned. */
+    bool has_unassigned;
 };
 
-/** Marks a unit as empty. */
+/** Empties a unit. */
 static void unit_clear(struct completion_unit *unit)
 {
     g_byte_array_set_size(unit->bits, 0);
@@ -141,10 +144,10 @@
     unit->is_moving = false;
 }
 
-/** Puts a unit on a page, or merges it with the one that is there; returns whether the page can
- * have it. */
-static bool try_place_unit(struct shard *shard, struct completion_unit *unit, const struct job *job,
-                           int page_number)
+/** Assigns a unit to a page, or merges it with the unit that is there. Returns false if the page
+ * cannot take it. */
+static bool try_assign_unit(struct shard *shard, struct completion_unit *unit,
+                            const struct job *job, int page_number)
 {
     struct completion_unit *existing =
         completion_unit_find(shard, unit->job, unit->number, page_number);
@@ -164,55 +167,56 @@
     return true;
 }
 
-/** Puts a unit without a page on the first one that can have it; a completion_unit_callback. */
-static void place_unit(struct shard *shard, struct completion_unit *unit, void *ctx)
+/** Assigns an unassigned unit to the first page that can take it; a completion_unit_callback. */
+static void assign_unit(struct shard *shard, struct completion_unit *unit, void *ctx)
 {
-    struct unit_placement *placement = ctx;
+    struct unit_assignment *assignment = ctx;
     struct job *job = shard_find_active_job(shard, unit->job);
     if (unit->page >= 0 || !unit->is_unwritten || !job)
         return;
-    for (guint i = 0; i < placement->page_count; i++)
-        if (try_place_unit(shard, unit, job, placement->pages[i]))
+    for (guint i = 0; i < assignment->page_count; i++)
+        if (try_assign_unit(shard, unit, job, assignment->pages[i]))
             return;
-    placement->has_unplaced = true;
+    assignment->has_unassigned = true;
 }
 
-bool shard_completions_place(struct shard *shard, const int *pages, guint page_count)
+bool shard_completions_assign_pages(struct shard *shard, const int *pages, guint page_count)
 {
-    struct unit_placement placement = {pages, page_count, false};
-    completion_units_for_each(shard, place_unit, &placement);
-    return !placement.has_unplaced;
+    struct unit_assignment assignment = {pages, page_count, false};
+    completion_units_for_each(shard, assign_unit, &assignment);
+    return !assignment.has_unassigned;
 }
 
-/** Adds what the units of one key wait for. Returns whether some of them have no page. */
+/** Adds the weights of units with the same job and number to their pages. Returns whether some of
+ * the units are unassigned. */
 static bool add_unit_demand(const GPtrArray *units, double *page_weights, double weight)
 {
-    bool has_unplaced = false;
+    bool has_unassigned = false;
     for (guint i = 0; i < units->len; i++) {
         struct completion_unit *unit = units->pdata[i];
-        unit->changed_in_txn = false;
+        unit->changed_since_txn = false;
         if (unit->is_unwritten && unit->page >= 0)
             page_weights[unit->page] += weight;
-        has_unplaced = has_unplaced || (unit->is_unwritten && unit->page < 0);
+        has_unassigned = has_unassigned || (unit->is_unwritten && unit->page < 0);
     }
-    return has_unplaced;
+    return has_unassigned;
 }
 
 bool shard_completions_add_demand(struct shard *shard, double *page_weights, double weight)
 {
-    bool has_unplaced = false;
+    bool has_unassigned = false;
     GHashTableIter iter;
     GPtrArray *units;
     g_hash_table_iter_init(&iter, shard->records.completion_units);
     while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&units)) {
         const struct completion_unit *first = units->pdata[0];
         if (!shard_find_active_job(shard, first->job))
-            /* Its job is over: its pages drop it when they are next written. */
+            /* The job is finished: pages drop the unit when they are next written. */
             g_hash_table_iter_remove(&iter);
         else if (add_unit_demand(units, page_weights, weight))
-            has_unplaced = true;
+            has_unassigned = true;
     }
-    return has_unplaced;
+    return has_unassigned;
 }
 
 /* ---- after a transaction ---- */
@@ -223,8 +227,8 @@
     const void *ctx;
 };
 
-/** Notes that a page holds a unit, unless the unit has changed since; a completion_unit_callback.
- */
+/** Marks a unit as durable if its page was written and it has not changed since the transaction was
+ * created. Empties a moved unit whose bits are durable elsewhere. A completion_unit_callback. */
 static void mark_unit_durable(struct shard *shard, struct completion_unit *unit, void *ctx)
 {
     struct written_pages *pages = ctx;
@@ -232,7 +236,7 @@
         return;
     if (unit->is_moving && is_covered_elsewhere(shard, unit))
         unit_clear(unit);
-    else if (!unit->changed_in_txn)
+    else if (!unit->changed_since_txn)
         unit->is_unwritten = false;
 }
 
