--- a/src/cluster/cancel_broadcast.c
+++ b/src/cluster/cancel_broadcast.c
@@ -16,7 +16,7 @@
 };
 
 /** A cancellation that this node has confirmed to a user, or has sent to the key-value store. */
-struct reported_state {
+struct local_cancel {
     /** In the order in which they came. */
     GList link;
     job_id job;
@@ -40,7 +40,7 @@
     struct replica *replica;
     const struct settings *settings;
     struct actor *listener;
-    /** Job id -> struct reported_state, which owns the key. */
+    /** Job id -> struct local_cancel, which owns the key. */
     GHashTable *local_cancels;
     /** Their links, oldest first. */
     GQueue local_cancel_order;
@@ -70,7 +70,7 @@
 
 /* ---- local cancellations ---- */
 
-static void drop_local(struct cancel_broadcast *broadcast, struct reported_state *cancel)
+static void drop_local(struct cancel_broadcast *broadcast, struct local_cancel *cancel)
 {
     g_queue_unlink(&broadcast->local_cancel_order, &cancel->link);
     g_hash_table_remove(broadcast->local_cancels, cancel->job.text);
@@ -80,7 +80,7 @@
  * Resolves transactions of unknown outcome by what the replica shows. Once the job has ended, the
  * compares of a transaction that is still under way fail.
  */
-static void resolve_local(struct cancel_broadcast *broadcast, struct reported_state *cancel)
+static void resolve_local(struct cancel_broadcast *broadcast, struct local_cancel *cancel)
 {
     if (cancel->committed_at.value || !cancel->pending_txns)
         return;
@@ -97,7 +97,7 @@
 static void evict_oldest_local(struct cancel_broadcast *broadcast)
 {
     while (broadcast->local_cancel_order.length > MAX_LOCAL_CANCELS) {
-        struct reported_state *cancel = broadcast->local_cancel_order.head->data;
+        struct local_cancel *cancel = broadcast->local_cancel_order.head->data;
         resolve_local(broadcast, cancel);
         broadcast->evicted_up_to.value =
             MAX(broadcast->evicted_up_to.value, cancel->committed_at.value);
@@ -107,12 +107,12 @@
     }
 }
 
-static struct reported_state *get_or_add_local(struct cancel_broadcast *broadcast, job_id job)
+static struct local_cancel *get_or_add_local(struct cancel_broadcast *broadcast, job_id job)
 {
-    struct reported_state *cancel = g_hash_table_lookup(broadcast->local_cancels, job.text);
+    struct local_cancel *cancel = g_hash_table_lookup(broadcast->local_cancels, job.text);
     if (cancel)
         return cancel;
-    cancel = g_new0(struct reported_state, 1);
+    cancel = g_new0(struct local_cancel, 1);
     cancel->job = job;
     cancel->link.data = cancel;
     cancel->known_since = loop_now(broadcast->loop);
@@ -131,7 +131,7 @@
  * listener acts on it without the replica, on this node as well as where it is shared. */
 void cancel_broadcast_confirm(struct cancel_broadcast *broadcast, job_id job, revision committed_at)
 {
-    struct reported_state *cancel = get_or_add_local(broadcast, job);
+    struct local_cancel *cancel = get_or_add_local(broadcast, job);
     bool is_new =
         !cancel->committed_at.value && !has_ended(replica_get_job(broadcast->replica, job.text));
     if (!cancel->committed_at.value || committed_at.value < cancel->committed_at.value)
@@ -147,7 +147,7 @@
     enum txn_status status = outcome->status;
     if (status == TXN_COMMITTED)
         cancel_broadcast_confirm(broadcast, job, outcome->at_revision);
-    struct reported_state *cancel = g_hash_table_lookup(broadcast->local_cancels, job.text);
+    struct local_cancel *cancel = g_hash_table_lookup(broadcast->local_cancels, job.text);
     if (!cancel)
         return;
     if (status == TXN_UNKNOWN)
@@ -164,7 +164,7 @@
 }
 
 /** Whether a node whose replica is at that revision may lack the cancellation. */
-static bool may_be_missing_at(const struct reported_state *cancel, revision replica_revision)
+static bool may_be_missing_at(const struct local_cancel *cancel, revision replica_revision)
 {
     if (cancel->committed_at.value)
         return cancel->committed_at.value > replica_revision.value;
@@ -176,7 +176,7 @@
 {
     for (GList *link = broadcast->local_cancel_order.head;
          link && notices->len <= MAX_SHARED_CANCELS; link = link->next) {
-        struct reported_state *cancel = link->data;
+        struct local_cancel *cancel = link->data;
         resolve_local(broadcast, cancel);
         if (!may_be_missing_at(cancel, replica_revision))
             continue;
@@ -296,7 +296,7 @@
 
 enum cancel_status cancel_broadcast_get_status(const struct cancel_broadcast *broadcast, job_id job)
 {
-    const struct reported_state *local = g_hash_table_lookup(broadcast->local_cancels, job.text);
+    const struct local_cancel *local = g_hash_table_lookup(broadcast->local_cancels, job.text);
     const struct remote_cancel *remote = g_hash_table_lookup(broadcast->remote_cancels, job.text);
     if ((local && local->committed_at.value) || (remote && remote->committed_at.value))
         return CANCEL_COMMITTED;
@@ -306,7 +306,7 @@
 mono_time cancel_broadcast_confirmed_not_before(const struct cancel_broadcast *broadcast,
                                                 job_id job)
 {
-    const struct reported_state *local = g_hash_table_lookup(broadcast->local_cancels, job.text);
+    const struct local_cancel *local = g_hash_table_lookup(broadcast->local_cancels, job.text);
     const struct remote_cancel *remote = g_hash_table_lookup(broadcast->remote_cancels, job.text);
     if (!local && !remote)
         return loop_now(broadcast->loop);
--- a/tests/test_gang_failures.c
+++ b/tests/test_gang_failures.c
@@ -257,12 +257,12 @@
 
 /* ---- a seeded load on many machines ---- */
 
-enum { CLOUD_MACHINES = 40, LOAD_S = 400, AFTER_S = 240, MOST_SILENT = 3, MOST_SICK = 2 };
+enum { MACHINES = 40, LOAD_S = 400, AFTER_S = 240, MOST_SILENT = 3, MOST_SICK = 2 };
 
 static int open_large(void **state)
 {
     struct world_config plan = world_default_config();
-    plan.worker_count = CLOUD_MACHINES;
+    plan.worker_count = MACHINES;
     plan.team_count = 3;
     plan.team_cpus = 80;
     plan.team_cpus_max = 160;
@@ -277,7 +277,7 @@
 
 /* When each trouble is over; 0: there is none. */
 struct troubles {
-    int silent_until[CLOUD_MACHINES], sick_until[CLOUD_MACHINES];
+    int silent_until[MACHINES], sick_until[MACHINES];
     int killed, killed_until, state_until;
     int leaders_killed, outages, silenced, sickened;
 };
@@ -285,14 +285,14 @@
 static int ongoing(const int *until)
 {
     int n = 0;
-    for (int i = 0; i < CLOUD_MACHINES; i++)
+    for (int i = 0; i < MACHINES; i++)
         n += until[i] > 0;
     return n;
 }
 
 static void end_due(struct world *world, struct troubles *troubles, int now)
 {
-    for (int i = 0; i < CLOUD_MACHINES; i++) {
+    for (int i = 0; i < MACHINES; i++) {
         if (troubles->silent_until[i] && now >= troubles->silent_until[i]) {
             world->workers[i].unreachable = false;
             troubles->silent_until[i] = 0;
@@ -327,8 +327,7 @@
     enum { EVERY_S = 4, KINDS = 5 };
     if (now % EVERY_S)
         return;
-    int any = g_rand_int_range(luck, 0, CLOUD_MACHINES),
-        until = now + g_rand_int_range(luck, 5, 25);
+    int any = g_rand_int_range(luck, 0, MACHINES), until = now + g_rand_int_range(luck, 5, 25);
     switch (now / EVERY_S % KINDS) {
     case 0:
         kill_leader(world, troubles, until);
@@ -358,7 +357,7 @@
 /* What runs on a sick machine fails at once. */
 static void play_sick(struct world *world, const struct troubles *troubles)
 {
-    for (int i = 0; i < CLOUD_MACHINES; i++) {
+    for (int i = 0; i < MACHINES; i++) {
         struct worker *worker = &world->workers[i];
         for (guint n = 0; troubles->sick_until[i] && worker->up && !worker->unreachable &&
                           n < worker->tasks->len;
@@ -431,7 +430,7 @@
     GRand *luck = g_rand_new_with_seed(seed);
     struct troubles troubles = {0};
     GQueue queue = G_QUEUE_INIT;
-    for (int i = 0; i < CLOUD_MACHINES; i++)
+    for (int i = 0; i < MACHINES; i++)
         world_add_worker(world, i, i % 2 ? "a" : "b", i % 3 != 0);
     world_run(world, 4000);
     int jobs = play_troubles(world, luck, &troubles, &queue);
--- a/tests/test_loopback.c
+++ b/tests/test_loopback.c
@@ -17,7 +17,7 @@
     PAUSES = 60,
     EFFECTS = 12,
     MOST_S = 180, /* then it has failed */
-    COMBINED_CHECK_INTERVAL_MS = 2,
+    STEP_MS = 2,
     JOBS = 4,
 };
 
@@ -186,7 +186,7 @@
         time_ms_since(now, play->began) > MOST_S * 1000LL)
         loop_stop(play->loop);
     else
-        timer_start(play->loop, &play->step, COMBINED_CHECK_INTERVAL_MS);
+        timer_start(play->loop, &play->step, STEP_MS);
 }
 
 static void start_stand_ins(struct play *play)
@@ -242,7 +242,7 @@
     play.began = play.stepped = loop_now(play.loop);
     play.next_stop = time_add_ms(play.began, 1000);
     timer_init(&play.step, step, &play);
-    timer_start(play.loop, &play.step, COMBINED_CHECK_INTERVAL_MS);
+    timer_start(play.loop, &play.step, STEP_MS);
     loop_run(play.loop);
     for (int i = 0; i < NODES; i++)
         end_process(&play, i);
--- a/tests/test_scheduling.c
+++ b/tests/test_scheduling.c
@@ -256,25 +256,25 @@
  * keeps the machines, and no more can be rented; nothing is left waiting. */
 static void tasks_that_take_longer_and_longer_go_on(void **state)
 {
-    enum { CLOUD_MACHINES = 4, TASKS = 60, WAVE = 12 };
+    enum { MACHINES = 4, TASKS = 60, WAVE = 12 };
     static const int64_t takes_ms[] = {4000, 10000, 25000, 60000, 60000};
     struct world *world = *state;
     world->cloud_capacity = 0;
-    for (int i = 0; i < CLOUD_MACHINES; i++)
+    for (int i = 0; i < MACHINES; i++)
         world_add_worker(world, i, i % 2 ? "a" : "b", false);
     world_run(world, 3000);
-    char *service = world_format_job("wk-0", "daemon", CLOUD_MACHINES, "blue", 5.0, "");
+    char *service = world_format_job("wk-0", "daemon", MACHINES, "blue", 5.0, "");
     assert_int_equal(world_send_user_request(world, 0, "POST", "/work", service).status, 201);
     g_free(service);
     world_run(world, 5000);
-    assert_int_equal(world_count_active_tasks(world, "wk-0"), CLOUD_MACHINES); /* one on each */
+    assert_int_equal(world_count_active_tasks(world, "wk-0"), MACHINES); /* one on each */
     char *array = world_format_job("wk-1", "sweep", TASKS, "blue", 1.0, "");
     assert_int_equal(world_send_user_request(world, 0, "POST", "/work", array).status, 201);
     g_free(array);
     for (int s = 0; s < 300; s++) {
         world_run(world, 1000);
         world_check_progress(world);
-        for (int i = 0; i < CLOUD_MACHINES; i++)
+        for (int i = 0; i < MACHINES; i++)
             for (uint32_t t = 0; world->workers[i].up && t < TASKS; t++) {
                 struct worker_task *wtask = worker_find_task(&world->workers[i], "wk-1", t);
                 if (wtask && strcmp(wtask->stage, "running") == 0 &&
--- a/tests/test_stored_data.c
+++ b/tests/test_stored_data.c
@@ -88,7 +88,7 @@
     {"ll/n/mast-2", "{\"i\":3,\"b\":\"10.0.0.3:8081\",\"v\":2,\"duties\":true}"},
 };
 
-enum { CLOUD_MACHINES = 6, LEASE_MS = 4000, DEADLINE_JOB_TASKS = 20 };
+enum { MACHINES = 6, LEASE_MS = 4000, DEADLINE_JOB_TASKS = 20 };
 
 /* All nodes of that version are gone; their machines go on with what the pages name. */
 static struct world *open_stored_world(void)
@@ -97,8 +97,8 @@
     plan.singleton_roles = true;
     plan.txn_ops = 16;
     struct world *world = world_new_with_config(&plan);
-    world->cloud_capacity = plan.worker_count - CLOUD_MACHINES;
-    for (int i = 0; i < CLOUD_MACHINES; i++)
+    world->cloud_capacity = plan.worker_count - MACHINES;
+    for (int i = 0; i < MACHINES; i++)
         world_add_worker(world, i, "a", true);
     stored_put_all(world, lasting_keys, G_N_ELEMENTS(lasting_keys));
     stored_put_all(world, leased_keys, G_N_ELEMENTS(leased_keys));
