--- a/src/api/api.c
+++ b/src/api/api.c
@@ -51,10 +51,10 @@
     if (!api->replica->is_ready || !api->replica->machine_types ||
         failure_detector_is_isolated(api->failure_detector))
         return false;
-    if (failure_detector_find_served_node(api->failure_detector))
+    if (failure_detector_find_node_with_kv_access(api->failure_detector))
         return true;
     mono_time now = loop_now(api->loop);
-    mono_time cancels_known_until = cancel_broadcast_known_until(api->cancel_broadcast);
+    mono_time cancels_known_until = cancel_broadcast_get_complete_until(api->cancel_broadcast);
     return (cancels_known_until.us &&
             time_ms_since(now, cancels_known_until) < MAX_READY_STALENESS_MS / 2) ||
            time_ms_since(now, api->replica->fresh_at) < MAX_READY_STALENESS_MS;
@@ -137,7 +137,7 @@
 static bool forward_to_peer(struct api *api, struct http_responder *responder, connection_ref from,
                             const struct http_request *request)
 {
-    const char *peer = failure_detector_find_served_node(api->failure_detector);
+    const char *peer = failure_detector_find_node_with_kv_access(api->failure_detector);
     if (!peer || !is_job_path(request->path) || api->waiting_count >= api->max_waiting)
         return false;
     if (!membership_all_nodes_support(api->membership, NODE_VERSION_JOB_DAG) &&
--- a/src/api/job_write.c
+++ b/src/api/job_write.c
@@ -77,7 +77,7 @@
 {
     struct api_request *request = context;
     if (request->action == API_ACTION_CANCEL)
-        cancel_broadcast_finish(request->api->cancel_broadcast, request->job, outcome);
+        cancel_broadcast_finish_txn(request->api->cancel_broadcast, request->job, outcome);
     if (request->is_answered)
         api_request_free(request); /* its user repeats it */
     else if (outcome->status == TXN_COMMITTED)
@@ -126,6 +126,6 @@
 {
     size_t max_bytes = kv_client_limits(request->api->kv)->max_value_bytes;
     json_object *value = encode_cancelled_job_within(job, max_bytes);
-    cancel_broadcast_begin(request->api->cancel_broadcast, request->job);
+    cancel_broadcast_begin_txn(request->api->cancel_broadcast, request->job);
     api_request_write_job(request, job->mod_revision, value);
 }
--- a/src/cloud/cloud_provider.c
+++ b/src/cloud/cloud_provider.c
@@ -17,7 +17,7 @@
 }
 
 static void await_replica_revision(void *ctx, revision revision_needed,
-                                   role_await_callback callback, void *callback_arg)
+                                   role_revision_callback callback, void *callback_arg)
 {
     struct cloud_provider *cloud = ctx;
     replica_await_revision_or_newest(cloud->replica, revision_needed, callback, callback_arg);
@@ -40,7 +40,7 @@
 static void recover_open_intents(struct cloud_provider *cloud)
 {
     intent_log_open(cloud->intents);
-    GPtrArray *open_intents = intent_log_list_open(cloud->intents);
+    GPtrArray *open_intents = intent_log_list_unsettled(cloud->intents);
     for (guint i = 0; i < open_intents->len; i++) {
         const struct intent *intent = open_intents->pdata[i];
         bool is_scale_out = intent->kind == INTENT_SCALE_OUT;
--- a/src/cluster/cancel_broadcast.c
+++ b/src/cluster/cancel_broadcast.c
@@ -21,7 +21,7 @@
     GList link;
     job_id job;
     /** 0: not confirmed to any user by this node. */
-    revision committed_at;
+    revision committed_revision;
     /** Transactions that may have been committed, or may yet be. */
     int pending_txns;
     mono_time known_since;
@@ -30,8 +30,8 @@
 /** A cancellation that another node has shared. */
 struct remote_cancel {
     /** 0: possible, not known to be committed. */
-    revision committed_at;
-    mono_time confirmed_not_before;
+    revision committed_revision;
+    mono_time earliest_confirmation;
 };
 
 struct cancel_broadcast {
@@ -45,18 +45,18 @@
     /** Their links, oldest first. */
     GQueue local_cancel_order;
     /** Of all that this node confirmed. */
-    revision newest_committed;
+    revision newest_committed_revision;
     /** The newest revision of the local cancellations that were forgotten. */
-    revision evicted_up_to;
+    revision newest_evicted_revision;
     /** Some that were forgotten may still be committed. */
     bool has_evicted_pending;
     /** Job id -> struct remote_cancel. */
     GHashTable *remote_cancels;
-    mono_time known_until;
+    mono_time complete_until;
 };
 
 /** Whether the replica shows that the job has ended. */
-static bool has_ended(const struct job *job)
+static bool is_finished(const struct job *job)
 {
     return job && job->is_known && job->state != JOB_ACTIVE;
 }
@@ -70,7 +70,7 @@
 
 /* ---- local cancellations ---- */
 
-static void drop_local(struct cancel_broadcast *broadcast, struct local_cancel *cancel)
+static void remove_local(struct cancel_broadcast *broadcast, struct local_cancel *cancel)
 {
     g_queue_unlink(&broadcast->local_cancel_order, &cancel->link);
     g_hash_table_remove(broadcast->local_cancels, cancel->job.text);
@@ -82,14 +82,14 @@
  */
 static void resolve_local(struct cancel_broadcast *broadcast, struct local_cancel *cancel)
 {
-    if (cancel->committed_at.value || !cancel->pending_txns)
+    if (cancel->committed_revision.value || !cancel->pending_txns)
         return;
     const struct job *job = replica_get_job(broadcast->replica, cancel->job.text);
-    if (!has_ended(job))
+    if (!is_finished(job))
         return;
     cancel->pending_txns = 0;
     if (job->state == JOB_CANCELLED)
-        cancel->committed_at = job->cancelled_at;
+        cancel->committed_revision = job->cancelled_at;
 }
 
 /** Forgets the oldest. Nodes that may lack them learn from the reports that these are incomplete.
@@ -99,11 +99,11 @@
     while (broadcast->local_cancel_order.length > MAX_LOCAL_CANCELS) {
         struct local_cancel *cancel = broadcast->local_cancel_order.head->data;
         resolve_local(broadcast, cancel);
-        broadcast->evicted_up_to.value =
-            MAX(broadcast->evicted_up_to.value, cancel->committed_at.value);
-        if (cancel->pending_txns && !cancel->committed_at.value)
+        broadcast->newest_evicted_revision.value =
+            MAX(broadcast->newest_evicted_revision.value, cancel->committed_revision.value);
+        if (cancel->pending_txns && !cancel->committed_revision.value)
             broadcast->has_evicted_pending = true;
-        drop_local(broadcast, cancel);
+        remove_local(broadcast, cancel);
     }
 }
 
@@ -122,27 +122,30 @@
     return cancel;
 }
 
-void cancel_broadcast_begin(struct cancel_broadcast *broadcast, job_id job)
+void cancel_broadcast_begin_txn(struct cancel_broadcast *broadcast, job_id job)
 {
     get_or_add_local(broadcast, job)->pending_txns++;
 }
 
 /* The replica may lose its watch at this very moment and never show the cancellation, so the
  * listener acts on it without the replica, on this node as well as where it is shared. */
-void cancel_broadcast_confirm(struct cancel_broadcast *broadcast, job_id job, revision committed_at)
+void cancel_broadcast_confirm(struct cancel_broadcast *broadcast, job_id job,
+                              revision committed_revision)
 {
     struct local_cancel *cancel = get_or_add_local(broadcast, job);
-    bool is_new =
-        !cancel->committed_at.value && !has_ended(replica_get_job(broadcast->replica, job.text));
-    if (!cancel->committed_at.value || committed_at.value < cancel->committed_at.value)
-        cancel->committed_at = committed_at;
-    broadcast->newest_committed.value = MAX(broadcast->newest_committed.value, committed_at.value);
+    bool is_new = !cancel->committed_revision.value &&
+                  !is_finished(replica_get_job(broadcast->replica, job.text));
+    if (!cancel->committed_revision.value ||
+        committed_revision.value < cancel->committed_revision.value)
+        cancel->committed_revision = committed_revision;
+    broadcast->newest_committed_revision.value =
+        MAX(broadcast->newest_committed_revision.value, committed_revision.value);
     if (is_new)
         notify_listener(broadcast, job);
 }
 
-void cancel_broadcast_finish(struct cancel_broadcast *broadcast, job_id job,
-                             const struct txn_outcome *outcome)
+void cancel_broadcast_finish_txn(struct cancel_broadcast *broadcast, job_id job,
+                                 const struct txn_outcome *outcome)
 {
     enum txn_status status = outcome->status;
     if (status == TXN_COMMITTED)
@@ -154,25 +157,25 @@
         notify_listener(broadcast, job);
     else if (cancel->pending_txns)
         cancel->pending_txns--;
-    if (!cancel->pending_txns && !cancel->committed_at.value && status != TXN_COMMITTED)
-        drop_local(broadcast, cancel);
+    if (!cancel->pending_txns && !cancel->committed_revision.value && status != TXN_COMMITTED)
+        remove_local(broadcast, cancel);
 }
 
-revision cancel_broadcast_get_newest(const struct cancel_broadcast *broadcast)
+revision cancel_broadcast_get_newest_revision(const struct cancel_broadcast *broadcast)
 {
-    return broadcast->newest_committed;
+    return broadcast->newest_committed_revision;
 }
 
 /** Whether a node whose replica is at that revision may lack the cancellation. */
 static bool may_be_missing_at(const struct local_cancel *cancel, revision replica_revision)
 {
-    if (cancel->committed_at.value)
-        return cancel->committed_at.value > replica_revision.value;
+    if (cancel->committed_revision.value)
+        return cancel->committed_revision.value > replica_revision.value;
     return cancel->pending_txns > 0;
 }
 
-bool cancel_broadcast_collect(struct cancel_broadcast *broadcast, revision replica_revision,
-                              GArray *notices)
+bool cancel_broadcast_collect_notices(struct cancel_broadcast *broadcast, revision replica_revision,
+                                      GArray *notices)
 {
     for (GList *link = broadcast->local_cancel_order.head;
          link && notices->len <= MAX_SHARED_CANCELS; link = link->next) {
@@ -180,35 +183,36 @@
         resolve_local(broadcast, cancel);
         if (!may_be_missing_at(cancel, replica_revision))
             continue;
-        struct cancel_notice notice = {cancel->job, cancel->committed_at};
+        struct cancel_notice notice = {cancel->job, cancel->committed_revision};
         g_array_append_val(notices, notice);
     }
     return notices->len <= MAX_SHARED_CANCELS && !broadcast->has_evicted_pending &&
-           broadcast->evicted_up_to.value <= replica_revision.value;
+           broadcast->newest_evicted_revision.value <= replica_revision.value;
 }
 
 /* ---- remote cancellations ---- */
 
 /** The earliest time at which what another node shares now can have been confirmed to a user. */
-static mono_time earliest_confirmation(const struct cancel_broadcast *broadcast)
+static mono_time earliest_remote_confirmation(const struct cancel_broadcast *broadcast)
 {
     mono_time fresh_at = broadcast->replica->fresh_at;
-    return time_before(fresh_at, broadcast->known_until) ? broadcast->known_until : fresh_at;
+    return time_before(fresh_at, broadcast->complete_until) ? broadcast->complete_until : fresh_at;
 }
 
 void cancel_broadcast_add_remote(struct cancel_broadcast *broadcast,
                                  const struct cancel_notice *notice)
 {
     struct remote_cancel *cancel = g_hash_table_lookup(broadcast->remote_cancels, notice->job.text);
-    bool is_committed = notice->committed_at.value != 0;
-    bool is_news = !cancel || (is_committed && !cancel->committed_at.value);
+    bool is_committed = notice->committed_revision.value != 0;
+    bool is_update = !cancel || (is_committed && !cancel->committed_revision.value);
     if (!cancel) {
         cancel = g_new0(struct remote_cancel, 1);
-        cancel->confirmed_not_before = earliest_confirmation(broadcast);
+        cancel->earliest_confirmation = earliest_remote_confirmation(broadcast);
         g_hash_table_insert(broadcast->remote_cancels, g_strdup(notice->job.text), cancel);
     }
-    cancel->committed_at.value = MAX(cancel->committed_at.value, notice->committed_at.value);
-    if (is_news) {
+    cancel->committed_revision.value =
+        MAX(cancel->committed_revision.value, notice->committed_revision.value);
+    if (is_update) {
         LOG_INFO("cancel_learned", "job=%s committed=%d", notice->job.text, is_committed);
         notify_listener(broadcast, notice->job);
     }
@@ -221,22 +225,22 @@
     struct remote_cancel *cancel;
     g_hash_table_iter_init(&iter, broadcast->remote_cancels);
     while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&cancel)) {
-        bool is_over = cancel->committed_at.value
-                           ? cancel->committed_at.value <= replica->applied_revision.value
-                           : time_before(cancel->confirmed_not_before, replica->fresh_at);
-        if (is_over)
+        bool is_expired = cancel->committed_revision.value
+                              ? cancel->committed_revision.value <= replica->applied_revision.value
+                              : time_before(cancel->earliest_confirmation, replica->fresh_at);
+        if (is_expired)
             g_hash_table_iter_remove(&iter);
     }
 }
 
-mono_time cancel_broadcast_known_until(const struct cancel_broadcast *broadcast)
+mono_time cancel_broadcast_get_complete_until(const struct cancel_broadcast *broadcast)
 {
-    return broadcast->known_until;
+    return broadcast->complete_until;
 }
 
-void cancel_broadcast_set_known_until(struct cancel_broadcast *broadcast, mono_time until)
+void cancel_broadcast_set_complete_until(struct cancel_broadcast *broadcast, mono_time until)
 {
-    broadcast->known_until = until;
+    broadcast->complete_until = until;
 }
 
 /* ---- announcements ---- */
@@ -244,8 +248,8 @@
 /** An announcement under way to all other nodes. */
 struct cancel_announcement {
     guint responses_pending;
-    void (*done)(void *arg);
-    void *arg;
+    void (*callback)(void *arg);
+    void *callback_arg;
 };
 
 static void on_announce_response(void *arg, int status, const cJSON *message)
@@ -255,21 +259,22 @@
     struct cancel_announcement *announcement = arg;
     if (--announcement->responses_pending)
         return;
-    announcement->done(announcement->arg);
+    announcement->callback(announcement->callback_arg);
     g_free(announcement);
 }
 
 void cancel_broadcast_announce(struct cancel_broadcast *broadcast, job_id job,
-                               revision committed_at, void (*done)(void *arg), void *arg)
+                               revision committed_revision, void (*callback)(void *arg),
+                               void *callback_arg)
 {
     const GArray *siblings = broadcast->settings->siblings;
-    const struct cancel_notice notice = {job, committed_at};
+    const struct cancel_notice notice = {job, committed_revision};
     if (!siblings->len) {
-        done(arg);
+        callback(callback_arg);
         return;
     }
     struct cancel_announcement *announcement = g_new(struct cancel_announcement, 1);
-    *announcement = (struct cancel_announcement){siblings->len, done, arg};
+    *announcement = (struct cancel_announcement){siblings->len, callback, callback_arg};
     for (guint i = 0; i < siblings->len; i++)
         node_rpc_call(broadcast->rpc, g_array_index(siblings, struct sibling, i).label,
                       RPC_KIND_CANCELLED, cancel_notice_encode(&notice), ANNOUNCE_TIMEOUT_MS,
@@ -298,23 +303,23 @@
 {
     const struct local_cancel *local = g_hash_table_lookup(broadcast->local_cancels, job.text);
     const struct remote_cancel *remote = g_hash_table_lookup(broadcast->remote_cancels, job.text);
-    if ((local && local->committed_at.value) || (remote && remote->committed_at.value))
+    if ((local && local->committed_revision.value) || (remote && remote->committed_revision.value))
         return CANCEL_COMMITTED;
     return local || remote ? CANCEL_POSSIBLE : CANCEL_NONE;
 }
 
-mono_time cancel_broadcast_confirmed_not_before(const struct cancel_broadcast *broadcast,
-                                                job_id job)
+mono_time cancel_broadcast_get_earliest_confirmation(const struct cancel_broadcast *broadcast,
+                                                     job_id job)
 {
     const struct local_cancel *local = g_hash_table_lookup(broadcast->local_cancels, job.text);
     const struct remote_cancel *remote = g_hash_table_lookup(broadcast->remote_cancels, job.text);
     if (!local && !remote)
         return loop_now(broadcast->loop);
     if (!local)
-        return remote->confirmed_not_before;
-    if (!remote || !time_before(remote->confirmed_not_before, local->known_since))
+        return remote->earliest_confirmation;
+    if (!remote || !time_before(remote->earliest_confirmation, local->known_since))
         return local->known_since;
-    return remote->confirmed_not_before;
+    return remote->earliest_confirmation;
 }
 
 struct cancel_broadcast *cancel_broadcast_new(struct loop *loop, struct node_rpc *rpc,
--- a/src/cluster/cancel_broadcast.h
+++ b/src/cluster/cancel_broadcast.h
@@ -46,45 +46,46 @@
                                                job_id job);
 
 /** The earliest time at which the job's cancellation can have been confirmed to a user. */
-mono_time cancel_broadcast_confirmed_not_before(const struct cancel_broadcast *broadcast,
-                                                job_id job);
+mono_time cancel_broadcast_get_earliest_confirmation(const struct cancel_broadcast *broadcast,
+                                                     job_id job);
 
 /* ---- cancellations of this node's users ---- */
 
 /** Notes that a transaction which cancels the job is being sent. */
-void cancel_broadcast_begin(struct cancel_broadcast *broadcast, job_id job);
+void cancel_broadcast_begin_txn(struct cancel_broadcast *broadcast, job_id job);
 
 /**
  * Notes the outcome of that transaction. If it is unknown the cancellation stays possible, as the
  * transaction may be committed later still. If it is committed it may be confirmed to the user:
  * this includes cancel_broadcast_confirm().
  */
-void cancel_broadcast_finish(struct cancel_broadcast *broadcast, job_id job,
-                             const struct txn_outcome *outcome);
+void cancel_broadcast_finish_txn(struct cancel_broadcast *broadcast, job_id job,
+                                 const struct txn_outcome *outcome);
 
 /** Notes that the cancellation, on record since that revision, is confirmed to a user. */
 void cancel_broadcast_confirm(struct cancel_broadcast *broadcast, job_id job,
-                              revision committed_at);
+                              revision committed_revision);
 
 /**
  * Announces a cancellation to the other nodes, before it is confirmed to the user. Calls `done`
  * once all of them know, so that none starts a task of the job any more, or after a short timeout.
  */
 void cancel_broadcast_announce(struct cancel_broadcast *broadcast, job_id job,
-                               revision committed_at, void (*done)(void *arg), void *arg);
+                               revision committed_revision, void (*callback)(void *arg),
+                               void *callback_arg);
 
 /* ---- exchange with other nodes, for the failure detector ---- */
 
 /** The newest revision of all cancellations that this node confirmed to users. */
-revision cancel_broadcast_get_newest(const struct cancel_broadcast *broadcast);
+revision cancel_broadcast_get_newest_revision(const struct cancel_broadcast *broadcast);
 
 /**
  * Appends (struct cancel_notice) what a node whose replica is at that revision may not know.
  * Returns whether that is everything: the number in one list is limited, and the oldest
  * cancellations are forgotten.
  */
-bool cancel_broadcast_collect(struct cancel_broadcast *broadcast, revision replica_revision,
-                              GArray *notices);
+bool cancel_broadcast_collect_notices(struct cancel_broadcast *broadcast, revision replica_revision,
+                                      GArray *notices);
 
 /** Takes a cancellation that another node has shared. */
 void cancel_broadcast_add_remote(struct cancel_broadcast *broadcast,
@@ -97,8 +98,8 @@
  * The time before which no node can have told a user of a cancellation that this node does not know
  * of, as all of them have shared theirs since; 0: unknown.
  */
-mono_time cancel_broadcast_known_until(const struct cancel_broadcast *broadcast);
-/** Sets the time that cancel_broadcast_known_until() returns. */
-void cancel_broadcast_set_known_until(struct cancel_broadcast *broadcast, mono_time until);
+mono_time cancel_broadcast_get_complete_until(const struct cancel_broadcast *broadcast);
+/** Sets the time that cancel_broadcast_get_complete_until() returns. */
+void cancel_broadcast_set_complete_until(struct cancel_broadcast *broadcast, mono_time until);
 
 #endif
--- a/src/cluster/failure_detector.c
+++ b/src/cluster/failure_detector.c
@@ -8,8 +8,8 @@
     /** Between two rounds of questions while the key-value store is unavailable. */
     POLL_INTERVAL_MS = 500,
     /** Between two looks at whether it is. */
-    IDLE_INTERVAL_MS = POLL_INTERVAL_MS / 2,
-    /** Added to the time that a node must have been up: see has_shared_since(). */
+    AVAILABILITY_CHECK_INTERVAL_MS = POLL_INTERVAL_MS / 2,
+    /** Added to the time that a node must have been up: see has_shared_all_cancels(). */
     UPTIME_MARGIN_MS = 1000,
 };
 
@@ -17,7 +17,7 @@
 struct peer_health {
     bool is_reachable;
     /** The key-value store serves it. */
-    bool is_served;
+    bool has_kv_access;
     /** It has shared every cancellation that this node's replica may not show. */
     bool has_shared_cancels;
     int64_t uptime_ms;
@@ -27,7 +27,7 @@
     struct failure_detector_setup setup;
     mono_time started_at;
     struct timer poll_timer;
-    mono_time asked_at;
+    mono_time round_started_at;
     guint responses_pending;
     /** Label -> struct peer_health. */
     GHashTable *health_by_label;
@@ -37,20 +37,20 @@
 
 static void on_poll_timer(void *arg);
 
-static int on_health_question(void *ctx, const char *from, const cJSON *message, cJSON **response)
+static int on_health_request(void *ctx, const char *from, const cJSON *message, cJSON **response)
 {
     (void)from;
     const struct failure_detector *detector = ctx;
     const struct failure_detector_setup *setup = &detector->setup;
-    struct peer_question question = peer_question_decode(message);
+    struct peer_request request = peer_request_decode(message);
     struct health_report report = {
-        .is_served = !kv_client_is_unavailable(setup->kv),
-        .question_number = question.number,
-        .newest_committed = cancel_broadcast_get_newest(setup->cancel_broadcast),
+        .has_kv_access = !kv_client_is_unavailable(setup->kv),
+        .request_number = request.number,
+        .newest_committed_revision = cancel_broadcast_get_newest_revision(setup->cancel_broadcast),
         .uptime_ms = time_ms_since(loop_now(setup->loop), detector->started_at),
         .cancels = g_array_new(FALSE, FALSE, sizeof(struct cancel_notice))};
-    report.has_all_cancels = cancel_broadcast_collect(setup->cancel_broadcast,
-                                                      question.replica_revision, report.cancels);
+    report.has_all_cancels = cancel_broadcast_collect_notices(
+        setup->cancel_broadcast, request.replica_revision, report.cancels);
     *response = health_report_encode(&report);
     health_report_clear(&report);
     return HTTP_STATUS_OK;
@@ -63,7 +63,7 @@
     detector->started_at = loop_now(setup->loop);
     detector->health_by_label = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     timer_init(&detector->poll_timer, on_poll_timer, detector);
-    node_rpc_register(setup->rpc, RPC_KIND_HEALTH, on_health_question, detector);
+    node_rpc_register(setup->rpc, RPC_KIND_HEALTH, on_health_request, detector);
     return detector;
 }
 
@@ -79,7 +79,7 @@
     timer_start(detector->setup.loop, &detector->poll_timer, POLL_INTERVAL_MS);
 }
 
-const char *failure_detector_find_served_node(const struct failure_detector *detector)
+const char *failure_detector_find_node_with_kv_access(const struct failure_detector *detector)
 {
     if (!kv_client_is_unavailable(detector->setup.kv))
         return NULL;
@@ -88,7 +88,7 @@
     struct peer_health *peer;
     g_hash_table_iter_init(&iter, detector->health_by_label);
     while (g_hash_table_iter_next(&iter, (gpointer *)&label, (gpointer *)&peer))
-        if (peer->is_reachable && peer->is_served)
+        if (peer->is_reachable && peer->has_kv_access)
             return label;
     return NULL;
 }
@@ -102,7 +102,7 @@
 {
     const struct peer_health *peer = g_hash_table_lookup(detector->health_by_label, label);
     return kv_client_is_unavailable(detector->setup.kv) && peer && !peer->is_reachable &&
-           !failure_detector_find_served_node(detector);
+           !failure_detector_find_node_with_kv_access(detector);
 }
 
 /**
@@ -110,10 +110,10 @@
  * user, or may have, since this node's replica was last fresh. A node that was restarted since then
  * does not know what its earlier process confirmed. Clocks may differ in rate by a thousandth.
  */
-static bool has_shared_since(const struct peer_health *peer, int64_t replica_age_ms)
+static bool has_shared_all_cancels(const struct peer_health *peer, int64_t replica_age_ms)
 {
     int64_t min_uptime_ms = replica_age_ms + replica_age_ms / 1000;
-    return peer->is_reachable && !peer->is_served && peer->has_shared_cancels &&
+    return peer->is_reachable && !peer->has_kv_access && peer->has_shared_cancels &&
            peer->uptime_ms > min_uptime_ms;
 }
 
@@ -127,27 +127,28 @@
     guint peer_count = setup->settings->siblings->len;
     int64_t replica_age_ms =
         time_ms_since(loop_now(setup->loop), setup->replica->fresh_at) + UPTIME_MARGIN_MS;
-    bool have_all_shared = g_hash_table_size(detector->health_by_label) == peer_count;
+    bool have_all_peers_shared = g_hash_table_size(detector->health_by_label) == peer_count;
     detector->is_isolated = peer_count > 0;
     GHashTableIter iter;
     struct peer_health *peer;
     g_hash_table_iter_init(&iter, detector->health_by_label);
     while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&peer)) {
-        have_all_shared = have_all_shared && has_shared_since(peer, replica_age_ms);
+        have_all_peers_shared =
+            have_all_peers_shared && has_shared_all_cancels(peer, replica_age_ms);
         detector->is_isolated = detector->is_isolated && !peer->is_reachable;
     }
-    if (have_all_shared)
-        cancel_broadcast_set_known_until(setup->cancel_broadcast, detector->asked_at);
+    if (have_all_peers_shared)
+        cancel_broadcast_set_complete_until(setup->cancel_broadcast, detector->round_started_at);
 }
 
 /**
  * Takes the cancellations of a report. Returns whether they were all that this node may lack. A
  * copy of an earlier response proves nothing about what was confirmed since, so it is ignored.
  */
-static bool take_shared_cancels(struct failure_detector *detector,
-                                const struct health_report *report, uint64_t question_number)
+static bool add_shared_cancels(struct failure_detector *detector,
+                               const struct health_report *report, uint64_t request_number)
 {
-    if (report->question_number != question_number)
+    if (report->request_number != request_number)
         return false;
     for (guint i = 0; i < report->cancels->len; i++)
         cancel_broadcast_add_remote(detector->setup.cancel_broadcast,
@@ -162,10 +163,9 @@
     struct health_report report;
     if (response->status == HTTP_STATUS_OK && health_report_decode(response->message, &report)) {
         peer->is_reachable = true;
-        peer->is_served = report.is_served;
+        peer->has_kv_access = report.has_kv_access;
         peer->uptime_ms = report.uptime_ms;
-        peer->has_shared_cancels =
-            take_shared_cancels(detector, &report, response->question_number);
+        peer->has_shared_cancels = add_shared_cancels(detector, &report, response->request_number);
         health_report_clear(&report);
     }
     g_hash_table_replace(detector->health_by_label, g_strdup(response->label), peer);
@@ -174,7 +174,7 @@
 }
 
 /** While the key-value store serves this node, what the others reported earlier means nothing. */
-static void forget_round(struct failure_detector *detector)
+static void discard_round(struct failure_detector *detector)
 {
     g_hash_table_remove_all(detector->health_by_label);
     detector->is_isolated = false;
@@ -187,15 +187,15 @@
     const struct failure_detector_setup *setup = &detector->setup;
     bool is_unavailable = kv_client_is_unavailable(setup->kv);
     timer_start(setup->loop, &detector->poll_timer,
-                is_unavailable ? POLL_INTERVAL_MS : IDLE_INTERVAL_MS);
-    lease_proxy_note_absent_nodes(setup->lease_proxy);
+                is_unavailable ? POLL_INTERVAL_MS : AVAILABILITY_CHECK_INTERVAL_MS);
+    lease_proxy_update_absent_nodes(setup->lease_proxy);
     if (!is_unavailable) {
-        forget_round(detector);
+        discard_round(detector);
         return;
     }
     if (detector->responses_pending)
         return;
-    detector->asked_at = loop_now(setup->loop);
+    detector->round_started_at = loop_now(setup->loop);
     detector->responses_pending =
-        peer_poll_ask_all(setup->poll, RPC_KIND_HEALTH, on_health_response, detector);
+        peer_poll_send_to_all(setup->poll, RPC_KIND_HEALTH, on_health_response, detector);
 }
--- a/src/cluster/failure_detector.h
+++ b/src/cluster/failure_detector.h
@@ -36,7 +36,7 @@
  * Returns the label of a node that the key-value store serves while it does not serve this one;
  * NULL if none is known, or if this node is served itself.
  */
-const char *failure_detector_find_served_node(const struct failure_detector *detector);
+const char *failure_detector_find_node_with_kv_access(const struct failure_detector *detector);
 
 /** Whether neither the key-value store nor any other node answers this one. */
 bool failure_detector_is_isolated(const struct failure_detector *detector);
--- a/src/cluster/leader_election.c
+++ b/src/cluster/leader_election.c
@@ -10,7 +10,7 @@
 #include "stored_fields.h"
 
 /** How much later each node becomes a candidate than the one before it, by label. */
-enum { STAGGER_MS = 30 };
+enum { CANDIDATE_STAGGER_MS = 30 };
 
 /** A node that is left out of the map. */
 struct node_exclusion {
@@ -24,7 +24,7 @@
     GArray *exclusions;
     bool is_leaderless;
     mono_time leaderless_since;
-    bool epoch_is_requested;
+    bool is_new_epoch_requested;
     bool write_in_flight;
 };
 
@@ -48,11 +48,11 @@
     g_free(election);
 }
 
-void leader_election_request_epoch(struct leader_election *election, const char *why)
+void leader_election_request_new_epoch(struct leader_election *election, const char *reason)
 {
-    if (!election->epoch_is_requested)
-        LOG_INFO("epoch_raise", "why=%s", why);
-    election->epoch_is_requested = true;
+    if (!election->is_new_epoch_requested)
+        LOG_INFO("epoch_raise", "why=%s", reason);
+    election->is_new_epoch_requested = true;
 }
 
 /* ---- exclusions ---- */
@@ -102,7 +102,7 @@
 }
 
 /** The next map: all live nodes that are not excluded, by label. */
-static json_object *encode_next_map(const struct leader_election *election)
+static json_object *encode_next_shard_map(const struct leader_election *election)
 {
     const struct replica *replica = election->setup.replica;
     json_object *map = json_object_new_object();
@@ -120,7 +120,7 @@
 }
 
 /** Whether the map does not name just the nodes that the next one would. */
-static bool map_is_stale(const struct leader_election *election)
+static bool is_shard_map_stale(const struct leader_election *election)
 {
     const struct replica *replica = election->setup.replica;
     guint expected_len = 0;
@@ -139,12 +139,12 @@
 
 /* ---- writing ---- */
 
-static void on_write_replicated(void *arg, bool ok)
+static void on_write_outcome_known(void *arg, bool ok)
 {
     struct leader_election *election = arg;
     (void)ok;
     election->write_in_flight = false;
-    election->setup.on_settled(election->setup.ctx);
+    election->setup.on_write_outcome_known(election->setup.ctx);
 }
 
 static void on_write_done(void *arg, const struct txn_outcome *outcome)
@@ -153,24 +153,25 @@
     if (outcome->status == TXN_LEASE_EXPIRED)
         election->setup.on_lease_refused(election->setup.ctx);
     if (outcome->status == TXN_COMMITTED)
-        election->epoch_is_requested = false;
-    replica_await_outcome(election->setup.replica, outcome, on_write_replicated, election);
+        election->is_new_epoch_requested = false;
+    replica_await_outcome(election->setup.replica, outcome, on_write_outcome_known, election);
 }
 
-static void write_map(struct leader_election *election, const struct candidate *self,
-                      bool is_election)
+static void write_shard_map(struct leader_election *election, const struct candidate *self,
+                            bool acquires_leadership)
 {
     const struct leader_election_setup *setup = &election->setup;
     const revision no_leader = {0};
     char *node_key = key_node(setup->label);
     struct txn *txn = txn_new();
     txn_compare(txn, node_key, self->mod_revision);
-    txn_compare(txn, KEY_LEADER, is_election ? no_leader : setup->replica->leader_mod_revision);
+    txn_compare(txn, KEY_LEADER,
+                acquires_leadership ? no_leader : setup->replica->leader_mod_revision);
     txn_compare(txn, KEY_MAP, setup->replica->shard_map_mod_revision);
-    if (is_election)
+    if (acquires_leadership)
         txn_put(txn, KEY_LEADER, encode_process(setup->label, self->incarnation),
                 self->incarnation);
-    txn_put(txn, KEY_MAP, encode_next_map(election), (lease_id){0});
+    txn_put(txn, KEY_MAP, encode_next_shard_map(election), (lease_id){0});
     election->write_in_flight = true;
     kv_client_commit(setup->kv, KV_LANE_LEASE, txn, on_write_done, election);
     g_free(node_key);
@@ -188,10 +189,10 @@
     g_hash_table_iter_init(&iter, election->setup.replica->nodes);
     while (g_hash_table_iter_next(&iter, (gpointer *)&label, NULL))
         nodes_ahead += strcmp(label, election->setup.label) < 0;
-    return (int64_t)nodes_ahead * STAGGER_MS;
+    return (int64_t)nodes_ahead * CANDIDATE_STAGGER_MS;
 }
 
-static bool election_is_due(struct leader_election *election)
+static bool is_election_due(struct leader_election *election)
 {
     mono_time now = loop_now(election->setup.loop);
     if (!election->is_leaderless) {
@@ -207,11 +208,11 @@
     if (election->write_in_flight)
         return;
     if (!election->setup.replica->leader_label) {
-        if (election_is_due(election))
-            write_map(election, self, true);
+        if (is_election_due(election))
+            write_shard_map(election, self, true);
         return;
     }
     election->is_leaderless = false;
-    if (self->is_leader && (election->epoch_is_requested || map_is_stale(election)))
-        write_map(election, self, false);
+    if (self->is_leader && (election->is_new_epoch_requested || is_shard_map_stale(election)))
+        write_shard_map(election, self, false);
 }
--- a/src/cluster/leader_election.h
+++ b/src/cluster/leader_election.h
@@ -25,7 +25,7 @@
     /** The key-value store refused a transaction because this process's lease has ended. */
     void (*on_lease_refused)(void *ctx);
     /** A transaction has been answered, and the replica shows what became of it if it is known. */
-    void (*on_settled)(void *ctx);
+    void (*on_write_outcome_known)(void *ctx);
 };
 
 /** This process as a candidate or as the leader. */
@@ -46,7 +46,7 @@
 void leader_election_step(struct leader_election *election, const struct candidate *self);
 
 /** Makes the leader write a map with a new epoch, also if its nodes are the same. */
-void leader_election_request_epoch(struct leader_election *election, const char *why);
+void leader_election_request_new_epoch(struct leader_election *election, const char *reason);
 
 /** Leaves a node out of the maps that this node writes for that time. */
 void leader_election_exclude_node(struct leader_election *election, const char *label,
--- a/src/cluster/lease_proxy.c
+++ b/src/cluster/lease_proxy.c
@@ -6,7 +6,7 @@
 
 enum {
     /** Between two rounds of questions to the other nodes. */
-    ASK_INTERVAL_MS = 1000,
+    PROXY_POLL_INTERVAL_MS = 1000,
     /** An older replica is no proof that a node is absent. */
     MAX_REPLICA_AGE_MS = 3000,
 };
@@ -17,9 +17,9 @@
 /** What is known of the renewals that another node may have made for machines of this node. */
 struct peer_renewals {
     /** When it was sent the question that it answered last; 0: it has answered none. */
-    mono_time asked_at;
+    mono_time answered_request_sent_at;
     /** It has renewed no lease for another node since then, by that answer. */
-    mono_time none_since;
+    mono_time no_renewals_since;
     /** Since when its key is gone; 0: the key is there, or that is unknown. */
     mono_time absent_since;
 };
@@ -34,12 +34,13 @@
     GHashTable *peers;
     guint responses_pending;
     /** When all of them were asked last. */
-    mono_time asked_at;
+    mono_time last_polled_at;
 };
 
 /* A process counts from its start at the latest, so the report holds for earlier processes of the
  * node as well. */
-static int on_proxy_question(void *ctx, const char *from, const cJSON *message, cJSON **response)
+static int on_proxy_report_request(void *ctx, const char *from, const cJSON *message,
+                                   cJSON **response)
 {
     (void)from;
     (void)message;
@@ -63,7 +64,7 @@
         g_hash_table_insert(proxy->peers,
                             g_strdup(g_array_index(settings->siblings, struct sibling, i).label),
                             g_new0(struct peer_renewals, 1));
-    node_rpc_register(rpc, RPC_KIND_PROXY_REPORT, on_proxy_question, proxy);
+    node_rpc_register(rpc, RPC_KIND_PROXY_REPORT, on_proxy_report_request, proxy);
     return proxy;
 }
 
@@ -73,7 +74,7 @@
     g_free(proxy);
 }
 
-void lease_proxy_note_renewal(struct lease_proxy *proxy)
+void lease_proxy_record_renewal(struct lease_proxy *proxy)
 {
     proxy->last_renewal_at = loop_now(proxy->loop);
 }
@@ -85,25 +86,25 @@
     struct proxy_report report;
     if (response->status == HTTP_STATUS_OK && proxy_report_decode(response->message, &report)) {
         int64_t age_ms = (int64_t)(report.last_renewal_age_ms * CLOCK_RATE_MARGIN);
-        peer->asked_at = response->asked_at;
-        peer->none_since = time_add_ms(loop_now(proxy->loop), -age_ms);
+        peer->answered_request_sent_at = response->request_sent_at;
+        peer->no_renewals_since = time_add_ms(loop_now(proxy->loop), -age_ms);
     }
     proxy->responses_pending--;
 }
 
-static void ask_peers(struct lease_proxy *proxy)
+static void poll_peers(struct lease_proxy *proxy)
 {
     mono_time now = loop_now(proxy->loop);
-    bool was_asked_lately =
-        proxy->asked_at.us && time_ms_since(now, proxy->asked_at) < ASK_INTERVAL_MS;
-    if (proxy->responses_pending || was_asked_lately)
+    bool was_polled_recently = proxy->last_polled_at.us &&
+                               time_ms_since(now, proxy->last_polled_at) < PROXY_POLL_INTERVAL_MS;
+    if (proxy->responses_pending || was_polled_recently)
         return;
-    proxy->asked_at = now;
+    proxy->last_polled_at = now;
     proxy->responses_pending =
-        peer_poll_ask_all(proxy->poll, RPC_KIND_PROXY_REPORT, on_proxy_response, proxy);
+        peer_poll_send_to_all(proxy->poll, RPC_KIND_PROXY_REPORT, on_proxy_response, proxy);
 }
 
-void lease_proxy_note_absent_nodes(struct lease_proxy *proxy)
+void lease_proxy_update_absent_nodes(struct lease_proxy *proxy)
 {
     mono_time now = loop_now(proxy->loop);
     bool is_fresh = proxy->replica->is_ready &&
@@ -124,9 +125,11 @@
 static bool answered_after_expiry(const struct peer_renewals *peer, mono_time last_own_renewal,
                                   int64_t lease_ms)
 {
-    mono_time last_renewal =
-        time_before(last_own_renewal, peer->none_since) ? peer->none_since : last_own_renewal;
-    return peer->asked_at.us && time_ms_since(peer->asked_at, last_renewal) > lease_ms;
+    mono_time last_renewal = time_before(last_own_renewal, peer->no_renewals_since)
+                                 ? peer->no_renewals_since
+                                 : last_own_renewal;
+    return peer->answered_request_sent_at.us &&
+           time_ms_since(peer->answered_request_sent_at, last_renewal) > lease_ms;
 }
 
 /**
@@ -141,10 +144,10 @@
            time_ms_since(proxy->replica->fresh_at, peer->absent_since) > expiry_ms;
 }
 
-bool lease_proxy_leases_expired(struct lease_proxy *proxy, mono_time last_own_renewal,
-                                int64_t lease_ms, int64_t max_proxy_ms)
+bool lease_proxy_have_renewals_expired(struct lease_proxy *proxy, mono_time last_own_renewal,
+                                       int64_t lease_ms, int64_t max_proxy_ms)
 {
-    lease_proxy_note_absent_nodes(proxy);
+    lease_proxy_update_absent_nodes(proxy);
     bool have_expired = true;
     GHashTableIter iter;
     struct peer_renewals *peer;
@@ -153,6 +156,6 @@
         have_expired = answered_after_expiry(peer, last_own_renewal, lease_ms) ||
                        absent_past_expiry(proxy, peer, max_proxy_ms + lease_ms);
     if (!have_expired)
-        ask_peers(proxy);
+        poll_peers(proxy);
     return have_expired;
 }
--- a/src/cluster/lease_proxy.h
+++ b/src/cluster/lease_proxy.h
@@ -23,7 +23,7 @@
 void lease_proxy_free(struct lease_proxy *proxy);
 
 /** Notes that this node has renewed the lease of a machine that another node owns. */
-void lease_proxy_note_renewal(struct lease_proxy *proxy);
+void lease_proxy_record_renewal(struct lease_proxy *proxy);
 
 /**
  * Whether every renewal that another node may have made for a machine of this node has expired.
@@ -34,10 +34,10 @@
  * @param lease_ms          how long a renewal lasts, with a margin for clocks
  * @param max_proxy_ms      how long a node may go on renewing after its own key is gone
  */
-bool lease_proxy_leases_expired(struct lease_proxy *proxy, mono_time last_own_renewal,
-                                int64_t lease_ms, int64_t max_proxy_ms);
+bool lease_proxy_have_renewals_expired(struct lease_proxy *proxy, mono_time last_own_renewal,
+                                       int64_t lease_ms, int64_t max_proxy_ms);
 
 /** Notes which nodes are absent by now; to be called several times a second. */
-void lease_proxy_note_absent_nodes(struct lease_proxy *proxy);
+void lease_proxy_update_absent_nodes(struct lease_proxy *proxy);
 
 #endif
--- a/src/cluster/membership.c
+++ b/src/cluster/membership.c
@@ -87,14 +87,14 @@
                                                                   .ctx = membership,
                                                                   .on_lost = on_lease_lost,
                                                                   .on_change = on_state_change});
-    membership->election =
-        leader_election_new(&(struct leader_election_setup){.loop = loop,
-                                                            .kv = kv,
-                                                            .replica = replica,
-                                                            .label = settings->label,
-                                                            .ctx = membership,
-                                                            .on_lease_refused = on_lease_refused,
-                                                            .on_settled = on_state_change});
+    membership->election = leader_election_new(
+        &(struct leader_election_setup){.loop = loop,
+                                        .kv = kv,
+                                        .replica = replica,
+                                        .label = settings->label,
+                                        .ctx = membership,
+                                        .on_lease_refused = on_lease_refused,
+                                        .on_write_outcome_known = on_state_change});
     timer_init(&membership->tick_timer, on_tick, membership);
     replica_add_listener(replica, &membership->actor);
     return membership;
@@ -159,12 +159,12 @@
 
 bool membership_all_nodes_support(struct membership *membership, enum node_version version)
 {
-    return version_support_by_all_nodes(&membership->version_support, version);
+    return version_support_check_all_nodes(&membership->version_support, version);
 }
 
-void membership_raise_epoch(struct membership *membership, const char *why)
+void membership_raise_epoch(struct membership *membership, const char *reason)
 {
-    leader_election_request_epoch(membership->election, why);
+    leader_election_request_new_epoch(membership->election, reason);
     reconcile(membership);
 }
 
@@ -176,7 +176,7 @@
 
 /* ---- joining ---- */
 
-static void on_join_replicated(void *arg, bool ok)
+static void on_join_outcome_known(void *arg, bool ok)
 {
     struct membership *membership = arg;
     const struct node_record *node = get_own_record(membership);
@@ -195,7 +195,7 @@
     struct membership *membership = arg;
     if (outcome->status == TXN_LEASE_EXPIRED)
         node_lease_drop(membership->lease, LEASE_REFUSED);
-    replica_await_outcome(membership->replica, outcome, on_join_replicated, membership);
+    replica_await_outcome(membership->replica, outcome, on_join_outcome_known, membership);
 }
 
 static json_object *encode_node_record(const struct membership *membership)
@@ -290,7 +290,7 @@
     }
     if (!membership_is_visible(membership)) {
         /* Another process has taken this label, or the lease ended unnoticed. */
-        node_lease_drop(membership->lease, LEASE_KEY_GONE);
+        node_lease_drop(membership->lease, LEASE_KEY_LOST);
         return;
     }
     const struct candidate self = {.incarnation = incarnation,
--- a/src/cluster/membership.h
+++ b/src/cluster/membership.h
@@ -51,7 +51,7 @@
 bool membership_all_nodes_support(struct membership *membership, enum node_version version);
 
 /** Makes this node, if it leads, start a new epoch; what was dispatched in the old one is void. */
-void membership_raise_epoch(struct membership *membership, const char *why);
+void membership_raise_epoch(struct membership *membership, const char *reason);
 
 /** Makes this node, if it leads, leave a node out of the shard map for that time. */
 void membership_exclude_node(struct membership *membership, const char *label, int64_t duration_ms);
--- a/src/cluster/node_lease.c
+++ b/src/cluster/node_lease.c
@@ -8,14 +8,14 @@
 #include "log.h"
 
 enum {
-    TTL_MS = 4000,
+    LEASE_TTL_MS = 4000,
     RENEW_INTERVAL_MS = 1000,
     /** After a renewal that was not answered. */
-    RENEW_RETRY_MS = 300,
-    REQUEST_TIMEOUT_MS = 1500,
+    RENEW_RETRY_DELAY_MS = 300,
+    GRANT_TIMEOUT_MS = 1500,
     RENEW_TIMEOUT_MS = 1000,
     /** This node's clock may be slower than the store's by a thousandth. */
-    CLOCK_MARGIN_MS = TTL_MS / 1000 + 1,
+    CLOCK_MARGIN_MS = LEASE_TTL_MS / 1000 + 1,
 };
 
 struct node_lease {
@@ -56,25 +56,25 @@
 }
 
 /** The word for a reason in the log. */
-static const char *loss_text(enum lease_loss reason)
+static const char *lease_loss_name(enum lease_loss_reason reason)
 {
     switch (reason) {
-    case LEASE_ENDED:
+    case LEASE_EXPIRED:
         return "ended";
     case LEASE_REFUSED:
         return "refused";
-    case LEASE_KEY_GONE:
+    case LEASE_KEY_LOST:
         return "key gone";
     }
     return "unknown";
 }
 
-void node_lease_drop(struct node_lease *lease, enum lease_loss reason)
+void node_lease_drop(struct node_lease *lease, enum lease_loss_reason reason)
 {
     if (!lease->id.value)
         return;
     LOG_INFO("lease_lost", "lease=%" G_GUINT64_FORMAT " why=%s", lease->id.value,
-             loss_text(reason));
+             lease_loss_name(reason));
     lease->id.value = 0;
     lease->valid_until = (mono_time){0};
     timer_stop(lease->setup.loop, &lease->renew_timer);
@@ -84,10 +84,10 @@
 /** The store counts from when it got the request, which is no earlier than when it was sent. */
 static void extend_validity(struct node_lease *lease)
 {
-    lease->valid_until = time_add_ms(lease->request_sent_at, TTL_MS - CLOCK_MARGIN_MS);
+    lease->valid_until = time_add_ms(lease->request_sent_at, LEASE_TTL_MS - CLOCK_MARGIN_MS);
 }
 
-static void note_request_sent(struct node_lease *lease)
+static void mark_request_sent(struct node_lease *lease)
 {
     lease->request_in_flight = true;
     lease->request_sent_at = loop_now(lease->setup.loop);
@@ -110,8 +110,8 @@
 {
     if (lease->request_in_flight || lease->id.value)
         return;
-    note_request_sent(lease);
-    kv_client_grant_lease(lease->setup.kv, TTL_MS, REQUEST_TIMEOUT_MS, on_granted, lease);
+    mark_request_sent(lease);
+    kv_client_grant_lease(lease->setup.kv, LEASE_TTL_MS, GRANT_TIMEOUT_MS, on_granted, lease);
 }
 
 static void on_renewed(void *arg, const struct http_response *response)
@@ -121,7 +121,7 @@
     if (!lease->id.value)
         return;
     if (response->status == HTTP_STATUS_NOT_FOUND) {
-        node_lease_drop(lease, LEASE_ENDED);
+        node_lease_drop(lease, LEASE_EXPIRED);
         lease->setup.on_change(lease->setup.ctx);
         return;
     }
@@ -129,7 +129,7 @@
     if (is_renewed)
         extend_validity(lease);
     timer_start(lease->setup.loop, &lease->renew_timer,
-                is_renewed ? RENEW_INTERVAL_MS : RENEW_RETRY_MS);
+                is_renewed ? RENEW_INTERVAL_MS : RENEW_RETRY_DELAY_MS);
 }
 
 static void on_renew_timer(void *arg)
@@ -137,6 +137,6 @@
     struct node_lease *lease = arg;
     if (lease->request_in_flight || !lease->id.value)
         return;
-    note_request_sent(lease);
+    mark_request_sent(lease);
     kv_client_renew_lease(lease->setup.kv, lease->id, RENEW_TIMEOUT_MS, on_renewed, lease);
 }
--- a/src/cluster/node_lease.h
+++ b/src/cluster/node_lease.h
@@ -13,13 +13,13 @@
 struct node_lease;
 
 /** Why a lease is given up. */
-enum lease_loss {
+enum lease_loss_reason {
     /** It has ended, by the key-value store's response to a renewal. */
-    LEASE_ENDED,
+    LEASE_EXPIRED,
     /** The key-value store refused a transaction that names it. */
     LEASE_REFUSED,
     /** The node's key is gone, or another process has written it. */
-    LEASE_KEY_GONE,
+    LEASE_KEY_LOST,
 };
 
 /** What the lease works with; all of it outlives the lease. */
@@ -43,7 +43,7 @@
 void node_lease_request(struct node_lease *lease);
 
 /** Gives the lease up, and calls on_lost; does nothing without a lease. */
-void node_lease_drop(struct node_lease *lease, enum lease_loss reason);
+void node_lease_drop(struct node_lease *lease, enum lease_loss_reason reason);
 
 /** 0: there is none. */
 lease_id node_lease_get_id(const struct node_lease *lease);
--- a/src/cluster/peer_messages.h
+++ b/src/cluster/peer_messages.h
@@ -21,7 +21,7 @@
 #define RPC_KIND_CANCELLED "cancelled"
 
 /** A question to another node. */
-struct peer_question {
+struct peer_request {
     /** Never 0. A response repeats it, so that a late copy answers no later question. */
     uint64_t number;
     /** Up to which revision the asking node's replica holds every change. */
@@ -32,17 +32,17 @@
 struct cancel_notice {
     job_id job;
     /** The revision that cancelled the job; 0: a transaction that may still commit would. */
-    revision committed_at;
+    revision committed_revision;
 };
 
 /** The response to RPC_KIND_HEALTH. */
 struct health_report {
     /** Whether the key-value store serves the responding node. */
-    bool is_served;
+    bool has_kv_access;
     /** Of the question; 0: the response names none. */
-    uint64_t question_number;
+    uint64_t request_number;
     /** The newest cancellation that the node confirmed to a user; read by earlier versions only. */
-    revision newest_committed;
+    revision newest_committed_revision;
     /** Time since the node's process started. */
     int64_t uptime_ms;
     /** struct cancel_notice: cancellations which the asking node's replica may not hold. */
@@ -58,9 +58,9 @@
 };
 
 /** Returns a new message. */
-cJSON *peer_question_encode(const struct peer_question *question);
+cJSON *peer_request_encode(const struct peer_request *request);
 /** Fields that an earlier version does not send are zero. */
-struct peer_question peer_question_decode(const cJSON *message);
+struct peer_request peer_request_decode(const cJSON *message);
 
 /** Returns a new message. */
 cJSON *cancel_notice_encode(const struct cancel_notice *notice);
--- a/src/cluster/peer_poll.c
+++ b/src/cluster/peer_poll.c
@@ -13,13 +13,13 @@
     const struct replica *replica;
     const struct settings *settings;
     /** The number of the latest question. */
-    uint64_t question_count;
+    uint64_t request_count;
 };
 
 /** A question under way to one node. */
-struct pending_question {
+struct pending_peer_request {
     char *label;
-    mono_time asked_at;
+    mono_time sent_at;
     uint64_t number;
     peer_response_callback callback;
     void *ctx;
@@ -43,10 +43,10 @@
 
 static void on_response(void *arg, int status, const cJSON *message)
 {
-    struct pending_question *pending = arg;
+    struct pending_peer_request *pending = arg;
     const struct peer_response response = {.label = pending->label,
-                                           .asked_at = pending->asked_at,
-                                           .question_number = pending->number,
+                                           .request_sent_at = pending->sent_at,
+                                           .request_number = pending->number,
                                            .status = status,
                                            .message = message};
     pending->callback(pending->ctx, &response);
@@ -54,26 +54,26 @@
     g_free(pending);
 }
 
-static void ask_one(struct peer_poll *poll, const char *label, const char *kind,
-                    peer_response_callback callback, void *ctx)
+static void send_to_one(struct peer_poll *poll, const char *label, const char *kind,
+                        peer_response_callback callback, void *ctx)
 {
-    struct pending_question *pending = g_new(struct pending_question, 1);
-    *pending = (struct pending_question){.label = g_strdup(label),
-                                         .asked_at = loop_now(poll->loop),
-                                         .number = ++poll->question_count,
-                                         .callback = callback,
-                                         .ctx = ctx};
-    const struct peer_question question = {.number = pending->number,
-                                           .replica_revision = poll->replica->applied_revision};
-    node_rpc_call(poll->rpc, label, kind, peer_question_encode(&question), RESPONSE_TIMEOUT_MS,
+    struct pending_peer_request *pending = g_new(struct pending_peer_request, 1);
+    *pending = (struct pending_peer_request){.label = g_strdup(label),
+                                             .sent_at = loop_now(poll->loop),
+                                             .number = ++poll->request_count,
+                                             .callback = callback,
+                                             .ctx = ctx};
+    const struct peer_request request = {.number = pending->number,
+                                         .replica_revision = poll->replica->applied_revision};
+    node_rpc_call(poll->rpc, label, kind, peer_request_encode(&request), RESPONSE_TIMEOUT_MS,
                   on_response, pending);
 }
 
-guint peer_poll_ask_all(struct peer_poll *poll, const char *kind, peer_response_callback callback,
-                        void *ctx)
+guint peer_poll_send_to_all(struct peer_poll *poll, const char *kind,
+                            peer_response_callback callback, void *ctx)
 {
     const GArray *siblings = poll->settings->siblings;
     for (guint i = 0; i < siblings->len; i++)
-        ask_one(poll, g_array_index(siblings, struct sibling, i).label, kind, callback, ctx);
+        send_to_one(poll, g_array_index(siblings, struct sibling, i).label, kind, callback, ctx);
     return siblings->len;
 }
--- a/src/cluster/peer_poll.h
+++ b/src/cluster/peer_poll.h
@@ -21,8 +21,8 @@
     /** Of the responding node. */
     const char *label;
     /** When the question was sent. */
-    mono_time asked_at;
-    uint64_t question_number;
+    mono_time request_sent_at;
+    uint64_t request_number;
     /** As in node_rpc_callback: 200, or why there is no response. */
     int status;
     /** May be NULL, whatever the status. */
@@ -39,7 +39,7 @@
 void peer_poll_free(struct peer_poll *poll);
 
 /** Asks all other nodes. Returns how many they are: `callback` is called as many times. */
-guint peer_poll_ask_all(struct peer_poll *poll, const char *kind, peer_response_callback callback,
-                        void *ctx);
+guint peer_poll_send_to_all(struct peer_poll *poll, const char *kind,
+                            peer_response_callback callback, void *ctx);
 
 #endif
--- a/src/cluster/shard_map.c
+++ b/src/cluster/shard_map.c
@@ -12,10 +12,10 @@
 static const uint64_t PART_SEPARATOR = 0x9e3779b97f4a7c15ULL;
 
 /** FNV-1a, continued from `hash`. */
-static uint64_t hash_text(uint64_t hash, const char *text)
+static uint64_t hash_string(uint64_t hash, const char *string)
 {
-    for (; *text; text++)
-        hash = (hash ^ (uint8_t)*text) * FNV_PRIME;
+    for (; *string; string++)
+        hash = (hash ^ (uint8_t)*string) * FNV_PRIME;
     return hash;
 }
 
@@ -33,8 +33,8 @@
 /** All nodes must compute the same weights, so that they agree on a machine's owner. */
 static uint64_t rendezvous_weight(const char *label, const char *machine)
 {
-    uint64_t machine_hash = hash_text(FNV_OFFSET_BASIS, machine);
-    return mix_bits(hash_text(machine_hash ^ PART_SEPARATOR, label));
+    uint64_t machine_hash = hash_string(FNV_OFFSET_BASIS, machine);
+    return mix_bits(hash_string(machine_hash ^ PART_SEPARATOR, label));
 }
 
 const char *shard_map_get_owner(const struct replica *replica, const char *machine)
--- a/src/cluster/version_support.c
+++ b/src/cluster/version_support.c
@@ -28,11 +28,12 @@
     return true;
 }
 
-bool version_support_by_all_nodes(struct version_support *support, enum node_version version)
+bool version_support_check_all_nodes(struct version_support *support, enum node_version version)
 {
     struct version_support_entry *entry = &support->entries[version];
-    uint64_t now = support->replica->node_change_count + 1;
-    if (entry->computed_at != now)
-        *entry = (struct version_support_entry){now, all_nodes_support(support, version)};
+    uint64_t current_change = support->replica->node_change_count + 1;
+    if (entry->computed_at_change != current_change)
+        *entry =
+            (struct version_support_entry){current_change, all_nodes_support(support, version)};
     return entry->is_supported;
 }
--- a/src/cluster/version_support.h
+++ b/src/cluster/version_support.h
@@ -11,7 +11,7 @@
 /** A cached answer for one version. */
 struct version_support_entry {
     /** The replica's count of node changes, plus one, at which it was computed; 0: never. */
-    uint64_t computed_at;
+    uint64_t computed_at_change;
     bool is_supported;
 };
 
@@ -26,6 +26,6 @@
 guint version_support_get_announced(const struct replica *replica, const char *label);
 
 /** As membership_all_nodes_support(). */
-bool version_support_by_all_nodes(struct version_support *support, enum node_version version);
+bool version_support_check_all_nodes(struct version_support *support, enum node_version version);
 
 #endif
--- a/src/node/role_assigner.c
+++ b/src/node/role_assigner.c
@@ -28,7 +28,7 @@
 }
 
 static void await_replica_revision(void *ctx, revision revision_needed,
-                                   role_await_callback callback, void *arg)
+                                   role_revision_callback callback, void *arg)
 {
     struct role_assigner *assigner = ctx;
     replica_await_revision_or_newest(assigner->replica, revision_needed, callback, arg);
--- a/src/shard/agent_session.c
+++ b/src/shard/agent_session.c
@@ -102,7 +102,7 @@
         return;
     }
     GArray *commands = shard_collect_stop_commands(shard, request->heartbeat);
-    lease_proxy_note_renewal(shard->lease_proxy);
+    lease_proxy_record_renewal(shard->lease_proxy);
     respond_commands(request, commands);
 }
 
--- a/src/shard/lease_renewal.c
+++ b/src/shard/lease_renewal.c
@@ -24,7 +24,7 @@
 bool shard_may_renew_leases(struct shard *shard)
 {
     mono_time known_until = shard->replica->fresh_at;
-    mono_time told_until = cancel_broadcast_known_until(shard->cancel_broadcast);
+    mono_time told_until = cancel_broadcast_get_complete_until(shard->cancel_broadcast);
     if (time_before(known_until, told_until))
         known_until = told_until;
     return time_ms_since(loop_now(shard->loop), known_until) < shard_max_renewal_ms(shard);
--- a/src/shard/task_end.c
+++ b/src/shard/task_end.c
@@ -99,15 +99,15 @@
         int64_t cancel_ms =
             (int64_t)(settings->cancel_timeout_s * DRIFTED_MS_PER_S) + CANCEL_MARGIN_MS;
         return time_ms_since(now, lease->owned_at) > cancel_ms &&
-               lease_proxy_leases_expired(shard->lease_proxy, lease->owned_at, lease_ms,
-                                          max_renewal_ms);
+               lease_proxy_have_renewals_expired(shard->lease_proxy, lease->owned_at, lease_ms,
+                                                 max_renewal_ms);
     }
     mono_time last_renewal_at = time_before(lease->last_answered_at, lease->token_seen_at)
                                     ? lease->token_seen_at
                                     : lease->last_answered_at;
     return time_ms_since(now, last_renewal_at) > lease_ms &&
-           lease_proxy_leases_expired(shard->lease_proxy, last_renewal_at, lease_ms,
-                                      max_renewal_ms);
+           lease_proxy_have_renewals_expired(shard->lease_proxy, last_renewal_at, lease_ms,
+                                             max_renewal_ms);
 }
 
 /** Adds an event about a task to the next status, unless there are too many.
--- a/src/shard/task_runs.c
+++ b/src/shard/task_runs.c
@@ -89,7 +89,7 @@
         return;
     run->stop.job_over_since =
         cancel_broadcast_get_status(shard->cancel_broadcast, run->job) != CANCEL_NONE
-            ? cancel_broadcast_confirmed_not_before(shard->cancel_broadcast, run->job)
+            ? cancel_broadcast_get_earliest_confirmation(shard->cancel_broadcast, run->job)
             : shard->replica->previous_fresh_at;
     if (!run->stop.job_over_since.us)
         run->stop.job_over_since = loop_now(shard->loop);
--- a/src/singleton/intent_log.c
+++ b/src/singleton/intent_log.c
@@ -110,7 +110,7 @@
     intent_log_schedule_flush(log, SETTLE_FLUSH_DELAY_MS);
 }
 
-GPtrArray *intent_log_list_open(const struct intent_log *log)
+GPtrArray *intent_log_list_unsettled(const struct intent_log *log)
 {
     GPtrArray *intents = g_ptr_array_new();
     GHashTableIter iter;
--- a/src/singleton/intent_log.h
+++ b/src/singleton/intent_log.h
@@ -39,7 +39,7 @@
     /** The revision of the guard key in the replica. */
     revision (*get_guard_revision)(void *ctx);
     /** As in struct role_manager_config. */
-    void (*await_revision)(void *ctx, revision revision_needed, role_await_callback callback,
+    void (*await_revision)(void *ctx, revision revision_needed, role_revision_callback callback,
                            void *arg);
     /** A transaction with that number of writes is being sent. */
     void (*on_write)(void *ctx, guint write_count);
@@ -76,7 +76,7 @@
  * Returns a new array of all intents that are not settled, recorded or not (const struct intent *,
  * valid until the log changes), in no order.
  */
-GPtrArray *intent_log_list_open(const struct intent_log *log);
+GPtrArray *intent_log_list_unsettled(const struct intent_log *log);
 
 /** Whether the log is open, holds nothing, and no transaction is under way. */
 bool intent_log_is_empty(const struct intent_log *log);
--- a/src/singleton/intent_log_internal.h
+++ b/src/singleton/intent_log_internal.h
@@ -88,7 +88,7 @@
 void intent_log_read_pages(struct intent_log *log);
 
 /** Chooses pages for the entries that have none. */
-void intent_log_place_entries(struct intent_log *log);
+void intent_log_assign_pages(struct intent_log *log);
 
 /** Whether any page is to be written. */
 bool intent_log_has_dirty_page(const struct intent_log *log);
--- a/src/singleton/intent_log_pages.c
+++ b/src/singleton/intent_log_pages.c
@@ -14,20 +14,20 @@
 /* ---- sizes ---- */
 
 /** What a string takes in JSON with its quotes; some characters are escaped. */
-static gsize json_text_size_bytes(const char *text)
+static gsize json_string_size_bytes(const char *string)
 {
     gsize size_bytes = 2;
-    for (; *text; text++)
-        size_bytes += strchr("/\"\\", *text) ? 2 : 1;
+    for (; *string; string++)
+        size_bytes += strchr("/\"\\", *string) ? 2 : 1;
     return size_bytes;
 }
 
 gsize intent_log_entry_size_bytes(const struct intent *intent)
 {
-    gsize size_bytes = json_text_size_bytes(intent->name) + 1;
+    gsize size_bytes = json_string_size_bytes(intent->name) + 1;
     if (intent->kind == INTENT_SCALE_OUT)
-        size_bytes += json_text_size_bytes(intent->type_name) + json_text_size_bytes(intent->zone) +
-                      SCALE_OUT_OVERHEAD_BYTES;
+        size_bytes += json_string_size_bytes(intent->type_name) +
+                      json_string_size_bytes(intent->zone) + SCALE_OUT_OVERHEAD_BYTES;
     return size_bytes;
 }
 
@@ -44,7 +44,7 @@
  * Forgets the placement of all entries. What the replica does not show on a page then counts
  * as not recorded: either it was settled and its removal was committed, or adding it was not.
  */
-static void reset_placement(struct intent_log *log)
+static void reset_page_assignments(struct intent_log *log)
 {
     GHashTableIter iter;
     struct intent_entry *entry;
@@ -86,7 +86,7 @@
 
 void intent_log_read_pages(struct intent_log *log)
 {
-    reset_placement(log);
+    reset_page_assignments(log);
     GPtrArray *pages = role_records_list_pages(log->config.records, log->config.role);
     for (guint i = 0; i < pages->len; i++)
         read_page(log, pages->pdata[i]);
@@ -124,7 +124,7 @@
     return page_count;
 }
 
-void intent_log_place_entries(struct intent_log *log)
+void intent_log_assign_pages(struct intent_log *log)
 {
     GHashTableIter iter;
     struct intent_entry *entry;
--- a/src/singleton/intent_log_writer.c
+++ b/src/singleton/intent_log_writer.c
@@ -100,7 +100,7 @@
     }
 }
 
-static void on_rejected(struct intent_log *log)
+static void on_txn_rejected(struct intent_log *log)
 {
     GHashTableIter iter;
     struct intent_entry *entry;
@@ -152,7 +152,7 @@
         mark_entries_written(log);
         finish_write(log);
     } else if (outcome->status == TXN_REJECTED) {
-        on_rejected(log);
+        on_txn_rejected(log);
     } else {
         bool is_conflict = outcome->status == TXN_CONFLICT;
         log->reread_revision = is_conflict ? outcome->at_revision : (revision){0};
@@ -166,7 +166,7 @@
  * Drops entries that were settled before they were written, and those that depend on another
  * revision of the guard key. Returns whether there were any.
  */
-static bool drop_void_entries(struct intent_log *log, revision guard_revision)
+static bool drop_obsolete_entries(struct intent_log *log, revision guard_revision)
 {
     bool any_dropped = false;
     GHashTableIter iter;
@@ -207,7 +207,7 @@
  * earlier transaction of unknown outcome, which created the page, could find it absent again, be
  * committed late, and bring settled intents back.
  */
-static void add_page(struct intent_log *log, struct txn *txn, int page_number)
+static void add_page_write(struct intent_log *log, struct txn *txn, int page_number)
 {
     struct intent_log_page *page = intent_log_get_page(log, page_number);
     fencing_token token = role_manager_get_token(log->config.role_manager, log->config.role);
@@ -231,7 +231,7 @@
             return;
         if (!intent_log_get_page(log, (int)i)->is_dirty)
             continue;
-        add_page(log, txn, (int)i);
+        add_page_write(log, txn, (int)i);
         page_count++;
     }
 }
@@ -263,8 +263,8 @@
         return;
     }
     revision guard_revision = log->config.get_guard_revision(log->config.ctx);
-    bool any_dropped = drop_void_entries(log, guard_revision);
-    intent_log_place_entries(log);
+    bool any_dropped = drop_obsolete_entries(log, guard_revision);
+    intent_log_assign_pages(log);
     if (intent_log_has_dirty_page(log))
         write_dirty_pages(log, guard_revision);
     if (any_dropped)
--- a/src/singleton/role_codec.c
+++ b/src/singleton/role_codec.c
@@ -122,7 +122,7 @@
 }
 
 /** Returns false if the item is no string, or too long. */
-static bool copy_text(json_object *item, char *out, size_t size)
+static bool copy_json_string(json_object *item, char *out, size_t size)
 {
     return json_object_is_type(item, json_type_string) &&
            g_strlcpy(out, json_object_get_string(item), size) < size;
@@ -131,7 +131,7 @@
 static bool decode_scale_in(json_object *item, struct intent *intent)
 {
     intent->kind = INTENT_SCALE_IN;
-    return copy_text(item, intent->name, sizeof intent->name);
+    return copy_json_string(item, intent->name, sizeof intent->name);
 }
 
 static bool decode_scale_out(json_object *elements, struct intent *intent)
@@ -147,9 +147,9 @@
     intent->kind = INTENT_SCALE_OUT;
     intent->is_spot = json_object_get_boolean(is_spot);
     intent->machine_count = json_object_get_int(machine_count);
-    return copy_text(request_id, intent->name, sizeof intent->name) &&
-           copy_text(type_name, intent->type_name, sizeof intent->type_name) &&
-           copy_text(zone, intent->zone, sizeof intent->zone) &&
+    return copy_json_string(request_id, intent->name, sizeof intent->name) &&
+           copy_json_string(type_name, intent->type_name, sizeof intent->type_name) &&
+           copy_json_string(zone, intent->zone, sizeof intent->zone) &&
            json_object_is_type(is_spot, json_type_boolean) &&
            json_object_is_type(machine_count, json_type_int) && intent->machine_count > 0;
 }
--- a/src/singleton/role_manager.c
+++ b/src/singleton/role_manager.c
@@ -25,15 +25,15 @@
     enum singleton_role role;
     enum role_phase phase;
     /** It is to be claimed, and kept. */
-    bool is_wanted;
+    bool should_hold;
     /** Set while the phase is ROLE_HELD or ROLE_RELEASING. */
     fencing_token token;
     /** The role is not claimed again before then. */
     mono_time next_claim_at;
     /** The replica shows there what became of the latest transaction; 0: at the newest revision. */
-    revision settle_revision;
+    revision outcome_revision;
     /** The replica was not there in time, and is to be awaited again. */
-    bool settle_timed_out;
+    bool outcome_timed_out;
 };
 
 struct role_manager {
@@ -44,14 +44,14 @@
     struct timer retry_timer;
 };
 
-static void await_settled(struct role_state *state);
+static void await_outcome(struct role_state *state);
 
 static void on_retry_timer(void *arg)
 {
     struct role_manager *manager = arg;
     for (int i = 0; i < ROLE_COUNT; i++)
-        if (manager->states[i].settle_timed_out)
-            await_settled(&manager->states[i]);
+        if (manager->states[i].outcome_timed_out)
+            await_outcome(&manager->states[i]);
     role_manager_reconcile(manager);
 }
 
@@ -133,10 +133,10 @@
  * records tell who holds the role. A transaction whose outcome is unknown may still be committed
  * later; the record then changes once more.
  */
-static void on_settled(void *arg, bool ok)
+static void on_outcome_known(void *arg, bool ok)
 {
     struct role_state *state = arg;
-    state->settle_timed_out = !ok;
+    state->outcome_timed_out = !ok;
     if (!ok) {
         schedule_retry(state->manager);
         return;
@@ -146,19 +146,19 @@
     role_manager_reconcile(state->manager);
 }
 
-static void await_settled(struct role_state *state)
+static void await_outcome(struct role_state *state)
 {
     const struct role_manager_config *config = &state->manager->config;
-    state->settle_timed_out = false;
-    config->await_revision(config->ctx, state->settle_revision, on_settled, state);
+    state->outcome_timed_out = false;
+    config->await_revision(config->ctx, state->outcome_revision, on_outcome_known, state);
 }
 
 static void on_txn_done(void *arg, const struct txn_outcome *outcome)
 {
     struct role_state *state = arg;
-    bool is_known = outcome->status == TXN_COMMITTED || outcome->status == TXN_CONFLICT;
-    state->settle_revision = is_known ? outcome->at_revision : (revision){0};
-    await_settled(state);
+    bool has_revision = outcome->status == TXN_COMMITTED || outcome->status == TXN_CONFLICT;
+    state->outcome_revision = has_revision ? outcome->at_revision : (revision){0};
+    await_outcome(state);
 }
 
 /** A transaction that fails if the record is not of the state's token. */
@@ -235,7 +235,7 @@
 {
     struct role_manager *manager = state->manager;
     bool is_vacant = state->phase == ROLE_NOT_HELD && !get_record(state)->token.value;
-    if (!state->is_wanted || !is_vacant || !manager->config.lease_is_valid(manager->config.ctx))
+    if (!state->should_hold || !is_vacant || !manager->config.lease_is_valid(manager->config.ctx))
         return;
     if (time_before(loop_now(manager->config.loop), state->next_claim_at))
         schedule_retry(manager);
@@ -249,7 +249,7 @@
         mark_lost(state);
     if (state->phase == ROLE_NOT_HELD && record_is_own(state))
         mark_gained(state);
-    if (state->phase == ROLE_HELD && !state->is_wanted)
+    if (state->phase == ROLE_HELD && !state->should_hold)
         send_release(state, NULL);
     claim_if_vacant(state);
 }
@@ -265,18 +265,18 @@
 void role_manager_claim(struct role_manager *manager, enum singleton_role role)
 {
     struct role_state *state = &manager->states[role];
-    if (state->is_wanted && state->phase != ROLE_NOT_HELD)
+    if (state->should_hold && state->phase != ROLE_NOT_HELD)
         return;
-    state->is_wanted = true;
+    state->should_hold = true;
     reconcile_role(state);
 }
 
 void role_manager_release(struct role_manager *manager, enum singleton_role role)
 {
     struct role_state *state = &manager->states[role];
-    if (!state->is_wanted && state->phase == ROLE_NOT_HELD)
+    if (!state->should_hold && state->phase == ROLE_NOT_HELD)
         return;
-    state->is_wanted = false;
+    state->should_hold = false;
     reconcile_role(state);
 }
 
@@ -286,7 +286,7 @@
     struct role_state *state = &manager->states[role];
     if (state->phase != ROLE_HELD)
         return false;
-    state->is_wanted = false;
+    state->should_hold = false;
     send_release(state, successor);
     return true;
 }
--- a/src/singleton/role_manager.h
+++ b/src/singleton/role_manager.h
@@ -18,7 +18,7 @@
 struct role_manager;
 
 /** @param ok  false: the replica did not reach the revision in time */
-typedef void (*role_await_callback)(void *arg, bool ok);
+typedef void (*role_revision_callback)(void *arg, bool ok);
 
 /** What the role manager needs of the node; all of it outlives the manager. */
 struct role_manager_config {
@@ -35,7 +35,7 @@
     /** Whether that lease is certain to hold at this moment. */
     bool (*lease_is_valid)(void *ctx);
     /** Calls back once the replica is at that revision; 0: at what is the newest one by now. */
-    void (*await_revision)(void *ctx, revision revision_needed, role_await_callback callback,
+    void (*await_revision)(void *ctx, revision revision_needed, role_revision_callback callback,
                            void *arg);
     /** Adds compares to the transaction of a claim; may be NULL. */
     void (*add_claim_compares)(void *ctx, enum singleton_role role, struct txn *txn);
--- a/src/singleton/role_records.c
+++ b/src/singleton/role_records.c
@@ -70,10 +70,10 @@
     }
 }
 
-static struct intent_page *decode_page(const char *key, const struct intent_page *position,
+static struct intent_page *decode_page(const char *key, const struct intent_page *header,
                                        json_object *value)
 {
-    struct intent_page *page = g_memdup2(position, sizeof *position);
+    struct intent_page *page = g_memdup2(header, sizeof *header);
     fencing_token token;
     page->intents = g_ptr_array_new_with_free_func(g_free);
     if (!intents_decode(value, &token, page->intents))
@@ -83,7 +83,7 @@
 
 /** Replaces a page; `position` has all of the new one but its intents. */
 static void apply_page(struct role_records *records, const char *key,
-                       const struct intent_page *position, json_object *value,
+                       const struct intent_page *header, json_object *value,
                        GPtrArray *changed_machines)
 {
     const struct intent_page *old_page = g_hash_table_lookup(records->pages, key);
@@ -92,7 +92,7 @@
     g_hash_table_remove(records->pages, key);
     if (!value)
         return;
-    struct intent_page *page = decode_page(key, position, value);
+    struct intent_page *page = decode_page(key, header, value);
     g_hash_table_replace(records->pages, g_strdup(key), page);
     count_page_scale_ins(records, page, 1, changed_machines);
 }
@@ -100,14 +100,14 @@
 bool role_records_apply(struct role_records *records, const char *key, json_object *value,
                         revision mod_revision, GPtrArray *changed_machines)
 {
-    struct intent_page position = {.mod_revision = mod_revision};
+    struct intent_page header = {.mod_revision = mod_revision};
     enum singleton_role role;
     if (key_role_parse(key, &role)) {
         apply_record(records, role, value, mod_revision);
         return true;
     }
-    if (key_intent_page_parse(key, &position.role, &position.number)) {
-        apply_page(records, key, &position, value, changed_machines);
+    if (key_intent_page_parse(key, &header.role, &header.number)) {
+        apply_page(records, key, &header, value, changed_machines);
         return true;
     }
     return false;
--- a/tests/test_cluster.c
+++ b/tests/test_cluster.c
@@ -13,7 +13,7 @@
 
 static struct cancel_notice make_notice(const char *job_text, uint64_t committed_at)
 {
-    struct cancel_notice notice = {.committed_at = {committed_at}};
+    struct cancel_notice notice = {.committed_revision = {committed_at}};
     assert_true(job_id_parse(&notice.job, job_text));
     return notice;
 }
@@ -23,15 +23,15 @@
 static void questions_keep_their_bytes(void **state)
 {
     (void)state;
-    const struct peer_question question = {.number = 7, .replica_revision = {15}};
-    assert_json_message(peer_question_encode(&question), "{\"q\":\"7\",\"at\":\"15\"}");
+    const struct peer_request question = {.number = 7, .replica_revision = {15}};
+    assert_json_message(peer_request_encode(&question), "{\"q\":\"7\",\"at\":\"15\"}");
     cJSON *message = json_message_parse("{\"q\":\"7\",\"at\":\"15\",\"from\":\"mast-0\"}");
-    struct peer_question decoded = peer_question_decode(message);
+    struct peer_request decoded = peer_request_decode(message);
     assert_int_equal(decoded.number, 7);
     assert_int_equal(decoded.replica_revision.value, 15);
     cJSON_Delete(message);
     message = json_message_parse("{\"from\":\"mast-0\"}"); /* of an earlier version */
-    decoded = peer_question_decode(message);
+    decoded = peer_request_decode(message);
     assert_int_equal(decoded.number, 0);
     assert_int_equal(decoded.replica_revision.value, 0);
     cJSON_Delete(message);
@@ -46,7 +46,7 @@
     cJSON *message = json_message_parse("{\"j\":\"wk-1\",\"r\":\"16\",\"from\":\"mast-0\"}");
     assert_true(cancel_notice_decode(message, &decoded));
     assert_string_equal(decoded.job.text, "wk-1");
-    assert_int_equal(decoded.committed_at.value, 16);
+    assert_int_equal(decoded.committed_revision.value, 16);
     cJSON_Delete(message);
     static const char *const malformed[] = {"{}", "{\"j\":\"wk-1\"}", "{\"j\":1,\"r\":\"16\"}",
                                             "{\"j\":\"wk-1\",\"r\":16}", "{\"r\":\"16\"}"};
@@ -63,8 +63,8 @@
     (void)state;
     static const char text[] = "{\"served\":false,\"q\":\"5\",\"told\":\"16\",\"up_ms\":16253,"
                                "\"cancelled\":[[\"wk-1\",\"16\"],[\"wk-2\",\"0\"]],\"all\":true}";
-    struct health_report report = {.question_number = 5,
-                                   .newest_committed = {16},
+    struct health_report report = {.request_number = 5,
+                                   .newest_committed_revision = {16},
                                    .uptime_ms = 16253,
                                    .cancels =
                                        g_array_new(FALSE, FALSE, sizeof(struct cancel_notice)),
@@ -75,9 +75,9 @@
     health_report_clear(&report);
     cJSON *message = json_message_parse(text);
     assert_true(health_report_decode(message, &report));
-    assert_false(report.is_served);
-    assert_int_equal(report.question_number, 5);
-    assert_int_equal(report.newest_committed.value, 16);
+    assert_false(report.has_kv_access);
+    assert_int_equal(report.request_number, 5);
+    assert_int_equal(report.newest_committed_revision.value, 16);
     assert_int_equal(report.uptime_ms, 16253);
     assert_true(report.has_all_cancels);
     assert_int_equal(report.cancels->len, 2);
@@ -85,7 +85,7 @@
         const struct cancel_notice *decoded =
             &g_array_index(report.cancels, struct cancel_notice, i);
         assert_string_equal(decoded->job.text, notices[i].job.text);
-        assert_int_equal(decoded->committed_at.value, notices[i].committed_at.value);
+        assert_int_equal(decoded->committed_revision.value, notices[i].committed_revision.value);
     }
     health_report_clear(&report);
     cJSON_Delete(message);
@@ -127,7 +127,7 @@
         cJSON *message = json_message_parse(text);
         struct health_report report;
         assert_true(health_report_decode(message, &report));
-        assert_int_equal(report.question_number, 0); /* none has this number */
+        assert_int_equal(report.request_number, 0); /* none has this number */
         assert_false(report.has_all_cancels);
         assert_int_equal(report.cancels->len, cases[i].cancel_count);
         health_report_clear(&report);
@@ -178,7 +178,7 @@
         char text[32];
         g_snprintf(text, sizeof text, "wk-%d", i);
         struct cancel_notice notice = make_notice(text, (uint64_t)i);
-        cancel_broadcast_confirm(broadcast, notice.job, notice.committed_at);
+        cancel_broadcast_confirm(broadcast, notice.job, notice.committed_revision);
     }
 }
 
@@ -187,7 +187,8 @@
                        guint expected_count)
 {
     GArray *notices = g_array_new(FALSE, FALSE, sizeof(struct cancel_notice));
-    bool is_complete = cancel_broadcast_collect(broadcast, (revision){replica_revision}, notices);
+    bool is_complete =
+        cancel_broadcast_collect_notices(broadcast, (revision){replica_revision}, notices);
     assert_int_equal(notices->len, expected_count);
     g_array_unref(notices);
     return is_complete;
@@ -217,7 +218,7 @@
                      CANCEL_NONE);
     assert_int_equal(cancel_broadcast_get_status(broadcast, make_notice("wk-11", 0).job),
                      CANCEL_COMMITTED);
-    assert_int_equal(cancel_broadcast_get_newest(broadcast).value, 4010);
+    assert_int_equal(cancel_broadcast_get_newest_revision(broadcast).value, 4010);
     assert_false(shares_all(broadcast, 9, 1001));
     assert_true(shares_all(broadcast, 3500, 510));
 }
@@ -227,8 +228,8 @@
     struct world *world = *state;
     struct cancel_broadcast *broadcast = world->nodes[0]->cancel_broadcast;
     job_id possible = make_notice("wk-possible", 0).job;
-    cancel_broadcast_begin(broadcast, possible);
-    cancel_broadcast_finish(broadcast, possible, &(struct txn_outcome){.status = TXN_UNKNOWN});
+    cancel_broadcast_begin_txn(broadcast, possible);
+    cancel_broadcast_finish_txn(broadcast, possible, &(struct txn_outcome){.status = TXN_UNKNOWN});
     assert_int_equal(cancel_broadcast_get_status(broadcast, possible), CANCEL_POSSIBLE);
     confirm_many(broadcast, 3999);
     assert_true(shares_all(broadcast, 3999, 1)); /* it is still known */
