--- a/src/cluster/cancel_broadcast.c
+++ b/src/cluster/cancel_broadcast.c
@@ -1,35 +1,35 @@
 /**
  * @file
- * Cancellations of jobs that a node's replica may not show yet.
+ * Shares cancellations of jobs that the nodes' replicas may not show yet.
  */
 #include "cancel_broadcast.h"
 
 #include "log.h"
 
 enum {
-    /** Local cancellations that are remembered. */
+    /** Maximum number of local cancellations that are remembered. */
     MAX_LOCAL_CANCELS = 4000,
-    /** Cancellations in one health report; one more shows that it is incomplete. */
+    /** Maximum number of cancellations in a complete health report; one more marks truncation. */
     MAX_SHARED_CANCELS = 1000,
-    /** How long a user's response waits for the other nodes to acknowledge an announcement. */
+    /** How long a response to a user is delayed until other nodes acknowledge an announcement. */
     ANNOUNCE_TIMEOUT_MS = 100,
 };
 
-/** A cancellation that this node has confirmed to a user, or has sent to the key-value store. */
+/** A cancellation that this node confirmed to a user or sent to the key-value store. */
 struct local_cancel {
-    /** In the order in which they came. */
+    /** Link in local_cancel_order. */
     GList link;
     job_id job;
-    /** 0: not confirmed to any user by this node. */
+    /** 0 if the cancellation is not known to be committed. */
     revision committed_revision;
-    /** Transactions that may have been committed, or may yet be. */
+    /** Number of transactions that may have committed or may still commit. */
     int pending_txns;
     mono_time known_since;
 };
 
 /** A cancellation that another node has shared. */
 struct remote_cancel {
-    /** 0: possible, not known to be committed. */
+    /** 0 if the cancellation is possible but not known to be committed. */
     revision committed_revision;
     mono_time earliest_confirmation;
 };
@@ -40,22 +40,22 @@
     struct replica *replica;
     const struct settings *settings;
     struct actor *listener;
-    /** Job id -> struct local_cancel, which owns the key. */
+    /** Maps a job id to its struct local_cancel, which owns the key. */
     GHashTable *local_cancels;
-    /** Their links, oldest first. */
+    /** Links of the local cancellations, oldest first. */
     GQueue local_cancel_order;
-    /** Of all that this node confirmed. */
+    /** The newest revision of all cancellations that this node confirmed to users. */
     revision newest_committed_revision;
-    /** The newest revision of the local cancellations that were forgotten. */
+    /** The newest revision of the local cancellations that were evicted. */
     revision newest_evicted_revision;
-    /** Some that were forgotten may still be committed. */
+    /** Whether a local cancellation was evicted whose transaction may still commit. */
     bool has_evicted_pending;
-    /** Job id -> struct remote_cancel. */
+    /** Maps a job id to its struct remote_cancel. */
     GHashTable *remote_cancels;
     mono_time complete_until;
 };
 
-/** Whether the replica shows that the job has ended. */
+/** Returns whether the replica shows that the job is finished. */
 static bool is_finished(const struct job *job)
 {
     return job && job->is_known && job->state != JOB_ACTIVE;
@@ -77,8 +77,8 @@
 }
 
 /**
- * Resolves transactions of unknown outcome by what the replica shows. Once the job has ended, the
- * compares of a transaction that is still under way fail.
+ * Resolves transactions of unknown outcome by the state of the job in the replica. Once the job is
+ * finished, a transaction that is still in flight fails its compares.
  */
 static void resolve_local(struct cancel_broadcast *broadcast, struct local_cancel *cancel)
 {
@@ -92,7 +92,9 @@
         cancel->committed_revision = job->cancelled_at;
 }
 
-/** Forgets the oldest. Nodes that may lack them learn from the reports that these are incomplete.
+/**
+ * Evicts the oldest local cancellations above the limit. Health reports to nodes that may lack them
+ * are marked as incomplete.
  */
 static void evict_oldest_local(struct cancel_broadcast *broadcast)
 {
@@ -127,8 +129,8 @@
     get_or_add_local(broadcast, job)->pending_txns++;
 }
 
-/* The replica may lose its watch at this very moment and never show the cancellation, so the
- * listener acts on it without the replica, on this node as well as where it is shared. */
+/* The replica may lose its watch before it shows the cancellation. So the listener is notified
+ * directly, on this node as well as on those with which the cancellation is shared. */
 void cancel_broadcast_confirm(struct cancel_broadcast *broadcast, job_id job,
                               revision committed_revision)
 {
@@ -166,7 +168,7 @@
     return broadcast->newest_committed_revision;
 }
 
-/** Whether a node whose replica is at that revision may lack the cancellation. */
+/** Returns whether a node whose replica is at the given revision may lack the cancellation. */
 static bool may_be_missing_at(const struct local_cancel *cancel, revision replica_revision)
 {
     if (cancel->committed_revision.value)
@@ -192,7 +194,10 @@
 
 /* ---- remote cancellations ---- */
 
-/** The earliest time at which what another node shares now can have been confirmed to a user. */
+/**
+ * Returns the earliest time at which a cancellation that another node shares now, and that this
+ * node did not know, can have been confirmed to a user.
+ */
 static mono_time earliest_remote_confirmation(const struct cancel_broadcast *broadcast)
 {
     mono_time fresh_at = broadcast->replica->fresh_at;
@@ -245,7 +250,7 @@
 
 /* ---- announcements ---- */
 
-/** An announcement under way to all other nodes. */
+/** An announcement that other nodes have not all acknowledged yet. */
 struct cancel_announcement {
     guint responses_pending;
     void (*callback)(void *arg);
--- a/src/cluster/failure_detector.c
+++ b/src/cluster/failure_detector.c
@@ -1,24 +1,24 @@
 /**
  * @file
- * Asks the other nodes for their health while the key-value store does not serve this node.
+ * Polls the other nodes for their health while this node has no access to the key-value store.
  */
 #include "failure_detector.h"
 
 enum {
-    /** Between two rounds of questions while the key-value store is unavailable. */
+    /** Interval between health polls while the key-value store is unavailable. */
     POLL_INTERVAL_MS = 500,
-    /** Between two looks at whether it is. */
+    /** Interval between checks of whether the key-value store is available, while it is. */
     AVAILABILITY_CHECK_INTERVAL_MS = POLL_INTERVAL_MS / 2,
-    /** Added to the time that a node must have been up: see has_shared_all_cancels(). */
+    /** Added to the minimum uptime that has_shared_all_cancels() requires of a node. */
     UPTIME_MARGIN_MS = 1000,
 };
 
-/** What a node reported in the latest round, or that it did not. */
+/** A node's health as of the latest polling round; all zero if it did not respond. */
 struct peer_health {
     bool is_reachable;
-    /** The key-value store serves it. */
+    /** Whether the key-value store serves the node. */
     bool has_kv_access;
-    /** It has shared every cancellation that this node's replica may not show. */
+    /** Whether the node has shared every cancellation that this node's replica may lack. */
     bool has_shared_cancels;
     int64_t uptime_ms;
 };
@@ -29,9 +29,9 @@
     struct timer poll_timer;
     mono_time round_started_at;
     guint responses_pending;
-    /** Label -> struct peer_health. */
+    /** Maps a node's label to its struct peer_health. */
     GHashTable *health_by_label;
-    /** Nobody responded in the latest round. */
+    /** Whether no other node responded in the latest round. */
     bool is_isolated;
 };
 
@@ -106,9 +106,12 @@
 }
 
 /**
- * Whether a node is not served either, and has shared every cancellation which it confirmed to a
- * user, or may have, since this node's replica was last fresh. A node that was restarted since then
- * does not know what its earlier process confirmed. Clocks may differ in rate by a thousandth.
+ * Returns whether a node has no access to the key-value store either, and has shared every
+ * cancellation that it confirmed, or may have confirmed, to a user since this node's replica was
+ * last fresh.
+ *
+ * A node that was restarted since then does not qualify, because it does not know what its previous
+ * process confirmed. The minimum uptime allows for clocks that differ in rate by 0.1%.
  */
 static bool has_shared_all_cancels(const struct peer_health *peer, int64_t replica_age_ms)
 {
@@ -118,8 +121,9 @@
 }
 
 /**
- * Evaluates a round to which all nodes have responded or failed to. If each of them has shared its
- * cancellations, this node knows of all that were confirmed to users until the round began.
+ * Evaluates a polling round once every node has responded or timed out. If each of them has shared
+ * its cancellations, this node knows every cancellation that was confirmed to a user before the
+ * round began.
  */
 static void finish_round(struct failure_detector *detector)
 {
@@ -142,8 +146,9 @@
 }
 
 /**
- * Takes the cancellations of a report. Returns whether they were all that this node may lack. A
- * copy of an earlier response proves nothing about what was confirmed since, so it is ignored.
+ * Adds the cancellations in a health report. Returns whether the report contains every cancellation
+ * that this node may lack. A duplicate of an earlier response is ignored, because it does not cover
+ * what was confirmed since.
  */
 static bool add_shared_cancels(struct failure_detector *detector,
                                const struct health_report *report, uint64_t request_number)
@@ -173,7 +178,7 @@
         finish_round(detector);
 }
 
-/** While the key-value store serves this node, what the others reported earlier means nothing. */
+/** Discards the results of the latest round, which do not apply while the store is available. */
 static void discard_round(struct failure_detector *detector)
 {
     g_hash_table_remove_all(detector->health_by_label);
--- a/src/cluster/failure_detector.h
+++ b/src/cluster/failure_detector.h
@@ -1,7 +1,9 @@
 /**
  * @file
- * What the other nodes report while the key-value store does not serve this one: whether it serves
- * them, so that they can answer in this node's place, or whether it is down for all.
+ * Tells an outage of the key-value store for this node alone from an outage for all nodes.
+ *
+ * While the store does not serve this node, the failure detector polls the other nodes. A node that
+ * still has access to the store can respond to requests in place of this one.
  */
 #ifndef LL_FAILURE_DETECTOR_H
 #define LL_FAILURE_DETECTOR_H
@@ -12,7 +14,7 @@
 
 struct failure_detector;
 
-/** What the failure detector works with; all of it outlives the detector. */
+/** Dependencies of the failure detector, all of which must outlive it. */
 struct failure_detector_setup {
     struct loop *loop;
     struct node_rpc *rpc;
@@ -20,30 +22,30 @@
     const struct replica *replica;
     const struct settings *settings;
     struct peer_poll *poll;
-    /** Health reports carry its cancellations. */
+    /** Supplies the cancellations that health reports contain, and receives those of peers. */
     struct cancel_broadcast *cancel_broadcast;
     struct lease_proxy *lease_proxy;
 };
 
-/** Creates the detector and registers its message with the RPC. */
+/** Creates a failure detector and registers its RPC handler; the setup is copied. */
 struct failure_detector *failure_detector_new(const struct failure_detector_setup *setup);
-/** Frees the detector. */
+/** Frees the failure detector. */
 void failure_detector_free(struct failure_detector *detector);
-/** Starts its periodic check. */
+/** Starts the periodic checks of the failure detector. */
 void failure_detector_start(struct failure_detector *detector);
 
 /**
- * Returns the label of a node that the key-value store serves while it does not serve this one;
- * NULL if none is known, or if this node is served itself.
+ * Returns the label of a node that has access to the key-value store while this node has none.
+ * Returns NULL if no such node is known, or if this node has access itself.
  */
 const char *failure_detector_find_node_with_kv_access(const struct failure_detector *detector);
 
-/** Whether neither the key-value store nor any other node answers this one. */
+/** Returns whether this node can reach neither the key-value store nor any other node. */
 bool failure_detector_is_isolated(const struct failure_detector *detector);
 
 /**
- * Whether neither the key-value store nor that node answers this one, and no other node is served
- * that could know more of it.
+ * Returns whether this node can reach neither the key-value store nor the node with that label, and
+ * knows of no other node that has access to the store and could know more.
  */
 bool failure_detector_is_unreachable(const struct failure_detector *detector, const char *label);
 
--- a/src/cluster/leader_election.c
+++ b/src/cluster/leader_election.c
@@ -1,6 +1,6 @@
 /**
  * @file
- * Election of the leader, and the shard map that the leader writes.
+ * Elects the leader, and writes the shard map on behalf of the leader.
  */
 #include "leader_election.h"
 
@@ -9,10 +9,10 @@
 #include "shard_map.h"
 #include "stored_fields.h"
 
-/** How much later each node becomes a candidate than the one before it, by label. */
+/** Delay between successive nodes, ordered by label, before each becomes a candidate. */
 enum { CANDIDATE_STAGGER_MS = 30 };
 
-/** A node that is left out of the map. */
+/** A node that is temporarily excluded from the shard map. */
 struct node_exclusion {
     char *label;
     mono_time until;
@@ -20,7 +20,7 @@
 
 struct leader_election {
     struct leader_election_setup setup;
-    /** struct node_exclusion. */
+    /** Array of struct node_exclusion. */
     GArray *exclusions;
     bool is_leaderless;
     mono_time leaderless_since;
@@ -77,7 +77,7 @@
             i++;
 }
 
-/** Whether the node is to be left out of the map; this node itself never is. */
+/** Returns whether the node is excluded from the shard map; this node never excludes itself. */
 static bool is_excluded(const struct leader_election *election, const char *label)
 {
     if (strcmp(label, election->setup.label) == 0)
@@ -91,7 +91,7 @@
     return false;
 }
 
-/* ---- the map ---- */
+/* ---- shard map ---- */
 
 static json_object *encode_process(const char *label, lease_id incarnation)
 {
@@ -101,7 +101,7 @@
     return process;
 }
 
-/** The next map: all live nodes that are not excluded, by label. */
+/** Encodes the next shard map, which lists all live nodes that are not excluded, by label. */
 static json_object *encode_next_shard_map(const struct leader_election *election)
 {
     const struct replica *replica = election->setup.replica;
@@ -119,7 +119,7 @@
     return map;
 }
 
-/** Whether the map does not name just the nodes that the next one would. */
+/** Returns whether the current shard map lists other nodes than the next one would. */
 static bool is_shard_map_stale(const struct leader_election *election)
 {
     const struct replica *replica = election->setup.replica;
@@ -137,7 +137,7 @@
     return expected_len != replica->shard_map->len;
 }
 
-/* ---- writing ---- */
+/* ---- transactions ---- */
 
 static void on_write_outcome_known(void *arg, bool ok)
 {
@@ -178,8 +178,8 @@
 }
 
 /**
- * How long this node waits, once there is no leader, before it becomes a candidate. Nodes do so one
- * after another, so that mostly the first one has no rival.
+ * Returns how long this node waits without a leader before it becomes a candidate. The delays are
+ * staggered by label, so that the first candidate usually wins without competition.
  */
 static int64_t election_delay_ms(const struct leader_election *election)
 {
--- a/src/cluster/leader_election.h
+++ b/src/cluster/leader_election.h
@@ -1,9 +1,9 @@
 /**
  * @file
- * Election of the leader, and the shard map that the leader writes.
+ * Elects the leader, and writes the shard map on behalf of the leader.
  *
- * Taking the leadership and writing the map with a new epoch are one transaction, so there is no
- * leader in whose epoch an earlier one has dispatched tasks.
+ * A single transaction acquires the leadership and writes the shard map with a new epoch. So no
+ * earlier leader can have dispatched tasks in the epoch of the new one.
  */
 #ifndef LL_LEADER_ELECTION_H
 #define LL_LEADER_ELECTION_H
@@ -13,42 +13,45 @@
 
 struct leader_election;
 
-/** What the election works with; all of it outlives it. */
+/** Dependencies of the leader election, all of which must outlive it. */
 struct leader_election_setup {
     struct loop *loop;
     struct kv_client *kv;
     struct replica *replica;
-    /** Of this node. */
+    /** The label of this node. */
     const char *label;
-    /** Of the functions. */
+    /** Passed to the callbacks. */
     void *ctx;
-    /** The key-value store refused a transaction because this process's lease has ended. */
+    /** Called when the store refused a transaction because this process's lease has expired. */
     void (*on_lease_refused)(void *ctx);
-    /** A transaction has been answered, and the replica shows what became of it if it is known. */
+    /** Called once a transaction has ended and the replica shows its outcome, if it is known. */
     void (*on_write_outcome_known)(void *ctx);
 };
 
-/** This process as a candidate or as the leader. */
+/** The state of this process as a candidate or as the leader. */
 struct candidate {
     lease_id incarnation;
-    /** Of the node's own key, which the transactions compare. */
+    /** The revision of the node's own key, which transactions compare. */
     revision mod_revision;
-    /** Whether it is the leader and may act as such. */
+    /** Whether the process is the leader and may act as such. */
     bool is_leader;
 };
 
-/** Creates it; the setup is copied. */
+/** Creates a leader election; the setup is copied. */
 struct leader_election *leader_election_new(const struct leader_election_setup *setup);
-/** Frees it. */
+/** Frees the leader election. */
 void leader_election_free(struct leader_election *election);
 
-/** Becomes a candidate if there is no leader; writes the map if this node leads and it is due. */
+/**
+ * Runs for leader if there is none and this node's turn has come. If this node is the leader,
+ * writes a new shard map when the current one is stale or a new epoch was requested.
+ */
 void leader_election_step(struct leader_election *election, const struct candidate *self);
 
-/** Makes the leader write a map with a new epoch, also if its nodes are the same. */
+/** Makes the leader write a shard map with a new epoch, even if its nodes have not changed. */
 void leader_election_request_new_epoch(struct leader_election *election, const char *reason);
 
-/** Leaves a node out of the maps that this node writes for that time. */
+/** Excludes a node, for the given duration, from the shard maps that this node writes. */
 void leader_election_exclude_node(struct leader_election *election, const char *label,
                                   int64_t duration_ms);
 
--- a/src/cluster/lease_proxy.c
+++ b/src/cluster/lease_proxy.c
@@ -1,26 +1,26 @@
 /**
  * @file
- * Leases of machines that a node renewed in place of the machine's owner.
+ * Tracks machine leases that nodes renew in place of the machines' owners.
  */
 #include "lease_proxy.h"
 
 enum {
-    /** Between two rounds of questions to the other nodes. */
+    /** Minimum interval between polls of the other nodes. */
     PROXY_POLL_INTERVAL_MS = 1000,
-    /** An older replica is no proof that a node is absent. */
+    /** An older replica does not prove that a node's key is absent. */
     MAX_REPLICA_AGE_MS = 3000,
 };
 
-/** The rate of this node's clock to that of another one, at worst. */
+/** The lowest assumed ratio between the clock rates of this node and another one. */
 static const double CLOCK_RATE_MARGIN = 0.999;
 
-/** What is known of the renewals that another node may have made for machines of this node. */
+/** What is known about lease renewals that another node may have made for this node's machines. */
 struct peer_renewals {
-    /** When it was sent the question that it answered last; 0: it has answered none. */
+    /** When the latest request that the node answered was sent; 0 if it has answered none. */
     mono_time answered_request_sent_at;
-    /** It has renewed no lease for another node since then, by that answer. */
+    /** The node has renewed no lease for another node since this time, by its latest response. */
     mono_time no_renewals_since;
-    /** Since when its key is gone; 0: the key is there, or that is unknown. */
+    /** Since when the node's key is known to be absent; 0 if it exists or its state is unknown. */
     mono_time absent_since;
 };
 
@@ -28,17 +28,19 @@
     struct loop *loop;
     struct peer_poll *poll;
     const struct replica *replica;
-    /** When this node last renewed a lease for another one; at first, the start of its process. */
+    /** When this node last renewed a lease for another node; initially its process start time. */
     mono_time last_renewal_at;
-    /** Label -> struct peer_renewals, of all other nodes. */
+    /** Maps the label of each other node to its struct peer_renewals. */
     GHashTable *peers;
     guint responses_pending;
-    /** When all of them were asked last. */
+    /** When all other nodes were last polled. */
     mono_time last_polled_at;
 };
 
-/* A process counts from its start at the latest, so the report holds for earlier processes of the
- * node as well. */
+/**
+ * Handles a request for a proxy report. The reported age is never greater than this process's
+ * uptime, so the report also covers renewals by earlier processes of the node.
+ */
 static int on_proxy_report_request(void *ctx, const char *from, const cJSON *message,
                                    cJSON **response)
 {
@@ -121,7 +123,10 @@
     }
 }
 
-/** Whether the node answered, after its last renewal had expired, that it made no other. */
+/**
+ * Returns whether the node's latest response shows that it made no renewal that is still in effect:
+ * the request was sent after the last possible renewal had expired.
+ */
 static bool answered_after_expiry(const struct peer_renewals *peer, mono_time last_own_renewal,
                                   int64_t lease_ms)
 {
@@ -133,9 +138,9 @@
 }
 
 /**
- * Whether the node's key has been gone for so long that its renewals have expired. It stops
- * renewing `max_proxy_ms` after its replica last showed its own key, whether it can be asked or
- * not.
+ * Returns whether the node's key has been absent for so long that its renewals have expired. A node
+ * stops renewing leases `max_proxy_ms` after its replica last showed its own key, so this holds
+ * even if the node cannot be polled.
  */
 static bool absent_past_expiry(const struct lease_proxy *proxy, const struct peer_renewals *peer,
                                int64_t expiry_ms)
--- a/src/cluster/membership.c
+++ b/src/cluster/membership.c
@@ -1,6 +1,6 @@
 /**
  * @file
- * This node's membership in the cluster: its lease, its key, and whether it leads.
+ * Manages this node's membership in the cluster: its lease, its key, and whether it leads.
  */
 #include "membership.h"
 
@@ -10,13 +10,13 @@
 #include "stored_fields.h"
 #include "version_support.h"
 
-/** How often the state is examined, in addition to when the replica changes. */
+/** Interval between calls of reconcile(), in addition to those on changes of the replica. */
 enum { TICK_MS = 200 };
 
-/** How far this process has come in writing its key. */
+/** Progress of this process in writing its key. */
 enum join_phase {
     JOIN_NOT_SENT,
-    /** The transaction is under way, or the replica does not show its outcome yet. */
+    /** The transaction is in flight, or the replica does not show its outcome yet. */
     JOIN_IN_FLIGHT,
     JOIN_DONE,
 };
@@ -32,7 +32,7 @@
     struct leader_election *election;
     struct version_support version_support;
     enum join_phase join_phase;
-    /** Of this node's key, once it has joined. */
+    /** The revision of this node's key; valid once the node has joined. */
     revision mod_revision;
     struct timer tick_timer;
 };
@@ -113,9 +113,9 @@
     on_tick(membership);
 }
 
-/* ---- what others ask ---- */
+/* ---- queries and requests of other modules ---- */
 
-/** What the replica has of this node's key; NULL: there is no such key. */
+/** Returns the replica's record of this node's key; NULL if the key does not exist. */
 static const struct node_record *get_own_record(const struct membership *membership)
 {
     return g_hash_table_lookup(membership->replica->nodes, membership->settings->label);
@@ -209,7 +209,7 @@
     return record;
 }
 
-/** Gives up the leadership of an earlier process of this node. */
+/** Adds the release of the leadership, if an earlier process of this node holds it. */
 static void add_leader_release(const struct membership *membership, struct txn *txn)
 {
     const struct replica *replica = membership->replica;
@@ -219,7 +219,7 @@
     txn_delete(txn, KEY_LEADER);
 }
 
-/** Gives up the singleton roles of an earlier process of this node. */
+/** Adds the release of singleton roles that an earlier process of this node holds. */
 static void add_role_releases(const struct membership *membership, struct txn *txn)
 {
     guint max_writes = (guint)kv_client_limits(membership->kv)->max_txn_operations;
@@ -239,8 +239,8 @@
 }
 
 /**
- * Announces the version of this program. The key is on no lease: it outlives the process, as later
- * processes of the node understand as much.
+ * Adds an announcement of the version that this program understands. The key is not attached to a
+ * lease and outlives the process, because later processes of the node understand this version too.
  */
 static void add_version_announcement(const struct membership *membership, struct txn *txn)
 {
@@ -255,8 +255,9 @@
 }
 
 /**
- * Writes this node's key. An earlier process of the node is dead, so its leadership and its roles
- * are given up in the same transaction: nobody has to wait until its lease ends.
+ * Sends the transaction that writes this node's key. The same transaction releases the leadership
+ * and the roles of an earlier process of the node, which is dead, so that no node has to wait for
+ * its lease to expire.
  */
 static void send_join(struct membership *membership)
 {
@@ -273,7 +274,7 @@
     g_free(key);
 }
 
-/** Does what is due next: obtains a lease, joins, and takes part in the leader's election. */
+/** Takes the next step: requests a lease, joins the cluster, or runs the leader election. */
 static void reconcile(struct membership *membership)
 {
     lease_id incarnation = node_lease_get_id(membership->lease);
@@ -289,7 +290,7 @@
         return;
     }
     if (!membership_is_visible(membership)) {
-        /* Another process has taken this label, or the lease ended unnoticed. */
+        /* Another process has taken over this label, or the lease expired unnoticed. */
         node_lease_drop(membership->lease, LEASE_KEY_LOST);
         return;
     }
--- a/src/cluster/node_lease.c
+++ b/src/cluster/node_lease.c
@@ -1,6 +1,6 @@
 /**
  * @file
- * The lease on which this process's keys hang.
+ * Obtains and renews the lease to which this process's keys are attached.
  */
 #include "node_lease.h"
 
@@ -10,19 +10,19 @@
 enum {
     LEASE_TTL_MS = 4000,
     RENEW_INTERVAL_MS = 1000,
-    /** After a renewal that was not answered. */
+    /** Delay before a renewal that failed is sent again. */
     RENEW_RETRY_DELAY_MS = 300,
     GRANT_TIMEOUT_MS = 1500,
     RENEW_TIMEOUT_MS = 1000,
-    /** This node's clock may be slower than the store's by a thousandth. */
+    /** This node's clock may be slower than the store's by 0.1%. */
     CLOCK_MARGIN_MS = LEASE_TTL_MS / 1000 + 1,
 };
 
 struct node_lease {
     struct node_lease_setup setup;
-    /** 0: none. */
+    /** 0 if there is no lease. */
     lease_id id;
-    /** The lease is certain to hold until then. */
+    /** The time until which the lease is certain not to expire. */
     mono_time valid_until;
     mono_time request_sent_at;
     bool request_in_flight;
@@ -55,7 +55,7 @@
     return time_before(loop_now(lease->setup.loop), lease->valid_until);
 }
 
-/** The word for a reason in the log. */
+/** Returns the name of a reason in the log. */
 static const char *lease_loss_name(enum lease_loss_reason reason)
 {
     switch (reason) {
@@ -81,7 +81,10 @@
     lease->setup.on_lost(lease->setup.ctx);
 }
 
-/** The store counts from when it got the request, which is no earlier than when it was sent. */
+/**
+ * Extends the validity of the lease after a successful request. The store counts the TTL from when
+ * it received the request, which is no earlier than when the request was sent.
+ */
 static void extend_validity(struct node_lease *lease)
 {
     lease->valid_until = time_add_ms(lease->request_sent_at, LEASE_TTL_MS - CLOCK_MARGIN_MS);
--- a/src/cluster/node_lease.h
+++ b/src/cluster/node_lease.h
@@ -1,9 +1,10 @@
 /**
  * @file
- * The lease on which this process's keys hang.
+ * Obtains and renews the lease to which this process's keys are attached.
  *
- * Its id is the incarnation of the node: no other process ever has the same one. Once the lease has
- * ended the key-value store deletes the keys, and other nodes see that this one is gone.
+ * The lease id is the incarnation of the node: no other process ever has the same one. Once the
+ * lease has expired, the key-value store deletes the keys, and other nodes see that this node is
+ * gone.
  */
 #ifndef LL_NODE_LEASE_H
 #define LL_NODE_LEASE_H
@@ -12,43 +13,46 @@
 
 struct node_lease;
 
-/** Why a lease is given up. */
+/** Why a node gives up its lease. */
 enum lease_loss_reason {
-    /** It has ended, by the key-value store's response to a renewal. */
+    /** The key-value store responded to a renewal that the lease has expired. */
     LEASE_EXPIRED,
-    /** The key-value store refused a transaction that names it. */
+    /** The key-value store refused a transaction that uses the lease. */
     LEASE_REFUSED,
-    /** The node's key is gone, or another process has written it. */
+    /** The node's key was deleted, or another process has written it. */
     LEASE_KEY_LOST,
 };
 
-/** What the lease works with; all of it outlives the lease. */
+/** Dependencies of the lease, all of which must outlive it. */
 struct node_lease_setup {
     struct loop *loop;
     struct kv_client *kv;
-    /** Of the functions. */
+    /** Passed to the callbacks. */
     void *ctx;
-    /** The lease was lost; called before on_change. */
+    /** Called when the lease was lost, before on_change. */
     void (*on_lost)(void *ctx);
-    /** A request for a lease has been answered, or a renewal found that the lease has ended. */
+    /** Called when a lease request has ended, or a renewal found that the lease has expired. */
     void (*on_change)(void *ctx);
 };
 
-/** Creates it without a lease; the setup is copied. */
+/** Creates the manager of this process's lease, which holds none yet; the setup is copied. */
 struct node_lease *node_lease_new(const struct node_lease_setup *setup);
-/** Frees it; the lease is left to expire. */
+/** Frees the manager; the lease itself is left to expire. */
 void node_lease_free(struct node_lease *lease);
 
-/** Requests a lease, unless there is one or a request is under way; it is then kept renewed. */
+/**
+ * Requests a lease unless the process has one or a request is in flight. The lease is then renewed
+ * periodically.
+ */
 void node_lease_request(struct node_lease *lease);
 
-/** Gives the lease up, and calls on_lost; does nothing without a lease. */
+/** Gives up the lease and calls on_lost; does nothing if there is no lease. */
 void node_lease_drop(struct node_lease *lease, enum lease_loss_reason reason);
 
-/** 0: there is none. */
+/** Returns the id of the lease; 0 if there is none. */
 lease_id node_lease_get_id(const struct node_lease *lease);
 
-/** Whether the lease is certain to hold at this moment. */
+/** Returns whether the lease is certain not to have expired yet. */
 bool node_lease_is_valid(const struct node_lease *lease);
 
 #endif
--- a/src/cluster/peer_messages.c
+++ b/src/cluster/peer_messages.c
@@ -1,6 +1,6 @@
 /**
  * @file
- * Encoders and decoders of the messages about the health of nodes.
+ * Encodes and decodes the messages that nodes exchange about their health.
  */
 #include "peer_messages.h"
 
@@ -18,7 +18,7 @@
 static const char FIELD_HAS_ALL_CANCELS[] = "all";
 static const char FIELD_RENEWAL_AGE_MS[] = "ago_ms";
 
-/** The elements of the array that encodes a cancellation in a health report. */
+/** Indices in the two-element array that encodes a cancellation in a health report. */
 enum cancel_pair_index { CANCEL_PAIR_JOB, CANCEL_PAIR_REVISION };
 
 cJSON *peer_request_encode(const struct peer_request *request)
@@ -87,7 +87,7 @@
     return message;
 }
 
-/** Returns whether the list is well-formed and marked as complete. */
+/** Decodes a list of cancellations. Returns whether it is well-formed and marked as complete. */
 static bool decode_cancels(const cJSON *message, GArray *cancels)
 {
     const cJSON *list = cJSON_GetObjectItemCaseSensitive(message, FIELD_CANCELS);
--- a/src/cluster/peer_messages.h
+++ b/src/cluster/peer_messages.h
@@ -1,10 +1,10 @@
 /**
  * @file
- * The messages that nodes exchange about their health, as typed structs with an encoder and a
- * decoder each.
+ * Defines the messages that nodes exchange about their health, each as a struct with an encoder and
+ * a decoder.
  *
- * The kinds and field names are part of the protocol between nodes: nodes of an earlier version
- * serve beside new ones, so none of them may change.
+ * The message kinds and field names are part of the protocol between nodes. They must not change,
+ * because nodes of an earlier version run in the same cluster as new ones.
  */
 #ifndef LL_PEER_MESSAGES_H
 #define LL_PEER_MESSAGES_H
@@ -13,25 +13,28 @@
 
 #include <cjson/cJSON.h>
 
-/** Asks for a struct health_report. */
+/** Requests a struct health_report. */
 #define RPC_KIND_HEALTH "health"
-/** Asks for a struct proxy_report. */
+/** Requests a struct proxy_report. */
 #define RPC_KIND_PROXY_REPORT "kept"
-/** Announces one struct cancel_notice; has no response body. */
+/** Announces one struct cancel_notice; the response has no body. */
 #define RPC_KIND_CANCELLED "cancelled"
 
-/** A question to another node. */
+/** A request to another node. */
 struct peer_request {
-    /** Never 0. A response repeats it, so that a late copy answers no later question. */
+    /**
+     * Never 0. The response repeats it, so that a late copy of a response is not taken for the
+     * response to a later request.
+     */
     uint64_t number;
-    /** Up to which revision the asking node's replica holds every change. */
+    /** The revision up to which the requesting node's replica contains every change. */
     revision replica_revision;
 };
 
-/** A job that is, or may be, cancelled. */
+/** A job that is cancelled or may be. */
 struct cancel_notice {
     job_id job;
-    /** The revision that cancelled the job; 0: a transaction that may still commit would. */
+    /** The revision at which the job was cancelled; 0 if the transaction may still commit. */
     revision committed_revision;
 };
 
@@ -39,47 +42,48 @@
 struct health_report {
     /** Whether the key-value store serves the responding node. */
     bool has_kv_access;
-    /** Of the question; 0: the response names none. */
+    /** The number of the request; 0 if the response contains none. */
     uint64_t request_number;
     /** The newest cancellation that the node confirmed to a user; read by earlier versions only. */
     revision newest_committed_revision;
     /** Time since the node's process started. */
     int64_t uptime_ms;
-    /** struct cancel_notice: cancellations which the asking node's replica may not hold. */
+    /** Array of struct cancel_notice: cancellations that the requesting node's replica may lack. */
     GArray *cancels;
-    /** Whether `cancels` lacks nothing. False also if part of the response was malformed. */
+    /** Whether `cancels` is complete. Also false if part of the response was malformed. */
     bool has_all_cancels;
 };
 
 /** The response to RPC_KIND_PROXY_REPORT. */
 struct proxy_report {
-    /** Time since a process of the node can last have renewed a lease for another node. */
+    /** Time since the latest moment at which the node may have renewed a lease for another node. */
     double last_renewal_age_ms;
 };
 
-/** Returns a new message. */
+/** Encodes a request as a new message, which the caller frees. */
 cJSON *peer_request_encode(const struct peer_request *request);
-/** Fields that an earlier version does not send are zero. */
+/** Decodes a request; fields that an earlier version does not send are zero. */
 struct peer_request peer_request_decode(const cJSON *message);
 
-/** Returns a new message. */
+/** Encodes a cancel notice as a new message, which the caller frees. */
 cJSON *cancel_notice_encode(const struct cancel_notice *notice);
-/** Returns false if the message is malformed. */
+/** Decodes a cancel notice. Returns false if the message is malformed. */
 bool cancel_notice_decode(const cJSON *message, struct cancel_notice *notice);
 
-/** Returns a new message. */
+/** Encodes a health report as a new message, which the caller frees. */
 cJSON *health_report_encode(const struct health_report *report);
 /**
- * Returns false if the message is malformed; `report` then needs no clearing. A malformed list of
- * cancellations is read up to the first bad entry, and marked as incomplete.
+ * Decodes a health report. Returns false if the message is malformed; `report` then needs no
+ * clearing. A malformed list of cancellations is decoded up to the first invalid entry and marked
+ * as incomplete.
  */
 bool health_report_decode(const cJSON *message, struct health_report *report);
-/** Frees what the struct refers to. */
+/** Frees the memory that the report refers to, but not the struct itself. */
 void health_report_clear(struct health_report *report);
 
-/** Returns a new message. */
+/** Encodes a proxy report as a new message, which the caller frees. */
 cJSON *proxy_report_encode(const struct proxy_report *report);
-/** Returns false if the message is malformed. */
+/** Decodes a proxy report. Returns false if the message is malformed. */
 bool proxy_report_decode(const cJSON *message, struct proxy_report *report);
 
 #endif
--- a/src/cluster/peer_poll.c
+++ b/src/cluster/peer_poll.c
@@ -1,10 +1,10 @@
 /**
  * @file
- * Sends one question to every other node and hands over the responses.
+ * Sends a request to every other node and passes on the responses.
  */
 #include "peer_poll.h"
 
-/** How long a node has for its response. */
+/** How long to wait for a node's response. */
 enum { RESPONSE_TIMEOUT_MS = 450 };
 
 struct peer_poll {
@@ -12,11 +12,11 @@
     struct node_rpc *rpc;
     const struct replica *replica;
     const struct settings *settings;
-    /** The number of the latest question. */
+    /** The number of the latest request. */
     uint64_t request_count;
 };
 
-/** A question under way to one node. */
+/** A request to one node whose response is pending. */
 struct pending_peer_request {
     char *label;
     mono_time sent_at;
--- a/src/cluster/shard_map.c
+++ b/src/cluster/shard_map.c
@@ -1,17 +1,17 @@
 /**
  * @file
- * The shard map: which node owns which machine.
+ * Determines which node owns a machine by the shard map.
  */
 #include "shard_map.h"
 
-/** Of FNV-1a, 64 bits. */
+/** Parameters of the 64-bit FNV-1a hash. */
 static const uint64_t FNV_OFFSET_BASIS = 0xcbf29ce484222325ULL;
 static const uint64_t FNV_PRIME = 0x100000001b3ULL;
 
-/** Separates the machine's part of a hash from the node's. */
+/** Separates the machine's part of a hash from the part of the node's label. */
 static const uint64_t PART_SEPARATOR = 0x9e3779b97f4a7c15ULL;
 
-/** FNV-1a, continued from `hash`. */
+/** Continues an FNV-1a hash with the bytes of a string. */
 static uint64_t hash_string(uint64_t hash, const char *string)
 {
     for (; *string; string++)
@@ -19,7 +19,7 @@
     return hash;
 }
 
-/** Spreads differences in any bit over all bits (the finalizer of MurmurHash3). */
+/** Spreads a difference in any bit over all bits; this is the finalizer of MurmurHash3. */
 static uint64_t mix_bits(uint64_t hash)
 {
     hash ^= hash >> 33;
@@ -30,7 +30,10 @@
     return hash;
 }
 
-/** All nodes must compute the same weights, so that they agree on a machine's owner. */
+/**
+ * Returns the rendezvous hashing weight of a node for a machine. All nodes must compute the same
+ * weights, so that they agree on the owner of each machine.
+ */
 static uint64_t rendezvous_weight(const char *label, const char *machine)
 {
     uint64_t machine_hash = hash_string(FNV_OFFSET_BASIS, machine);
--- a/src/cluster/version_support.c
+++ b/src/cluster/version_support.c
@@ -1,6 +1,6 @@
 /**
  * @file
- * Which versions of the stored records and messages all nodes of the cluster understand.
+ * Determines which versions of stored records and messages all nodes of the cluster understand.
  */
 #include "version_support.h"
 
--- a/src/singleton/intent_log.c
+++ b/src/singleton/intent_log.c
@@ -1,6 +1,7 @@
 /**
  * @file
- * A write-ahead log of what the holder of a singleton role does outside the key-value store.
+ * Implements a write-ahead log of actions that the holder of a singleton role takes outside the
+ * key-value store.
  */
 #include "intent_log_internal.h"
 
@@ -76,7 +77,7 @@
     return entry;
 }
 
-/* ---- what the holder of the role asks ---- */
+/* ---- operations of the role holder ---- */
 
 void intent_log_add(struct intent_log *log, const struct intent *intent, revision guard_revision)
 {
@@ -103,7 +104,7 @@
         return;
     entry->is_settled = true;
     if (entry->page_number == NO_PAGE)
-        return; /* it will never be written */
+        return; /* The entry is never written. */
     struct intent_log_page *page = intent_log_get_page(log, entry->page_number);
     page->size_bytes -= entry->size_bytes;
     page->is_dirty = true;
--- a/src/singleton/intent_log_pages.c
+++ b/src/singleton/intent_log_pages.c
@@ -1,19 +1,19 @@
 /**
  * @file
- * The placement of the intent log's entries on pages.
+ * Assigns the entries of the intent log to pages.
  */
 #include "intent_log_internal.h"
 
 enum {
-    /** A page without intents, with a margin. */
+    /** Size of a page without intents, with a margin. */
     EMPTY_PAGE_BYTES = 48,
-    /** Of a scale-out: brackets, commas, the kind, and the number of machines. */
+    /** Brackets, commas, the kind and the number of machines of a scale-out intent. */
     SCALE_OUT_OVERHEAD_BYTES = 24,
 };
 
 /* ---- sizes ---- */
 
-/** What a string takes in JSON with its quotes; some characters are escaped. */
+/** Returns the size of a string in JSON with its quotes, including escaped characters. */
 static gsize json_string_size_bytes(const char *string)
 {
     gsize size_bytes = 2;
@@ -31,7 +31,7 @@
     return size_bytes;
 }
 
-/* ---- agreement with the replica ---- */
+/* ---- synchronization with the replica ---- */
 
 struct intent_log_page *intent_log_get_page(struct intent_log *log, int page_number)
 {
@@ -41,8 +41,9 @@
 }
 
 /**
- * Forgets the placement of all entries. What the replica does not show on a page then counts
- * as not recorded: either it was settled and its removal was committed, or adding it was not.
+ * Clears the page assignments of all entries. An entry that the replica then shows on no page
+ * counts as not recorded: either it was settled and its removal was committed, or the transaction
+ * that added it was not committed.
  */
 static void reset_page_assignments(struct intent_log *log)
 {
@@ -94,7 +95,7 @@
     g_hash_table_foreach_remove(log->entries, is_settled_and_unrecorded, NULL);
 }
 
-/* ---- placement ---- */
+/* ---- assignment to pages ---- */
 
 bool intent_log_has_dirty_page(const struct intent_log *log)
 {
@@ -111,7 +112,10 @@
     return MAX(used_bytes, EMPTY_PAGE_BYTES) + size_bytes <= max_bytes;
 }
 
-/** The page for one more entry: one that is to be written anyway, or the first that it fits on. */
+/**
+ * Returns the number of the page for a new entry. Pages that must be written anyway come first,
+ * then other pages with enough space, then a new page.
+ */
 static int choose_page(struct intent_log *log, gsize size_bytes)
 {
     int page_count = (int)log->pages->len;
--- a/src/singleton/intent_log_writer.c
+++ b/src/singleton/intent_log_writer.c
@@ -5,16 +5,16 @@
 #include "intent_log_internal.h"
 
 enum {
-    /** After a transaction that was rejected, or while the node may not act. */
+    /** Delay after a transaction was rejected, and while the node may not act. */
     RETRY_DELAY_MS = 200,
-    /** Of the values in one transaction; the last page may exceed it. */
+    /** Limit for the values in one transaction, in bytes; the last page may exceed it. */
     MAX_TXN_VALUE_BYTES = 40000,
 };
 
-/** A transaction under way, or the wait for its outcome. */
+/** A transaction in flight, or the wait until the replica shows its outcome. */
 struct pending_write {
     struct intent_log *log;
-    /** Of the log, when it was sent. */
+    /** The generation of the log when the write was sent. */
     uint64_t generation;
 };
 
@@ -25,7 +25,7 @@
     return write;
 }
 
-/** Frees the write; returns its log, or NULL if the log was closed or opened anew since. */
+/** Frees the write. Returns its log, or NULL if the log has been closed or reopened since. */
 static struct intent_log *pending_write_end(struct pending_write *write)
 {
     struct intent_log *log = write->log;
@@ -58,7 +58,7 @@
     return false;
 }
 
-/** The outcome of the transaction under way is known, and entries and pages agree with it. */
+/** Ends a write after its outcome is known and has been applied to entries and pages. */
 static void finish_write(struct intent_log *log)
 {
     log->txn_in_flight = false;
@@ -82,7 +82,9 @@
     }
 }
 
-/** Of the entries that were written, those that were recorded before were settled, and have left.
+/**
+ * Updates the entries that the committed transaction changed. Those that were recorded before were
+ * settled, and the transaction removed them from their pages.
  */
 static void mark_entries_written(struct intent_log *log)
 {
@@ -124,7 +126,7 @@
     if (ok) {
         intent_log_read_pages(log);
         finish_write(log);
-    } else { /* the replica lags; if that lasts the role is lost */
+    } else { /* The replica lags. If that continues, this node loses the role. */
         log->reread_timed_out = true;
         intent_log_schedule_flush(log, RETRY_DELAY_MS);
     }
@@ -138,9 +140,9 @@
 }
 
 /**
- * Whether a transaction of unknown outcome was committed is seen from the pages. If it is committed
- * later still, the next write of its pages fails, as their revisions have changed, and the pages
- * are read again.
+ * Handles the outcome of a transaction. If the outcome is unknown, the pages in the replica show
+ * whether the transaction was committed. If it is committed even later, the next write of its pages
+ * fails, because their revisions have changed, and the pages are read again.
  */
 static void on_txn_done(void *arg, const struct txn_outcome *outcome)
 {
@@ -163,8 +165,8 @@
 /* ---- writing ---- */
 
 /**
- * Drops entries that were settled before they were written, and those that depend on another
- * revision of the guard key. Returns whether there were any.
+ * Drops entries that were settled before they were recorded, and unrecorded ones that depend on
+ * another revision of the guard key. Returns whether there were any.
  */
 static bool drop_obsolete_entries(struct intent_log *log, revision guard_revision)
 {
@@ -185,7 +187,10 @@
     return any_dropped;
 }
 
-/** What the page holds after this write (const struct intent *); marks what the write changes. */
+/**
+ * Returns the intents (const struct intent *) that the page contains after this write, and marks
+ * the entries that the write changes.
+ */
 static GPtrArray *collect_page_intents(struct intent_log *log, int page_number)
 {
     GPtrArray *intents = g_ptr_array_new();
@@ -203,9 +208,9 @@
 }
 
 /**
- * Adds a page to the transaction. A page without intents is written, not deleted: otherwise an
- * earlier transaction of unknown outcome, which created the page, could find it absent again, be
- * committed late, and bring settled intents back.
+ * Adds the write of a page to the transaction. A page without intents is written and not deleted.
+ * Otherwise an earlier transaction of unknown outcome, which created the page, could find the page
+ * absent again, commit late, and restore settled intents.
  */
 static void add_page_write(struct intent_log *log, struct txn *txn, int page_number)
 {
@@ -221,7 +226,7 @@
     g_free(key);
 }
 
-/** Adds the pages that are to be written, as far as one transaction holds them. */
+/** Adds dirty pages to the transaction, up to its limits. */
 static void add_dirty_pages(struct intent_log *log, struct txn *txn)
 {
     int max_pages = kv_client_limits(log->config.kv)->max_txn_operations;
--- a/src/singleton/role_codec.c
+++ b/src/singleton/role_codec.c
@@ -1,12 +1,12 @@
 /**
  * @file
- * Keys and values of singleton roles in the key-value store.
+ * Encodes and decodes the keys and values of singleton roles in the key-value store.
  */
 #include "role_codec.h"
 
 #include <stdlib.h>
 
-/** The words for the roles. They are part of the stored keys. */
+/** The names of the roles, which are part of the stored keys. */
 static const char *const role_names[ROLE_COUNT] = {"fleet", "cleanup"};
 
 /** Field names in the stored values. */
@@ -16,7 +16,7 @@
 static const char FIELD_SCALE_INS[] = "return";
 static const char FIELD_SCALE_OUTS[] = "rent";
 
-/** The elements of the array that encodes an intent to scale out. */
+/** Indices in the array that encodes a scale-out intent. */
 enum scale_out_element {
     SCALE_OUT_REQUEST_ID,
     SCALE_OUT_MACHINE_TYPE,
@@ -121,7 +121,7 @@
     return value;
 }
 
-/** Returns false if the item is no string, or too long. */
+/** Copies a JSON string to a buffer. Returns false if the item is not a string or is too long. */
 static bool copy_json_string(json_object *item, char *out, size_t size)
 {
     return json_object_is_type(item, json_type_string) &&
--- a/src/singleton/role_manager.c
+++ b/src/singleton/role_manager.c
@@ -1,45 +1,45 @@
 /**
  * @file
- * The singleton roles of one node: claims, releases, hand-overs, and whether it may act.
+ * Manages the singleton roles of this node: claims, releases, handovers, and whether it may act.
  */
 #include "role_manager.h"
 
 #include "log.h"
 
-/** Between two claims, and before the outcome of a transaction is awaited again. */
+/** Delay between claims, and before a transaction's outcome is awaited again. */
 enum { RETRY_DELAY_MS = 150 };
 
-/** The relation of this process to a role. */
+/** Whether this process holds a role, or is acquiring or releasing it. */
 enum role_phase {
     ROLE_NOT_HELD,
-    /** The transaction of a claim is under way. */
+    /** The transaction of a claim is in flight. */
     ROLE_CLAIMING,
     ROLE_HELD,
-    /** The transaction of a release or of a hand-over is under way. */
+    /** The transaction of a release or handover is in flight. */
     ROLE_RELEASING,
 };
 
-/** One role, as this process sees it. */
+/** The state of one role in this process. */
 struct role_state {
     struct role_manager *manager;
     enum singleton_role role;
     enum role_phase phase;
-    /** It is to be claimed, and kept. */
+    /** Whether this process should claim the role and keep it. */
     bool should_hold;
     /** Set while the phase is ROLE_HELD or ROLE_RELEASING. */
     fencing_token token;
-    /** The role is not claimed again before then. */
+    /** The role is not claimed again before this time. */
     mono_time next_claim_at;
-    /** The replica shows there what became of the latest transaction; 0: at the newest revision. */
+    /** The revision at which the replica shows a transaction's outcome; 0 for the newest one. */
     revision outcome_revision;
-    /** The replica was not there in time, and is to be awaited again. */
+    /** Whether the replica did not reach that revision in time and must be awaited again. */
     bool outcome_timed_out;
 };
 
 struct role_manager {
     struct role_manager_config config;
     struct role_state states[ROLE_COUNT];
-    /** struct actor. */
+    /** Array of struct actor *. */
     GPtrArray *listeners;
     struct timer retry_timer;
 };
@@ -93,7 +93,7 @@
                    g_memdup2(&change, sizeof change), g_free);
 }
 
-/* ---- the records ---- */
+/* ---- role records ---- */
 
 static lease_id get_own_lease(const struct role_manager *manager)
 {
@@ -105,7 +105,7 @@
     return role_records_get(state->manager->config.records, state->role);
 }
 
-/** Whether the record names this process as the holder. */
+/** Returns whether the record names this process as the holder. */
 static bool record_is_own(const struct role_state *state)
 {
     const struct role_record *record = get_record(state);
@@ -114,7 +114,7 @@
            strcmp(record->holder.label, state->manager->config.label) == 0;
 }
 
-/** Whether the record is that of the current holding, and not of an earlier or later one. */
+/** Returns whether the record has the token of this process's current tenure of the role. */
 static bool record_is_current(const struct role_state *state)
 {
     return record_is_own(state) && get_record(state)->token.value == state->token.value;
@@ -129,9 +129,9 @@
 }
 
 /**
- * The replica shows what became of the transaction of a claim, a release or a hand-over, so the
- * records tell who holds the role. A transaction whose outcome is unknown may still be committed
- * later; the record then changes once more.
+ * Ends a claim, release or handover once the replica shows the transaction's outcome, so that the
+ * records tell who holds the role. A transaction of unknown outcome may still be committed later;
+ * the record then changes once more.
  */
 static void on_outcome_known(void *arg, bool ok)
 {
@@ -161,7 +161,7 @@
     await_outcome(state);
 }
 
-/** A transaction that fails if the record is not of the state's token. */
+/** Creates a transaction that fails if the role's record does not have the current token. */
 static struct txn *new_guarded_txn(const struct role_state *state)
 {
     struct txn *txn = txn_new();
@@ -170,10 +170,10 @@
 }
 
 /**
- * Sends the transaction, which writes the record last.
+ * Adds the write of the role's record to the transaction and sends it.
  *
- * @param holder  NULL: the record is deleted. The record is put on the holder's lease: if that has
- *                ended the transaction is refused.
+ * @param holder  the new holder; NULL to delete the record. The record is attached to the holder's
+ *                lease, so the transaction is refused if that lease has expired.
  */
 static void send_txn(struct role_state *state, struct txn *txn, const struct role_holder *holder)
 {
@@ -200,8 +200,8 @@
 }
 
 /**
- * Gives the role up, to `successor` or, if that is NULL, to nobody. Listeners stop acting at once,
- * before the record changes.
+ * Releases the role, or hands it over to `successor` if that is not NULL. Listeners are told at
+ * once to stop acting, before the record changes.
  */
 static void send_release(struct role_state *state, const struct role_holder *successor)
 {
@@ -210,7 +210,7 @@
     send_txn(state, new_guarded_txn(state), successor);
 }
 
-/* ---- phases ---- */
+/* ---- phase changes ---- */
 
 static void mark_lost(struct role_state *state)
 {
@@ -220,9 +220,9 @@
 }
 
 /**
- * The record names this process: by its claim, by a claim whose outcome was unknown, or by another
- * node's hand-over. The replica then has all that earlier holders recorded, as the compares of
- * their writes fail from now on.
+ * Marks the role as held, because the record names this process: by its claim, by a claim whose
+ * outcome was unknown, or by another node's handover. The replica then contains all that earlier
+ * holders recorded, because the compares of their writes fail from now on.
  */
 static void mark_gained(struct role_state *state)
 {
@@ -260,7 +260,7 @@
         reconcile_role(&manager->states[i]);
 }
 
-/* ---- what the node asks ---- */
+/* ---- operations of the node ---- */
 
 void role_manager_claim(struct role_manager *manager, enum singleton_role role)
 {
--- a/src/singleton/role_records.c
+++ b/src/singleton/role_records.c
@@ -1,6 +1,6 @@
 /**
  * @file
- * A node's replica of the records of singleton roles and of the pages of intents.
+ * Implements a node's replica of the records of singleton roles and of the pages of intents.
  */
 #include "role_records.h"
 
@@ -8,9 +8,9 @@
 
 struct role_records {
     struct role_record by_role[ROLE_COUNT];
-    /** Key -> struct intent_page. */
+    /** Maps a key to its struct intent_page. */
     GHashTable *pages;
-    /** Machine id -> in how many pages an intent names it for scale-in. */
+    /** Maps a machine id to the number of scale-in intents for the machine. */
     GHashTable *scale_in_counts;
 };
 
@@ -42,13 +42,14 @@
     struct role_record record = {0};
     if (value && !role_holder_decode(value, &record.holder))
         LOG_ERROR("role_record_malformed", "role=%s", singleton_role_name(role));
-    /* Somebody holds the role all the same: nobody may claim it or act in it. */
+    /* A malformed record still means that the role is held, so no process may claim the role or act
+     * in it. */
     if (value)
         record.token.value = mod_revision.value;
     records->by_role[role] = record;
 }
 
-/** Adds `increment` (1 or -1) to the number of pages that name the machine. */
+/** Adds `increment` (1 or -1) to the number of scale-in intents for the machine. */
 static void count_scale_in(struct role_records *records, const char *machine, int increment,
                            GPtrArray *changed_machines)
 {
@@ -81,7 +82,7 @@
     return page;
 }
 
-/** Replaces a page; `position` has all of the new one but its intents. */
+/** Replaces a page, or removes it if `value` is NULL; `header` is the new page without intents. */
 static void apply_page(struct role_records *records, const char *key,
                        const struct intent_page *header, json_object *value,
                        GPtrArray *changed_machines)
--- a/src/singleton/role_records.h
+++ b/src/singleton/role_records.h
@@ -1,50 +1,51 @@
 /**
  * @file
- * A node's replica of the records of singleton roles and of the pages of intents.
+ * Implements a node's replica of the records of singleton roles and of the pages of intents.
  *
- * The replica (replica.h) feeds it with each key that it reads. No machine which an intent names
- * for scale-in may get new tasks, on any node; that is looked up here.
+ * The replica (replica.h) passes each key that it reads to this module. No node may place new tasks
+ * on a machine for which there is a scale-in intent; role_records_is_scaling_in() tells whether
+ * there is one.
  */
 #ifndef LL_ROLE_RECORDS_H
 #define LL_ROLE_RECORDS_H
 
 #include "role_codec.h"
 
-/** A page of intents as it stands in the key-value store. */
+/** A page of intents as stored in the key-value store. */
 struct intent_page {
     enum singleton_role role;
     int number;
     revision mod_revision;
-    /** struct intent. */
+    /** Array of struct intent *. */
     GPtrArray *intents;
 };
 
 struct role_records;
 
-/** Creates empty records. */
+/** Creates a replica without records. */
 struct role_records *role_records_new(void);
 /** Frees the records and their intents. */
 void role_records_free(struct role_records *records);
 
 /**
- * Takes the value of a key, if it is one of this package's.
+ * Applies the new value of a key if it is the key of a role's record or a page of intents.
  *
- * @param value             NULL: the key was deleted
- * @param changed_machines  gets the ids (new strings) of the machines for which
+ * @param value             the new value; NULL if the key was deleted
+ * @param changed_machines  receives the ids (new strings) of the machines for which
  *                          role_records_is_scaling_in() may have changed
- * @return false: the key is another package's
+ * @return whether the key is one of this module
  */
 bool role_records_apply(struct role_records *records, const char *key, json_object *value,
                         revision mod_revision, GPtrArray *changed_machines);
 
-/** Never NULL: a role that nobody holds has a record without token. */
+/** Returns the record of a role, never NULL; the token of a role that no process holds is 0. */
 const struct role_record *role_records_get(const struct role_records *records,
                                            enum singleton_role role);
 
-/** Returns a new array of all pages of a role (const struct intent_page *), in no order. */
+/** Returns a new, unordered array of all pages of a role (const struct intent_page *). */
 GPtrArray *role_records_list_pages(const struct role_records *records, enum singleton_role role);
 
-/** Whether an intent to return the machine is on record. */
+/** Returns whether an intent to return the machine to the cloud is recorded. */
 bool role_records_is_scaling_in(const struct role_records *records, const char *machine);
 
 #endif
--- a/src/singleton/role_types.h
+++ b/src/singleton/role_types.h
@@ -1,60 +1,60 @@
 /**
  * @file
- * Types that the modules of this package share with their users.
+ * Defines the types of singleton roles and intents.
  *
- * A singleton role is work that one node does for the whole cluster. Who holds it is recorded in a
- * key of the key-value store, on the holder's lease. The revision at which that key was written is
- * the fencing token of the holder: revisions only rise, so a later holder always has a higher
- * token, also if the key was deleted with its lease in between.
+ * A singleton role is work that one node does for the whole cluster. Its holder is recorded in a
+ * key of the key-value store that is attached to the holder's lease. The revision at which the key
+ * was written is the holder's fencing token. Revisions only increase, so a later holder always has
+ * a higher token, even if the key was deleted with its lease in between.
  */
 #ifndef LL_ROLE_TYPES_H
 #define LL_ROLE_TYPES_H
 
 #include "types.h"
 
-/** The singleton roles; singleton_role_name() has the word for each. */
+/** The singleton roles; singleton_role_name() returns the name of each. */
 enum singleton_role {
     /** Scales the cluster out and in. */
     ROLE_AUTOSCALER,
-    /** Deletes what departed nodes left in the key-value store. */
+    /** Deletes the keys that departed nodes left in the key-value store. */
     ROLE_GARBAGE_COLLECTOR,
     ROLE_COUNT,
 };
 
-/** Identifies one holding of a role: the revision of its record. 0: none. */
+/** Identifies one tenure of a role by the revision of its record; 0 if there is none. */
 typedef struct {
     uint64_t value;
 } fencing_token;
 
 /** A process that holds a role. */
 struct role_holder {
-    /** Of its node. */
+    /** The label of the process's node. */
     char label[64];
-    /** The lease on which its keys hang; no other process ever has the same one. */
+    /** The lease to which the process's keys are attached; no other process ever has the same. */
     lease_id incarnation;
 };
 
-/** Who holds a role, by the key-value store. */
+/** The holder of a role as recorded in the key-value store. */
 struct role_record {
     struct role_holder holder;
-    /** 0: nobody holds the role. */
+    /** The holder's fencing token; 0 if no process holds the role. */
     fencing_token token;
 };
 
-/** What the holder of a role is about to do outside the key-value store. */
+/** An action that the holder of a role is about to take outside the key-value store. */
 enum intent_kind {
-    /** Return one machine to the cloud. */
+    /** Returns one machine to the cloud. */
     INTENT_SCALE_IN,
-    /** Request machines of the cloud. */
+    /** Requests machines from the cloud. */
     INTENT_SCALE_OUT,
 };
 
-/** A write-ahead record of such an action: see intent_log.h. */
+/** A write-ahead record of an action outside the key-value store; see intent_log.h. */
 struct intent {
     enum intent_kind kind;
     /** The machine's id, or the id of the scale-out request. */
     char name[128];
-    /* The following is set for INTENT_SCALE_OUT only. */
+    /* The following fields are set for INTENT_SCALE_OUT only. */
     char type_name[48], zone[48];
     bool is_spot;
     int machine_count;
