--- a/src/cluster/lease_proxy.c
+++ b/src/cluster/lease_proxy.c
@@ -1,26 +1,26 @@
 /**
  * @file
- * Leases of machines that a node renewed in place of the machine's owner.
+ * Tracks machine leases that nodes renew in place of the machines' owners.
  */
 #include "lease_proxy.h"
 
 enum {
-    /** Between two rounds of questions to the other nodes. */
-    ASK_INTERVAL_MS = 1000,
-    /** An older replica is no proof that a node is absent. */
+    /** Minimum interval between polls of the other nodes. */
+    PROXY_POLL_INTERVAL_MS = 1000,
+    /** An older replica does not prove that a node's key is absent. */
     MAX_REPLICA_AGE_MS = 3000,
 };
 
-/** The rate of this node's clock to that of another one, at worst. */
+/** The lowest assumed ratio between the clock rates of this node and another one. */
 static const double CLOCK_RATE_MARGIN = 0.999;
 
-/** What is known of the renewals that another node may have made for machines of this node. */
+/** What is known about lease renewals that another node may have made for this node's machines. */
 struct peer_renewals {
-    /** When it was sent the question that it answered last; 0: it has answered none. */
-    mono_time asked_at;
-    /** It has renewed no lease for another node since then, by that answer. */
-    mono_time none_since;
-    /** Since when its key is gone; 0: the key is there, or that is unknown. */
+    /** When the latest request that the node answered was sent; 0 if it has answered none. */
+    mono_time answered_request_sent_at;
+    /** The node has renewed no lease for another node since this time, by its latest response. */
+    mono_time no_renewals_since;
+    /** Since when the node's key is known to be absent; 0 if it exists or its state is unknown. */
     mono_time absent_since;
 };
 
@@ -28,18 +28,21 @@
     struct loop *loop;
     struct peer_poll *poll;
     const struct replica *replica;
-    /** When this node last renewed a lease for another one; at first, the start of its process. */
+    /** When this node last renewed a lease for another node; initially its process start time. */
     mono_time last_renewal_at;
-    /** Label -> struct peer_renewals, of all other nodes. */
+    /** Maps the label of each other node to its struct peer_renewals. */
     GHashTable *peers;
     guint responses_pending;
-    /** When all of them were asked last. */
-    mono_time asked_at;
+    /** When all other nodes were last polled. */
+    mono_time last_polled_at;
 };
 
-/* A process counts from its start at the latest, so the report holds for earlier processes of the
- * node as well. */
-static int on_proxy_question(void *ctx, const char *from, const cJSON *message, cJSON **response)
+/**
+ * Handles a request for a proxy report. The reported age is never greater than this process's
+ * uptime, so the report also covers renewals by earlier processes of the node.
+ */
+static int on_proxy_report_request(void *ctx, const char *from, const cJSON *message,
+                                   cJSON **response)
 {
     (void)from;
     (void)message;
@@ -63,7 +66,7 @@
         g_hash_table_insert(proxy->peers,
                             g_strdup(g_array_index(settings->siblings, struct sibling, i).label),
                             g_new0(struct peer_renewals, 1));
-    node_rpc_register(rpc, RPC_KIND_PROXY_REPORT, on_proxy_question, proxy);
+    node_rpc_register(rpc, RPC_KIND_PROXY_REPORT, on_proxy_report_request, proxy);
     return proxy;
 }
 
@@ -73,7 +76,7 @@
     g_free(proxy);
 }
 
-void lease_proxy_note_renewal(struct lease_proxy *proxy)
+void lease_proxy_record_renewal(struct lease_proxy *proxy)
 {
     proxy->last_renewal_at = loop_now(proxy->loop);
 }
@@ -85,25 +88,25 @@
     struct proxy_report report;
     if (response->status == HTTP_STATUS_OK && proxy_report_decode(response->message, &report)) {
         int64_t age_ms = (int64_t)(report.last_renewal_age_ms * CLOCK_RATE_MARGIN);
-        peer->asked_at = response->asked_at;
-        peer->none_since = time_add_ms(loop_now(proxy->loop), -age_ms);
+        peer->answered_request_sent_at = response->request_sent_at;
+        peer->no_renewals_since = time_add_ms(loop_now(proxy->loop), -age_ms);
     }
     proxy->responses_pending--;
 }
 
-static void ask_peers(struct lease_proxy *proxy)
+static void poll_peers(struct lease_proxy *proxy)
 {
     mono_time now = loop_now(proxy->loop);
-    bool was_asked_lately =
-        proxy->asked_at.us && time_ms_since(now, proxy->asked_at) < ASK_INTERVAL_MS;
-    if (proxy->responses_pending || was_asked_lately)
+    bool was_polled_recently = proxy->last_polled_at.us &&
+                               time_ms_since(now, proxy->last_polled_at) < PROXY_POLL_INTERVAL_MS;
+    if (proxy->responses_pending || was_polled_recently)
         return;
-    proxy->asked_at = now;
+    proxy->last_polled_at = now;
     proxy->responses_pending =
-        peer_poll_ask_all(proxy->poll, RPC_KIND_PROXY_REPORT, on_proxy_response, proxy);
+        peer_poll_send_to_all(proxy->poll, RPC_KIND_PROXY_REPORT, on_proxy_response, proxy);
 }
 
-void lease_proxy_note_absent_nodes(struct lease_proxy *proxy)
+void lease_proxy_update_absent_nodes(struct lease_proxy *proxy)
 {
     mono_time now = loop_now(proxy->loop);
     bool is_fresh = proxy->replica->is_ready &&
@@ -120,19 +123,24 @@
     }
 }
 
-/** Whether the node answered, after its last renewal had expired, that it made no other. */
+/**
+ * Returns whether the node's latest response shows that it made no renewal that is still in effect:
+ * the request was sent after the last possible renewal had expired.
+ */
 static bool answered_after_expiry(const struct peer_renewals *peer, mono_time last_own_renewal,
                                   int64_t lease_ms)
 {
-    mono_time last_renewal =
-        time_before(last_own_renewal, peer->none_since) ? peer->none_since : last_own_renewal;
-    return peer->asked_at.us && time_ms_since(peer->asked_at, last_renewal) > lease_ms;
+    mono_time last_renewal = time_before(last_own_renewal, peer->no_renewals_since)
+                                 ? peer->no_renewals_since
+                                 : last_own_renewal;
+    return peer->answered_request_sent_at.us &&
+           time_ms_since(peer->answered_request_sent_at, last_renewal) > lease_ms;
 }
 
 /**
- * Whether the node's key has been gone for so long that its renewals have expired. It stops
- * renewing `max_proxy_ms` after its replica last showed its own key, whether it can be asked or
- * not.
+ * Returns whether the node's key has been absent for so long that its renewals have expired. A node
+ * stops renewing leases `max_proxy_ms` after its replica last showed its own key, so this holds
+ * even if the node cannot be polled.
  */
 static bool absent_past_expiry(const struct lease_proxy *proxy, const struct peer_renewals *peer,
                                int64_t expiry_ms)
@@ -141,10 +149,10 @@
            time_ms_since(proxy->replica->fresh_at, peer->absent_since) > expiry_ms;
 }
 
-bool lease_proxy_leases_expired(struct lease_proxy *proxy, mono_time last_own_renewal,
-                                int64_t lease_ms, int64_t max_proxy_ms)
+bool lease_proxy_have_renewals_expired(struct lease_proxy *proxy, mono_time last_own_renewal,
+                                       int64_t lease_ms, int64_t max_proxy_ms)
 {
-    lease_proxy_note_absent_nodes(proxy);
+    lease_proxy_update_absent_nodes(proxy);
     bool have_expired = true;
     GHashTableIter iter;
     struct peer_renewals *peer;
@@ -153,6 +161,6 @@
         have_expired = answered_after_expiry(peer, last_own_renewal, lease_ms) ||
                        absent_past_expiry(proxy, peer, max_proxy_ms + lease_ms);
     if (!have_expired)
-        ask_peers(proxy);
+        poll_peers(proxy);
     return have_expired;
 }
--- a/src/cluster/membership.c
+++ b/src/cluster/membership.c
@@ -1,6 +1,6 @@
 /**
  * @file
- * This node's membership in the cluster: its lease, its key, and whether it leads.
+ * Manages this node's membership in the cluster: its lease, its key, and whether it leads.
  */
 #include "membership.h"
 
@@ -10,13 +10,13 @@
 #include "stored_fields.h"
 #include "version_support.h"
 
-/** How often the state is examined, in addition to when the replica changes. */
+/** Interval between calls of reconcile(), in addition to those on changes of the replica. */
 enum { TICK_MS = 200 };
 
-/** How far this process has come in writing its key. */
+/** Progress of this process in writing its key. */
 enum join_phase {
     JOIN_NOT_SENT,
-    /** The transaction is under way, or the replica does not show its outcome yet. */
+    /** The transaction is in flight, or the replica does not show its outcome yet. */
     JOIN_IN_FLIGHT,
     JOIN_DONE,
 };
@@ -32,7 +32,7 @@
     struct leader_election *election;
     struct version_support version_support;
     enum join_phase join_phase;
-    /** Of this node's key, once it has joined. */
+    /** The revision of this node's key; valid once the node has joined. */
     revision mod_revision;
     struct timer tick_timer;
 };
@@ -87,14 +87,14 @@
                                                                   .ctx = membership,
                                                                   .on_lost = on_lease_lost,
                                                                   .on_change = on_state_change});
-    membership->election =
-        leader_election_new(&(struct leader_election_setup){.loop = loop,
-                                                            .kv = kv,
-                                                            .replica = replica,
-                                                            .label = settings->label,
-                                                            .ctx = membership,
-                                                            .on_lease_refused = on_lease_refused,
-                                                            .on_settled = on_state_change});
+    membership->election = leader_election_new(
+        &(struct leader_election_setup){.loop = loop,
+                                        .kv = kv,
+                                        .replica = replica,
+                                        .label = settings->label,
+                                        .ctx = membership,
+                                        .on_lease_refused = on_lease_refused,
+                                        .on_write_outcome_known = on_state_change});
     timer_init(&membership->tick_timer, on_tick, membership);
     replica_add_listener(replica, &membership->actor);
     return membership;
@@ -113,9 +113,9 @@
     on_tick(membership);
 }
 
-/* ---- what others ask ---- */
+/* ---- queries and requests of other modules ---- */
 
-/** What the replica has of this node's key; NULL: there is no such key. */
+/** Returns the replica's record of this node's key; NULL if the key does not exist. */
 static const struct node_record *get_own_record(const struct membership *membership)
 {
     return g_hash_table_lookup(membership->replica->nodes, membership->settings->label);
@@ -159,12 +159,12 @@
 
 bool membership_all_nodes_support(struct membership *membership, enum node_version version)
 {
-    return version_support_by_all_nodes(&membership->version_support, version);
+    return version_support_check_all_nodes(&membership->version_support, version);
 }
 
-void membership_raise_epoch(struct membership *membership, const char *why)
+void membership_raise_epoch(struct membership *membership, const char *reason)
 {
-    leader_election_request_epoch(membership->election, why);
+    leader_election_request_new_epoch(membership->election, reason);
     reconcile(membership);
 }
 
@@ -176,7 +176,7 @@
 
 /* ---- joining ---- */
 
-static void on_join_replicated(void *arg, bool ok)
+static void on_join_outcome_known(void *arg, bool ok)
 {
     struct membership *membership = arg;
     const struct node_record *node = get_own_record(membership);
@@ -195,7 +195,7 @@
     struct membership *membership = arg;
     if (outcome->status == TXN_LEASE_EXPIRED)
         node_lease_drop(membership->lease, LEASE_REFUSED);
-    replica_await_outcome(membership->replica, outcome, on_join_replicated, membership);
+    replica_await_outcome(membership->replica, outcome, on_join_outcome_known, membership);
 }
 
 static json_object *encode_node_record(const struct membership *membership)
@@ -209,7 +209,7 @@
     return record;
 }
 
-/** Gives up the leadership of an earlier process of this node. */
+/** Adds the release of the leadership, if an earlier process of this node holds it. */
 static void add_leader_release(const struct membership *membership, struct txn *txn)
 {
     const struct replica *replica = membership->replica;
@@ -219,7 +219,7 @@
     txn_delete(txn, KEY_LEADER);
 }
 
-/** Gives up the singleton roles of an earlier process of this node. */
+/** Adds the release of singleton roles that an earlier process of this node holds. */
 static void add_role_releases(const struct membership *membership, struct txn *txn)
 {
     guint max_writes = (guint)kv_client_limits(membership->kv)->max_txn_operations;
@@ -239,8 +239,8 @@
 }
 
 /**
- * Announces the version of this program. The key is on no lease: it outlives the process, as later
- * processes of the node understand as much.
+ * Adds an announcement of the version that this program understands. The key is not attached to a
+ * lease and outlives the process, because later processes of the node understand this version too.
  */
 static void add_version_announcement(const struct membership *membership, struct txn *txn)
 {
@@ -255,8 +255,9 @@
 }
 
 /**
- * Writes this node's key. An earlier process of the node is dead, so its leadership and its roles
- * are given up in the same transaction: nobody has to wait until its lease ends.
+ * Sends the transaction that writes this node's key. The same transaction releases the leadership
+ * and the roles of an earlier process of the node, which is dead, so that no node has to wait for
+ * its lease to expire.
  */
 static void send_join(struct membership *membership)
 {
@@ -273,7 +274,7 @@
     g_free(key);
 }
 
-/** Does what is due next: obtains a lease, joins, and takes part in the leader's election. */
+/** Takes the next step: requests a lease, joins the cluster, or runs the leader election. */
 static void reconcile(struct membership *membership)
 {
     lease_id incarnation = node_lease_get_id(membership->lease);
@@ -289,8 +290,8 @@
         return;
     }
     if (!membership_is_visible(membership)) {
-        /* Another process has taken this label, or the lease ended unnoticed. */
-        node_lease_drop(membership->lease, LEASE_KEY_GONE);
+        /* Another process has taken over this label, or the lease expired unnoticed. */
+        node_lease_drop(membership->lease, LEASE_KEY_LOST);
         return;
     }
     const struct candidate self = {.incarnation = incarnation,
--- a/src/cluster/shard_map.c
+++ b/src/cluster/shard_map.c
@@ -1,25 +1,25 @@
 /**
  * @file
- * The shard map: which node owns which machine.
+ * Determines which node owns a machine by the shard map.
  */
 #include "shard_map.h"
 
-/** Of FNV-1a, 64 bits. */
+/** Parameters of the 64-bit FNV-1a hash. */
 static const uint64_t FNV_OFFSET_BASIS = 0xcbf29ce484222325ULL;
 static const uint64_t FNV_PRIME = 0x100000001b3ULL;
 
-/** Separates the machine's part of a hash from the node's. */
+/** Separates the machine's part of a hash from the part of the node's label. */
 static const uint64_t PART_SEPARATOR = 0x9e3779b97f4a7c15ULL;
 
-/** FNV-1a, continued from `hash`. */
-static uint64_t hash_text(uint64_t hash, const char *text)
+/** Continues an FNV-1a hash with the bytes of a string. */
+static uint64_t hash_string(uint64_t hash, const char *string)
 {
-    for (; *text; text++)
-        hash = (hash ^ (uint8_t)*text) * FNV_PRIME;
+    for (; *string; string++)
+        hash = (hash ^ (uint8_t)*string) * FNV_PRIME;
     return hash;
 }
 
-/** Spreads differences in any bit over all bits (the finalizer of MurmurHash3). */
+/** Spreads a difference in any bit over all bits; this is the finalizer of MurmurHash3. */
 static uint64_t mix_bits(uint64_t hash)
 {
     hash ^= hash >> 33;
@@ -30,11 +30,14 @@
     return hash;
 }
 
-/** All nodes must compute the same weights, so that they agree on a machine's owner. */
+/**
+ * Returns the rendezvous hashing weight of a node for a machine. All nodes must compute the same
+ * weights, so that they agree on the owner of each machine.
+ */
 static uint64_t rendezvous_weight(const char *label, const char *machine)
 {
-    uint64_t machine_hash = hash_text(FNV_OFFSET_BASIS, machine);
-    return mix_bits(hash_text(machine_hash ^ PART_SEPARATOR, label));
+    uint64_t machine_hash = hash_string(FNV_OFFSET_BASIS, machine);
+    return mix_bits(hash_string(machine_hash ^ PART_SEPARATOR, label));
 }
 
 const char *shard_map_get_owner(const struct replica *replica, const char *machine)
--- a/src/shard/task_end.c
+++ b/src/shard/task_end.c
@@ -99,15 +99,15 @@
         int64_t cancel_ms =
             (int64_t)(settings->cancel_timeout_s * LENGTHENED_MS_PER_S) + CANCEL_MARGIN_MS;
         return time_ms_since(now, lease->owned_since) > cancel_ms &&
-               lease_proxy_leases_expired(shard->lease_proxy, lease->owned_since, lease_ms,
-                                          max_renewal_ms);
+               lease_proxy_have_renewals_expired(shard->lease_proxy, lease->owned_since, lease_ms,
+                                                 max_renewal_ms);
     }
     mono_time last_renewal_at = time_before(lease->last_renewed_at, lease->owner_token_seen_at)
                                     ? lease->owner_token_seen_at
                                     : lease->last_renewed_at;
     return time_ms_since(now, last_renewal_at) > lease_ms &&
-           lease_proxy_leases_expired(shard->lease_proxy, last_renewal_at, lease_ms,
-                                      max_renewal_ms);
+           lease_proxy_have_renewals_expired(shard->lease_proxy, last_renewal_at, lease_ms,
+                                             max_renewal_ms);
 }
 
 /** Adds a task event to the next status message, unless there are too many.
--- a/src/singleton/intent_log_pages.c
+++ b/src/singleton/intent_log_pages.c
@@ -1,37 +1,37 @@
 /**
  * @file
- * The placement of the intent log's entries on pages.
+ * Assigns the entries of the intent log to pages.
  */
 #include "intent_log_internal.h"
 
 enum {
-    /** A page without intents, with a margin. */
+    /** Size of a page without intents, with a margin. */
     EMPTY_PAGE_BYTES = 48,
-    /** Of a scale-out: brackets, commas, the kind, and the number of machines. */
+    /** Brackets, commas, the kind and the number of machines of a scale-out intent. */
     SCALE_OUT_OVERHEAD_BYTES = 24,
 };
 
 /* ---- sizes ---- */
 
-/** What a string takes in JSON with its quotes; some characters are escaped. */
-static gsize json_text_size_bytes(const char *text)
+/** Returns the size of a string in JSON with its quotes, including escaped characters. */
+static gsize json_string_size_bytes(const char *string)
 {
     gsize size_bytes = 2;
-    for (; *text; text++)
-        size_bytes += strchr("/\"\\", *text) ? 2 : 1;
+    for (; *string; string++)
+        size_bytes += strchr("/\"\\", *string) ? 2 : 1;
     return size_bytes;
 }
 
 gsize intent_log_entry_size_bytes(const struct intent *intent)
 {
-    gsize size_bytes = json_text_size_bytes(intent->name) + 1;
+    gsize size_bytes = json_string_size_bytes(intent->name) + 1;
     if (intent->kind == INTENT_SCALE_OUT)
-        size_bytes += json_text_size_bytes(intent->type_name) + json_text_size_bytes(intent->zone) +
-                      SCALE_OUT_OVERHEAD_BYTES;
+        size_bytes += json_string_size_bytes(intent->type_name) +
+                      json_string_size_bytes(intent->zone) + SCALE_OUT_OVERHEAD_BYTES;
     return size_bytes;
 }
 
-/* ---- agreement with the replica ---- */
+/* ---- synchronization with the replica ---- */
 
 struct intent_log_page *intent_log_get_page(struct intent_log *log, int page_number)
 {
@@ -41,10 +41,11 @@
 }
 
 /**
- * Forgets the placement of all entries. What the replica does not show on a page then counts
- * as not recorded: either it was settled and its removal was committed, or adding it was not.
+ * Clears the page assignments of all entries. An entry that the replica then shows on no page
+ * counts as not recorded: either it was settled and its removal was committed, or the transaction
+ * that added it was not committed.
  */
-static void reset_placement(struct intent_log *log)
+static void reset_page_assignments(struct intent_log *log)
 {
     GHashTableIter iter;
     struct intent_entry *entry;
@@ -86,7 +87,7 @@
 
 void intent_log_read_pages(struct intent_log *log)
 {
-    reset_placement(log);
+    reset_page_assignments(log);
     GPtrArray *pages = role_records_list_pages(log->config.records, log->config.role);
     for (guint i = 0; i < pages->len; i++)
         read_page(log, pages->pdata[i]);
@@ -94,7 +95,7 @@
     g_hash_table_foreach_remove(log->entries, is_settled_and_unrecorded, NULL);
 }
 
-/* ---- placement ---- */
+/* ---- assignment to pages ---- */
 
 bool intent_log_has_dirty_page(const struct intent_log *log)
 {
@@ -111,7 +112,10 @@
     return MAX(used_bytes, EMPTY_PAGE_BYTES) + size_bytes <= max_bytes;
 }
 
-/** The page for one more entry: one that is to be written anyway, or the first that it fits on. */
+/**
+ * Returns the number of the page for a new entry. Pages that must be written anyway come first,
+ * then other pages with enough space, then a new page.
+ */
 static int choose_page(struct intent_log *log, gsize size_bytes)
 {
     int page_count = (int)log->pages->len;
@@ -124,7 +128,7 @@
     return page_count;
 }
 
-void intent_log_place_entries(struct intent_log *log)
+void intent_log_assign_pages(struct intent_log *log)
 {
     GHashTableIter iter;
     struct intent_entry *entry;
--- a/src/singleton/role_codec.c
+++ b/src/singleton/role_codec.c
@@ -1,12 +1,12 @@
 /**
  * @file
- * Keys and values of singleton roles in the key-value store.
+ * Encodes and decodes the keys and values of singleton roles in the key-value store.
  */
 #include "role_codec.h"
 
 #include <stdlib.h>
 
-/** The words for the roles. They are part of the stored keys. */
+/** The names of the roles, which are part of the stored keys. */
 static const char *const role_names[ROLE_COUNT] = {"fleet", "cleanup"};
 
 /** Field names in the stored values. */
@@ -16,7 +16,7 @@
 static const char FIELD_SCALE_INS[] = "return";
 static const char FIELD_SCALE_OUTS[] = "rent";
 
-/** The elements of the array that encodes an intent to scale out. */
+/** Indices in the array that encodes a scale-out intent. */
 enum scale_out_element {
     SCALE_OUT_REQUEST_ID,
     SCALE_OUT_MACHINE_TYPE,
@@ -121,8 +121,8 @@
     return value;
 }
 
-/** Returns false if the item is no string, or too long. */
-static bool copy_text(json_object *item, char *out, size_t size)
+/** Copies a JSON string to a buffer. Returns false if the item is not a string or is too long. */
+static bool copy_json_string(json_object *item, char *out, size_t size)
 {
     return json_object_is_type(item, json_type_string) &&
            g_strlcpy(out, json_object_get_string(item), size) < size;
@@ -131,7 +131,7 @@
 static bool decode_scale_in(json_object *item, struct intent *intent)
 {
     intent->kind = INTENT_SCALE_IN;
-    return copy_text(item, intent->name, sizeof intent->name);
+    return copy_json_string(item, intent->name, sizeof intent->name);
 }
 
 static bool decode_scale_out(json_object *elements, struct intent *intent)
@@ -147,9 +147,9 @@
     intent->kind = INTENT_SCALE_OUT;
     intent->is_spot = json_object_get_boolean(is_spot);
     intent->machine_count = json_object_get_int(machine_count);
-    return copy_text(request_id, intent->name, sizeof intent->name) &&
-           copy_text(type_name, intent->type_name, sizeof intent->type_name) &&
-           copy_text(zone, intent->zone, sizeof intent->zone) &&
+    return copy_json_string(request_id, intent->name, sizeof intent->name) &&
+           copy_json_string(type_name, intent->type_name, sizeof intent->type_name) &&
+           copy_json_string(zone, intent->zone, sizeof intent->zone) &&
            json_object_is_type(is_spot, json_type_boolean) &&
            json_object_is_type(machine_count, json_type_int) && intent->machine_count > 0;
 }
--- a/src/singleton/role_records.c
+++ b/src/singleton/role_records.c
@@ -1,6 +1,6 @@
 /**
  * @file
- * A node's replica of the records of singleton roles and of the pages of intents.
+ * Implements a node's replica of the records of singleton roles and of the pages of intents.
  */
 #include "role_records.h"
 
@@ -8,9 +8,9 @@
 
 struct role_records {
     struct role_record by_role[ROLE_COUNT];
-    /** Key -> struct intent_page. */
+    /** Maps a key to its struct intent_page. */
     GHashTable *pages;
-    /** Machine id -> in how many pages an intent names it for scale-in. */
+    /** Maps a machine id to the number of scale-in intents for the machine. */
     GHashTable *scale_in_counts;
 };
 
@@ -42,13 +42,14 @@
     struct role_record record = {0};
     if (value && !role_holder_decode(value, &record.holder))
         LOG_ERROR("role_record_malformed", "role=%s", singleton_role_name(role));
-    /* Somebody holds the role all the same: nobody may claim it or act in it. */
+    /* A malformed record still means that the role is held, so no process may claim the role or act
+     * in it. */
     if (value)
         record.token.value = mod_revision.value;
     records->by_role[role] = record;
 }
 
-/** Adds `increment` (1 or -1) to the number of pages that name the machine. */
+/** Adds `increment` (1 or -1) to the number of scale-in intents for the machine. */
 static void count_scale_in(struct role_records *records, const char *machine, int increment,
                            GPtrArray *changed_machines)
 {
@@ -70,10 +71,10 @@
     }
 }
 
-static struct intent_page *decode_page(const char *key, const struct intent_page *position,
+static struct intent_page *decode_page(const char *key, const struct intent_page *header,
                                        json_object *value)
 {
-    struct intent_page *page = g_memdup2(position, sizeof *position);
+    struct intent_page *page = g_memdup2(header, sizeof *header);
     fencing_token token;
     page->intents = g_ptr_array_new_with_free_func(g_free);
     if (!intents_decode(value, &token, page->intents))
@@ -81,9 +82,9 @@
     return page;
 }
 
-/** Replaces a page; `position` has all of the new one but its intents. */
+/** Replaces a page, or removes it if `value` is NULL; `header` is the new page without intents. */
 static void apply_page(struct role_records *records, const char *key,
-                       const struct intent_page *position, json_object *value,
+                       const struct intent_page *header, json_object *value,
                        GPtrArray *changed_machines)
 {
     const struct intent_page *old_page = g_hash_table_lookup(records->pages, key);
@@ -92,7 +93,7 @@
     g_hash_table_remove(records->pages, key);
     if (!value)
         return;
-    struct intent_page *page = decode_page(key, position, value);
+    struct intent_page *page = decode_page(key, header, value);
     g_hash_table_replace(records->pages, g_strdup(key), page);
     count_page_scale_ins(records, page, 1, changed_machines);
 }
@@ -100,14 +101,14 @@
 bool role_records_apply(struct role_records *records, const char *key, json_object *value,
                         revision mod_revision, GPtrArray *changed_machines)
 {
-    struct intent_page position = {.mod_revision = mod_revision};
+    struct intent_page header = {.mod_revision = mod_revision};
     enum singleton_role role;
     if (key_role_parse(key, &role)) {
         apply_record(records, role, value, mod_revision);
         return true;
     }
-    if (key_intent_page_parse(key, &position.role, &position.number)) {
-        apply_page(records, key, &position, value, changed_machines);
+    if (key_intent_page_parse(key, &header.role, &header.number)) {
+        apply_page(records, key, &header, value, changed_machines);
         return true;
     }
     return false;
