--- a/tests/support/role_scenario.h
+++ b/tests/support/role_scenario.h
@@ -10,7 +10,7 @@
 #include "world.h"
 
 /**
- * MACHINES: machines that the cloud can rent out. MAX_PAUSED_NODES: how many of the three
+ * CLOUD_MACHINES: machines that the cloud can rent out. MAX_PAUSED_NODES: how many of the three
  * nodes may be paused at the same time.
  */
 enum { CLOUD_MACHINES = 24, MAX_PAUSED_NODES = 2 };
