--- a/src/api/api_response.c
+++ b/src/api/api_response.c
@@ -38,12 +38,12 @@
                    const struct job *job)
 {
     if (job->state == JOB_CANCELLED)
-        cancel_broadcast_confirm(api->cancel_broadcast, job->id, job->cancelled_at);
+        cancel_broadcast_confirm(api->cancel_broadcast, job->id, job->cancel_revision);
     api_reply(responder, to, HTTP_STATUS_OK, encode_job_status(job));
 }
 
 struct job *api_find_job(struct api *api, job_id id)
 {
     struct job *job = replica_get_job(api->replica, id.text);
-    return job && job->is_known ? job : NULL;
+    return job && job->is_loaded ? job : NULL;
 }
--- a/src/api/dependency_check.c
+++ b/src/api/dependency_check.c
@@ -28,7 +28,7 @@
 static void read_dependency(struct api_request *request, job_id id)
 {
     char *key = key_job(id);
-    kv_client_get(request->api->kv, KV_LANE_URGENT, key, API_RESPONSE_TIMEOUT_MS,
+    kv_client_get(request->api->kv, KV_PRIORITY_URGENT, key, API_RESPONSE_TIMEOUT_MS,
                   API_RESPONSE_TIMEOUT_MS, on_dependency_response, request);
     g_free(key);
 }
--- a/src/api/job_write.c
+++ b/src/api/job_write.c
@@ -28,7 +28,7 @@
     bool is_final = response->status == HTTP_STATUS_OK &&
                     kv_decode_value(object, &value, &job->mod_revision) &&
                     job_decode_final(job, value);
-    job->cancelled_at = job->mod_revision;
+    job->cancel_revision = job->mod_revision;
     json_object_put(object);
     return is_final;
 }
@@ -93,7 +93,7 @@
     txn_compare(txn, key, mod_revision);
     txn_put(txn, key, value, (lease_id){0});
     g_free(key);
-    kv_client_commit(request->api->kv, KV_LANE_URGENT, txn, on_job_written, request);
+    kv_client_commit(request->api->kv, KV_PRIORITY_URGENT, txn, on_job_written, request);
 }
 
 /* The value of a cancelled job's key. */
--- a/src/api/request_steps.c
+++ b/src/api/request_steps.c
@@ -33,7 +33,7 @@
 static void read_key(struct api_request *request)
 {
     char *key = key_job(request->job);
-    kv_client_get(request->api->kv, KV_LANE_URGENT, key, API_RESPONSE_TIMEOUT_MS,
+    kv_client_get(request->api->kv, KV_PRIORITY_URGENT, key, API_RESPONSE_TIMEOUT_MS,
                   API_RESPONSE_TIMEOUT_MS, on_key_response, request);
     g_free(key);
 }
--- a/src/cloud/cloud_provider.c
+++ b/src/cloud/cloud_provider.c
@@ -80,7 +80,7 @@
         .role_manager = cloud->role_manager,
         .records = cloud->replica->singleton_roles,
         .role = ROLE_AUTOSCALER,
-        .guard_key = KEY_MAP,
+        .guard_key = KEY_SHARD_MAP,
         .ctx = cloud,
         .get_guard_revision = get_shard_map_revision,
         .await_revision = await_replica_revision,
--- a/src/cloud/machine_types.c
+++ b/src/cloud/machine_types.c
@@ -80,7 +80,7 @@
         if (parts.count == 0) {
             first_value = value;
         } else {
-            char *key = g_strdup_printf(KEY_TYPES "/%u", parts.count);
+            char *key = g_strdup_printf(KEY_MACHINE_TYPES "/%u", parts.count);
             txn_put(txn, key, value, (lease_id){0});
             g_free(key);
         }
@@ -91,7 +91,7 @@
     } while (parts.is_complete && type_count < cloud->machine_types.types->len);
     if (parts.count > 1)
         json_put_u64(first_value, MACHINE_TYPES_FIELD_CONTINUATIONS, parts.count - 1);
-    txn_put(txn, KEY_TYPES, first_value, (lease_id){0});
+    txn_put(txn, KEY_MACHINE_TYPES, first_value, (lease_id){0});
     return parts;
 }
 
@@ -132,7 +132,7 @@
         return;
     }
     cloud->machine_types.is_stored = true;
-    kv_client_commit(cloud->kv, KV_LANE_NORMAL, txn, on_types_stored, cloud);
+    kv_client_commit(cloud->kv, KV_PRIORITY_NORMAL, txn, on_types_stored, cloud);
 }
 
 /* ---- reading ---- */
--- a/src/cluster/cancel_broadcast.c
+++ b/src/cluster/cancel_broadcast.c
@@ -58,7 +58,7 @@
 /** Whether the replica shows that the job has ended. */
 static bool has_ended(const struct job *job)
 {
-    return job && job->is_known && job->state != JOB_ACTIVE;
+    return job && job->is_loaded && job->state != JOB_ACTIVE;
 }
 
 static void notify_listener(struct cancel_broadcast *broadcast, job_id job)
@@ -89,7 +89,7 @@
         return;
     cancel->pending_txns = 0;
     if (job->state == JOB_CANCELLED)
-        cancel->committed_at = job->cancelled_at;
+        cancel->committed_at = job->cancel_revision;
 }
 
 /** Forgets the oldest. Nodes that may lack them learn from the reports that these are incomplete.
--- a/src/cluster/leader_election.c
+++ b/src/cluster/leader_election.c
@@ -154,7 +154,7 @@
         election->setup.on_lease_refused(election->setup.ctx);
     if (outcome->status == TXN_COMMITTED)
         election->epoch_is_requested = false;
-    replica_await_outcome(election->setup.replica, outcome, on_write_replicated, election);
+    replica_await_txn_outcome(election->setup.replica, outcome, on_write_replicated, election);
 }
 
 static void write_map(struct leader_election *election, const struct candidate *self,
@@ -166,13 +166,13 @@
     struct txn *txn = txn_new();
     txn_compare(txn, node_key, self->mod_revision);
     txn_compare(txn, KEY_LEADER, is_election ? no_leader : setup->replica->leader_mod_revision);
-    txn_compare(txn, KEY_MAP, setup->replica->shard_map_mod_revision);
+    txn_compare(txn, KEY_SHARD_MAP, setup->replica->shard_map_mod_revision);
     if (is_election)
         txn_put(txn, KEY_LEADER, encode_process(setup->label, self->incarnation),
                 self->incarnation);
-    txn_put(txn, KEY_MAP, encode_next_map(election), (lease_id){0});
+    txn_put(txn, KEY_SHARD_MAP, encode_next_map(election), (lease_id){0});
     election->write_in_flight = true;
-    kv_client_commit(setup->kv, KV_LANE_LEASE, txn, on_write_done, election);
+    kv_client_commit(setup->kv, KV_PRIORITY_LEASE, txn, on_write_done, election);
     g_free(node_key);
 }
 
--- a/src/cluster/membership.c
+++ b/src/cluster/membership.c
@@ -48,7 +48,7 @@
 
 static void on_message(struct actor *self, const struct message *message)
 {
-    if (message->kind == MSG_REPLICA)
+    if (message->kind == MSG_REPLICA_EVENTS)
         reconcile((struct membership *)self);
 }
 
@@ -195,7 +195,7 @@
     struct membership *membership = arg;
     if (outcome->status == TXN_LEASE_EXPIRED)
         node_lease_drop(membership->lease, LEASE_REFUSED);
-    replica_await_outcome(membership->replica, outcome, on_join_replicated, membership);
+    replica_await_txn_outcome(membership->replica, outcome, on_join_replicated, membership);
 }
 
 static json_object *encode_node_record(const struct membership *membership)
@@ -247,7 +247,7 @@
     const char *label = membership->settings->label;
     if (version_support_get_announced(membership->replica, label) >= NODE_VERSION_CURRENT)
         return;
-    char *key = key_version(label);
+    char *key = key_node_version(label);
     json_object *value = json_object_new_object();
     json_put_u64(value, NODE_FIELD_VERSION, NODE_VERSION_CURRENT);
     txn_put(txn, key, value, (lease_id){0});
@@ -269,7 +269,7 @@
     add_role_releases(membership, txn);
     add_version_announcement(membership, txn);
     membership->join_phase = JOIN_IN_FLIGHT;
-    kv_client_commit(membership->kv, KV_LANE_LEASE, txn, on_join_txn_done, membership);
+    kv_client_commit(membership->kv, KV_PRIORITY_LEASE, txn, on_join_txn_done, membership);
     g_free(key);
 }
 
--- a/src/cluster/version_support.c
+++ b/src/cluster/version_support.c
@@ -14,7 +14,7 @@
 {
     const struct node_record *node = g_hash_table_lookup(support->replica->nodes, label);
     bool is_announced = version_support_get_announced(support->replica, label) >= (guint)version;
-    return is_announced && (!node || node->understood_version >= (uint64_t)version);
+    return is_announced && (!node || node->supported_version >= (uint64_t)version);
 }
 
 static bool all_nodes_support(const struct version_support *support, enum node_version version)
--- a/src/kv/kv_client.c
+++ b/src/kv/kv_client.c
@@ -8,18 +8,18 @@
 
 enum {
     /** Pause after a 429. */
-    RATE_LIMITED_RETRY_MS = 120,
-    UNAVAILABLE_AFTER_SILENCE_MS = 1800,
+    RATE_LIMITED_RETRY_DELAY_MS = 120,
+    UNAVAILABLE_AFTER_NO_RESPONSE_MS = 1800,
     UNAVAILABLE_AFTER_503_MS = 150,
     /** So many 429s for writes, close to one another, mean that the write rate was lowered. */
-    RATE_LIMITED_WRITES_BEFORE_LOWERING = 4,
+    MIN_RATE_LIMITED_WRITES = 4,
     RATE_LIMITED_WINDOW_MS = 3000,
 };
 
 /** A queued or sent request. */
 struct kv_call {
     struct kv_client *kv;
-    enum kv_lane lane;
+    enum kv_priority priority;
     char *method, *path, *body;
     int response_timeout_ms, write_count;
     mono_time queue_deadline;
@@ -28,12 +28,12 @@
 };
 
 /** What keeps a call in its lane. */
-enum call_hold {
-    HOLD_NONE,
+enum call_throttle {
+    THROTTLE_NONE,
     /** The write rate: requests without writes may still be sent. */
-    HOLD_WRITES,
+    THROTTLE_WRITES,
     /** The pause after a 429 or the request rate: nothing may be sent. */
-    HOLD_ALL,
+    THROTTLE_ALL,
 };
 
 static void send_queued_calls(void *arg);
@@ -43,7 +43,7 @@
  * need more than its equal share for a while, so each uses over half; a 429 shows when the nodes
  * together were too fast.
  */
-static double node_share_of_rate(const struct kv_limits *limits)
+static double get_node_rate_share(const struct kv_limits *limits)
 {
     return limits->node_count > 1 ? 0.6 : 0.95;
 }
@@ -53,16 +53,16 @@
 {
     struct kv_client *kv = g_new0(struct kv_client, 1);
     mono_time now = loop_now(loop);
-    double node_share = node_share_of_rate(&limits);
+    double node_share = get_node_rate_share(&limits);
     kv->loop = loop;
     kv->http_client = http_client;
     kv->address = g_strdup(address);
     kv->limits = limits;
     kv->last_success_at = now;
-    kv->request_bucket = token_bucket_full(limits.rate_limit_rps * node_share, now);
-    kv->write_bucket = token_bucket_full(limits.rate_limit_write_rps * node_share, now);
-    for (int lane = 0; lane < KV_LANE_COUNT; lane++)
-        g_queue_init(&kv->lanes[lane]);
+    kv->request_bucket = token_bucket_make_full(limits.rate_limit_rps * node_share, now);
+    kv->write_bucket = token_bucket_make_full(limits.rate_limit_write_rps * node_share, now);
+    for (int priority = 0; priority < KV_PRIORITY_COUNT; priority++)
+        g_queue_init(&kv->queues[priority]);
     timer_init(&kv->queue_timer, send_queued_calls, kv);
     read_barrier_init(kv);
     return kv;
@@ -80,9 +80,9 @@
 {
     timer_stop(kv->loop, &kv->queue_timer);
     read_barrier_clear(kv);
-    for (int lane = 0; lane < KV_LANE_COUNT; lane++) {
+    for (int priority = 0; priority < KV_PRIORITY_COUNT; priority++) {
         struct kv_call *call;
-        while ((call = g_queue_pop_head(&kv->lanes[lane])))
+        while ((call = g_queue_pop_head(&kv->queues[priority])))
             call_free(call);
     }
     g_free(kv->address);
@@ -96,8 +96,9 @@
 
 bool kv_client_is_unavailable(const struct kv_client *kv)
 {
-    int64_t silent_ms = time_ms_since(loop_now(kv->loop), kv->last_success_at);
-    return silent_ms > (kv->is_refusing ? UNAVAILABLE_AFTER_503_MS : UNAVAILABLE_AFTER_SILENCE_MS);
+    int64_t elapsed_ms = time_ms_since(loop_now(kv->loop), kv->last_success_at);
+    return elapsed_ms >
+           (kv->last_status_was_503 ? UNAVAILABLE_AFTER_503_MS : UNAVAILABLE_AFTER_NO_RESPONSE_MS);
 }
 
 static void call_finish(struct kv_call *call, const struct http_response *response)
@@ -112,36 +113,36 @@
  * The write rate may be lowered without notice. One 429 only shows that all nodes together were too
  * fast for a moment; several within a short time show that less is granted now.
  */
-static void note_rate_limited_write(struct kv_client *kv)
+static void count_rate_limited_write(struct kv_client *kv)
 {
     struct kv_limits *limits = &kv->limits;
     mono_time now = loop_now(kv->loop);
-    if (time_ms_since(now, kv->rate_limited_at) > RATE_LIMITED_WINDOW_MS)
-        kv->rate_limited_writes = 0;
-    kv->rate_limited_at = now;
-    if (++kv->rate_limited_writes < RATE_LIMITED_WRITES_BEFORE_LOWERING ||
+    if (time_ms_since(now, kv->last_rate_limited_at) > RATE_LIMITED_WINDOW_MS)
+        kv->rate_limited_write_count = 0;
+    kv->last_rate_limited_at = now;
+    if (++kv->rate_limited_write_count < MIN_RATE_LIMITED_WRITES ||
         limits->rate_limit_next_write_rps >= limits->rate_limit_write_rps)
         return;
     LOG_INFO("kv_write_rate_lowered", "from=%.1f to=%.1f", limits->rate_limit_write_rps,
              limits->rate_limit_next_write_rps);
     limits->rate_limit_write_rps = limits->rate_limit_next_write_rps;
-    limits->rate_limit_lowered = true;
+    limits->is_lowered = true;
     token_bucket_set_rate(&kv->write_bucket,
-                          limits->rate_limit_write_rps * node_share_of_rate(limits));
+                          limits->rate_limit_write_rps * get_node_rate_share(limits));
 }
 
 /** A 429: the request was not carried out. It is sent again after a pause, first in its lane. */
 static void call_retry_later(struct kv_call *call)
 {
     struct kv_client *kv = call->kv;
-    kv->paused_until = time_add_ms(loop_now(kv->loop), RATE_LIMITED_RETRY_MS);
+    kv->paused_until = time_add_ms(loop_now(kv->loop), RATE_LIMITED_RETRY_DELAY_MS);
     token_bucket_drain(&kv->request_bucket);
     token_bucket_drain(&kv->write_bucket);
-    g_queue_push_head(&kv->lanes[call->lane], call);
-    timer_start(kv->loop, &kv->queue_timer, RATE_LIMITED_RETRY_MS);
+    g_queue_push_head(&kv->queues[call->priority], call);
+    timer_start(kv->loop, &kv->queue_timer, RATE_LIMITED_RETRY_DELAY_MS);
     LOG_DEBUG("kv_rate_limited", "path=%s", call->path);
     if (call->write_count)
-        note_rate_limited_write(kv);
+        count_rate_limited_write(kv);
 }
 
 static void call_on_response(void *arg, const struct http_response *response)
@@ -153,8 +154,8 @@
         return;
     }
     if (response->status > 0) {
-        kv->is_refusing = response->status == HTTP_STATUS_UNAVAILABLE;
-        if (!kv->is_refusing)
+        kv->last_status_was_503 = response->status == HTTP_STATUS_UNAVAILABLE;
+        if (!kv->last_status_was_503)
             kv->last_success_at = loop_now(kv->loop);
     }
     call_finish(call, response);
@@ -180,40 +181,41 @@
  * Whether a call has to stay in its lane now, and for how long. The node's lease must be renewed in
  * time whatever else happens, so that lane heeds only the pause after a 429.
  */
-static enum call_hold call_hold(const struct kv_call *call, mono_time now, int64_t *wait_ms)
+static enum call_throttle call_throttle(const struct kv_call *call, mono_time now, int64_t *wait_ms)
 {
     const struct kv_client *kv = call->kv;
     if (time_before(now, kv->paused_until)) {
         *wait_ms = time_ms_since(kv->paused_until, now) + 1;
-        return HOLD_ALL;
+        return THROTTLE_ALL;
     }
-    if (call->lane == KV_LANE_LEASE)
-        return HOLD_NONE;
+    if (call->priority == KV_PRIORITY_LEASE)
+        return THROTTLE_NONE;
     if (!token_bucket_has_token(&kv->request_bucket)) {
         *wait_ms = token_bucket_wait_ms(&kv->request_bucket);
-        return HOLD_ALL;
+        return THROTTLE_ALL;
     }
     if (call->write_count && !token_bucket_has_token(&kv->write_bucket)) {
         *wait_ms = token_bucket_wait_ms(&kv->write_bucket);
-        return HOLD_WRITES;
+        return THROTTLE_WRITES;
     }
-    return HOLD_NONE;
+    return THROTTLE_NONE;
 }
 
 /** Sends what a lane may send now. False: nothing may be sent from the other lanes either. */
-static bool send_lane(struct kv_client *kv, enum kv_lane lane, mono_time now, int64_t *wait_ms)
+static bool send_from_queue(struct kv_client *kv, enum kv_priority priority, mono_time now,
+                            int64_t *wait_ms)
 {
     struct kv_call *call;
-    while ((call = g_queue_peek_head(&kv->lanes[lane]))) {
+    while ((call = g_queue_peek_head(&kv->queues[priority]))) {
         if (time_before(call->queue_deadline, now)) {
-            g_queue_pop_head(&kv->lanes[lane]);
+            g_queue_pop_head(&kv->queues[priority]);
             call_finish(call, &(struct http_response){.status = HTTP_NOT_SENT});
             continue;
         }
-        enum call_hold hold = call_hold(call, now, wait_ms);
-        if (hold != HOLD_NONE)
-            return hold != HOLD_ALL;
-        g_queue_pop_head(&kv->lanes[lane]);
+        enum call_throttle throttle = call_throttle(call, now, wait_ms);
+        if (throttle != THROTTLE_NONE)
+            return throttle != THROTTLE_ALL;
+        g_queue_pop_head(&kv->queues[priority]);
         call_send(call);
     }
     return true;
@@ -227,8 +229,8 @@
     token_bucket_refill(&kv->request_bucket, now);
     token_bucket_refill(&kv->write_bucket, now);
     int64_t wait_ms = 0;
-    for (int lane = 0; lane < KV_LANE_COUNT; lane++)
-        if (!send_lane(kv, (enum kv_lane)lane, now, &wait_ms))
+    for (int priority = 0; priority < KV_PRIORITY_COUNT; priority++)
+        if (!send_from_queue(kv, (enum kv_priority)priority, now, &wait_ms))
             break;
     if (wait_ms)
         timer_start(kv->loop, &kv->queue_timer, wait_ms);
@@ -240,7 +242,7 @@
     struct kv_call *call = g_new(struct kv_call, 1);
     *call = (struct kv_call){
         .kv = kv,
-        .lane = request->lane,
+        .priority = request->priority,
         .method = g_strdup(request->method),
         .path = g_strdup(request->path),
         .body = g_strdup(request->body),
@@ -250,17 +252,17 @@
         .callback = callback,
         .callback_arg = callback_arg,
     };
-    g_queue_push_tail(&kv->lanes[call->lane], call);
+    g_queue_push_tail(&kv->queues[call->priority], call);
     send_queued_calls(kv);
 }
 
-void kv_client_get(struct kv_client *kv, enum kv_lane lane, const char *key,
+void kv_client_get(struct kv_client *kv, enum kv_priority priority, const char *key,
                    int response_timeout_ms, int queue_timeout_ms, http_response_callback callback,
                    void *callback_arg)
 {
     char *path = g_strconcat("/keys/", key, NULL);
     struct kv_request request = {
-        .lane = lane,
+        .priority = priority,
         .method = "GET",
         .path = path,
         .response_timeout_ms = response_timeout_ms,
--- a/src/kv/kv_client.h
+++ b/src/kv/kv_client.h
@@ -29,7 +29,7 @@
     int max_txn_operations;
     size_t max_value_bytes;
     /** The store has shown that the later limits hold already. */
-    bool rate_limit_lowered;
+    bool is_lowered;
     /** The longest response this process can take. */
     size_t max_response_bytes;
     /** Nodes that share the rate limits. */
@@ -49,18 +49,18 @@
 bool kv_client_is_unavailable(const struct kv_client *kv);
 
 /** Lanes in the order in which they are served. */
-enum kv_lane {
+enum kv_priority {
     /** Renewals of the node's lease: bypass the rate limits. */
-    KV_LANE_LEASE,
-    KV_LANE_URGENT,
-    KV_LANE_WATCH,
-    KV_LANE_NORMAL,
-    KV_LANE_COUNT
+    KV_PRIORITY_LEASE,
+    KV_PRIORITY_URGENT,
+    KV_PRIORITY_WATCH,
+    KV_PRIORITY_NORMAL,
+    KV_PRIORITY_COUNT
 };
 
 /** A request; the client copies the texts. */
 struct kv_request {
-    enum kv_lane lane;
+    enum kv_priority priority;
     const char *method, *path;
     /** NULL: none. */
     const char *body;
@@ -77,12 +77,12 @@
                     http_response_callback callback, void *callback_arg);
 
 /** Reads one key; the response is decoded by kv_decode_value. Times as in struct kv_request. */
-void kv_client_get(struct kv_client *kv, enum kv_lane lane, const char *key,
+void kv_client_get(struct kv_client *kv, enum kv_priority priority, const char *key,
                    int response_timeout_ms, int queue_timeout_ms, http_response_callback callback,
                    void *callback_arg);
 
 /** Sends a transaction and takes ownership of it. */
-void kv_client_commit(struct kv_client *kv, enum kv_lane lane, struct txn *txn,
+void kv_client_commit(struct kv_client *kv, enum kv_priority priority, struct txn *txn,
                       txn_callback callback, void *callback_arg);
 
 /** at_revision is set if ok. */
--- a/src/kv/kv_client_internal.h
+++ b/src/kv/kv_client_internal.h
@@ -22,18 +22,18 @@
     struct kv_limits limits;
     struct token_bucket request_bucket, write_bucket;
     /** Queues of struct kv_call. */
-    GQueue lanes[KV_LANE_COUNT];
+    GQueue queues[KV_PRIORITY_COUNT];
     /** Runs until the first queued call may be sent. */
     struct timer queue_timer;
     /** Nothing is sent before; set by a 429. */
     mono_time paused_until;
     mono_time last_success_at;
     /** The last response was a 503. */
-    bool is_refusing;
+    bool last_status_was_503;
     /** Writes answered 429, each within RATE_LIMITED_WINDOW_MS of the one before. */
-    int rate_limited_writes;
-    mono_time rate_limited_at;
-    struct read_barrier barrier;
+    int rate_limited_write_count;
+    mono_time last_rate_limited_at;
+    struct read_barrier read_barrier;
 };
 
 void read_barrier_init(struct kv_client *kv);
--- a/src/kv/kv_codec.c
+++ b/src/kv/kv_codec.c
@@ -42,10 +42,11 @@
     return *value && json_get_u64(body, FIELD_MOD_REVISION, &mod_revision->value);
 }
 
-bool kv_decode_range(json_object *body, GArray **items, revision *at_revision, bool *more)
+bool kv_decode_range(json_object *body, GArray **items, revision *at_revision, bool *has_more)
 {
     json_object *list = json_get_array(body, FIELD_ITEMS);
-    if (!list || !kv_decode_revision(body, at_revision) || !json_get_bool(body, FIELD_MORE, more))
+    if (!list || !kv_decode_revision(body, at_revision) ||
+        !json_get_bool(body, FIELD_MORE, has_more))
         return false;
     *items = items_new();
     for (size_t i = 0; i < json_object_array_length(list); i++) {
--- a/src/kv/kv_codec.h
+++ b/src/kv/kv_codec.h
@@ -30,7 +30,7 @@
  * Decodes a page of keys: a new array of struct kv_item, the revision at which it was read, and
  * whether more keys follow. Items without key, value or revision are left out.
  */
-bool kv_decode_range(json_object *body, GArray **items, revision *at_revision, bool *more);
+bool kv_decode_range(json_object *body, GArray **items, revision *at_revision, bool *has_more);
 
 /**
  * Decodes the response to a watch: a new array of struct kv_item, the changes in their order, and
--- a/src/kv/kv_commit.c
+++ b/src/kv/kv_commit.c
@@ -8,7 +8,7 @@
     TXN_RESPONSE_TIMEOUT_MS = 2500,
     TXN_QUEUE_TIMEOUT_MS = 2500,
     /** Characters of a response that go to the log. */
-    MAX_LOGGED_RESPONSE = 200,
+    MAX_LOGGED_RESPONSE_BYTES = 200,
 };
 
 /** A transaction that was sent. */
@@ -53,9 +53,9 @@
     struct txn_outcome outcome = decode_outcome(response, body);
     if (outcome.status == TXN_REJECTED && response->status == HTTP_STATUS_BAD_REQUEST) {
         LOG_ERROR("kv_txn_rejected", "response=%.*s",
-                  (int)MIN(response->body_bytes, MAX_LOGGED_RESPONSE), response->body);
+                  (int)MIN(response->body_bytes, MAX_LOGGED_RESPONSE_BYTES), response->body);
         /* Perhaps it was too large: the next transactions keep to the later, tighter limits. */
-        call->kv->limits.rate_limit_lowered = true;
+        call->kv->limits.is_lowered = true;
     }
     call->callback(call->callback_arg, &outcome);
     if (outcome.failed_keys)
@@ -64,14 +64,14 @@
     g_free(call);
 }
 
-void kv_client_commit(struct kv_client *kv, enum kv_lane lane, struct txn *txn,
+void kv_client_commit(struct kv_client *kv, enum kv_priority priority, struct txn *txn,
                       txn_callback callback, void *callback_arg)
 {
     struct txn_call *call = g_new(struct txn_call, 1);
     *call = (struct txn_call){kv, callback, callback_arg};
     json_object *body = txn_encode(txn);
     struct kv_request request = {
-        .lane = lane,
+        .priority = priority,
         .method = "POST",
         .path = "/txn",
         .body = json_object_to_json_string_ext(body, JSON_C_TO_STRING_PLAIN),
--- a/src/kv/kv_lease.c
+++ b/src/kv/kv_lease.c
@@ -7,7 +7,7 @@
                                int timeout_ms, http_response_callback callback, void *callback_arg)
 {
     struct kv_request request = {
-        .lane = KV_LANE_LEASE,
+        .priority = KV_PRIORITY_LEASE,
         .method = "POST",
         .path = path,
         .body = body,
--- a/src/kv/kv_read_barrier.c
+++ b/src/kv/kv_read_barrier.c
@@ -30,22 +30,22 @@
 
 void read_barrier_init(struct kv_client *kv)
 {
-    timer_init(&kv->barrier.timer, send_read_barrier, kv);
-    kv->barrier.waiters = waiters_new();
+    timer_init(&kv->read_barrier.timer, send_read_barrier, kv);
+    kv->read_barrier.waiters = waiters_new();
 }
 
 void read_barrier_clear(struct kv_client *kv)
 {
-    timer_stop(kv->loop, &kv->barrier.timer);
-    g_array_unref(kv->barrier.waiters);
+    timer_stop(kv->loop, &kv->read_barrier.timer);
+    g_array_unref(kv->read_barrier.waiters);
 }
 
 static void read_barrier_on_outcome(void *arg, const struct txn_outcome *outcome)
 {
     struct read_barrier_batch *batch = arg;
     struct kv_client *kv = batch->kv;
-    kv->barrier.is_in_flight = false;
-    if (kv->barrier.waiters->len)
+    kv->read_barrier.is_in_flight = false;
+    if (kv->read_barrier.waiters->len)
         send_read_barrier(kv);
     for (guint i = 0; i < batch->waiters->len; i++) {
         const struct read_barrier_waiter *waiter =
@@ -61,7 +61,7 @@
 static void send_read_barrier(void *arg)
 {
     struct kv_client *kv = arg;
-    struct read_barrier *barrier = &kv->barrier;
+    struct read_barrier *barrier = &kv->read_barrier;
     if (barrier->is_in_flight || !barrier->waiters->len || barrier->timer.queue_position)
         return;
     mono_time now = loop_now(kv->loop);
@@ -75,13 +75,13 @@
     struct read_barrier_batch *batch = g_new(struct read_barrier_batch, 1);
     *batch = (struct read_barrier_batch){kv, barrier->waiters};
     barrier->waiters = waiters_new();
-    kv_client_commit(kv, KV_LANE_URGENT, txn_new(), read_barrier_on_outcome, batch);
+    kv_client_commit(kv, KV_PRIORITY_URGENT, txn_new(), read_barrier_on_outcome, batch);
 }
 
 void kv_client_read_barrier(struct kv_client *kv, read_barrier_callback callback,
                             void *callback_arg)
 {
     struct read_barrier_waiter waiter = {callback, callback_arg};
-    g_array_append_val(kv->barrier.waiters, waiter);
+    g_array_append_val(kv->read_barrier.waiters, waiter);
     send_read_barrier(kv);
 }
--- a/src/kv/token_bucket.c
+++ b/src/kv/token_bucket.c
@@ -1,7 +1,7 @@
 /** Token bucket: see token_bucket.h. */
 #include "token_bucket.h"
 
-struct token_bucket token_bucket_full(double refill_per_s, mono_time now)
+struct token_bucket token_bucket_make_full(double refill_per_s, mono_time now)
 {
     return (struct token_bucket){refill_per_s, refill_per_s, refill_per_s, now};
 }
--- a/src/kv/token_bucket.h
+++ b/src/kv/token_bucket.h
@@ -14,7 +14,7 @@
 };
 
 /** A bucket that holds one second's refill and is full now. */
-struct token_bucket token_bucket_full(double refill_per_s, mono_time now);
+struct token_bucket token_bucket_make_full(double refill_per_s, mono_time now);
 
 /** Adds what has accrued since the last refill, up to the capacity. */
 void token_bucket_refill(struct token_bucket *bucket, mono_time now);
--- a/src/node/role_assigner.c
+++ b/src/node/role_assigner.c
@@ -102,7 +102,7 @@
 
 static void on_message(struct actor *self, const struct message *message)
 {
-    if (message->kind == MSG_REPLICA)
+    if (message->kind == MSG_REPLICA_EVENTS)
         reconcile((struct role_assigner *)self);
 }
 
--- a/src/replica/cluster_records.c
+++ b/src/replica/cluster_records.c
@@ -23,9 +23,9 @@
     node->label = g_strdup(update->name);
     node->mod_revision = update->mod_revision;
     json_get_u64(update->value, NODE_FIELD_INCARNATION, &node->incarnation.value);
-    replica_copy_text(update->value, NODE_FIELD_RPC_ADDRESS, node->rpc_address,
-                      sizeof node->rpc_address);
-    json_get_u64(update->value, NODE_FIELD_VERSION, &node->understood_version);
+    replica_copy_string(update->value, NODE_FIELD_RPC_ADDRESS, node->rpc_address,
+                        sizeof node->rpc_address);
+    json_get_u64(update->value, NODE_FIELD_VERSION, &node->supported_version);
     json_get_bool(update->value, NODE_FIELD_SINGLETON_ROLES, &node->wants_singleton_roles);
     return node;
 }
--- a/src/replica/completions_codec.c
+++ b/src/replica/completions_codec.c
@@ -8,11 +8,11 @@
 enum {
     /** Bytes of a chunk: 8,192 tasks. */
     CHUNK_BYTES = 1024,
-    CHUNK_UNITS = CHUNK_BYTES / COMPLETION_UNIT_BYTES,
+    UNITS_PER_CHUNK = CHUNK_BYTES / COMPLETION_UNIT_BYTES,
     /** Enough for the largest job, which has 100,000 tasks. */
     MAX_CHUNKS = 100000 / (8 * CHUNK_BYTES) + 1,
     /** The numbers of a word and the characters beside them, at most. */
-    MAX_NUMBER_BYTES = 22,
+    MAX_WORD_OVERHEAD_BYTES = 22,
 };
 
 void bitmap_grow(GByteArray *bitmap, guint length_bytes)
@@ -33,18 +33,18 @@
 
 gsize completions_max_bytes(job_id job, uint32_t unit, guint bitmap_bytes, bool is_legacy)
 {
-    guint leading_bytes = is_legacy ? unit % CHUNK_UNITS * COMPLETION_UNIT_BYTES : 0;
-    return strlen(job.text) + MAX_NUMBER_BYTES + 2 * (gsize)(leading_bytes + bitmap_bytes);
+    guint leading_bytes = is_legacy ? unit % UNITS_PER_CHUNK * COMPLETION_UNIT_BYTES : 0;
+    return strlen(job.text) + MAX_WORD_OVERHEAD_BYTES + 2 * (gsize)(leading_bytes + bitmap_bytes);
 }
 
 void completions_encode(GString *text, job_id job, uint32_t unit, const GByteArray *bits,
                         bool is_legacy)
 {
     static const char digits[] = "0123456789abcdef";
-    guint used_bytes = bits->len, offset = unit % CHUNK_UNITS * COMPLETION_UNIT_BYTES;
+    guint used_bytes = bits->len, offset = unit % UNITS_PER_CHUNK * COMPLETION_UNIT_BYTES;
     while (used_bytes && !bits->data[used_bytes - 1])
         used_bytes--;
-    g_string_append_printf(text, "#%s %u", job.text, unit / CHUNK_UNITS);
+    g_string_append_printf(text, "#%s %u", job.text, unit / UNITS_PER_CHUNK);
     if (offset && !is_legacy)
         g_string_append_printf(text, "+%u", offset);
     g_string_append_c(text, ':');
@@ -65,8 +65,8 @@
 }
 
 /** Calls back for each unit in a word, which may hold several. */
-static void decode_bits(job_id job, uint32_t unit, const char *hex_digits, size_t length,
-                        completions_callback callback, void *context)
+static void decode_units(job_id job, uint32_t unit, const char *hex_digits, size_t length,
+                         completions_callback callback, void *context)
 {
     for (size_t position = 0; position < length; unit++) {
         GByteArray *bytes = g_byte_array_new();
@@ -85,7 +85,7 @@
 }
 
 /** Reads "CHUNK:" or "CHUNK+BYTES:" and finds the digits behind it. False: malformed. */
-static bool decode_position(const char *word, uint32_t *unit, const char **hex_digits)
+static bool decode_chunk_position(const char *word, uint32_t *unit, const char **hex_digits)
 {
     char *rest;
     unsigned long chunk = strtoul(word, &rest, 10), offset = 0;
@@ -94,7 +94,7 @@
     if (*rest != ':' || chunk >= MAX_CHUNKS || offset >= CHUNK_BYTES ||
         offset % COMPLETION_UNIT_BYTES)
         return false;
-    *unit = (uint32_t)(chunk * CHUNK_UNITS + offset / COMPLETION_UNIT_BYTES);
+    *unit = (uint32_t)(chunk * UNITS_PER_CHUNK + offset / COMPLETION_UNIT_BYTES);
     *hex_digits = rest + 1;
     return true;
 }
@@ -110,7 +110,8 @@
         const char *hex_digits;
         if (*word == '#')
             has_job = job_id_parse(&job, page_copy_name("", word, length, name));
-        else if (has_job && g_ascii_isdigit(*word) && decode_position(word, &unit, &hex_digits))
-            decode_bits(job, unit, hex_digits, (size_t)(position - hex_digits), callback, context);
+        else if (has_job && g_ascii_isdigit(*word) &&
+                 decode_chunk_position(word, &unit, &hex_digits))
+            decode_units(job, unit, hex_digits, (size_t)(position - hex_digits), callback, context);
     }
 }
--- a/src/replica/completions_codec.h
+++ b/src/replica/completions_codec.h
@@ -4,7 +4,7 @@
  * The text is "#JOB CHUNK:BITS ...". BITS are the bits of a chunk of tasks in hexadecimal, two
  * digits for eight tasks, the first task in the lowest bit; zeros at the end are left out.
  * "CHUNK+BYTES:BITS" begins that many bytes within the chunk, so that the completions of a long job
- * are several words. Nodes of NODE_VERSION_FIRST do not understand "+": what they may read is
+ * are several words. Nodes of NODE_VERSION_INITIAL do not understand "+": what they may read is
  * encoded in the legacy form, which begins at the start of the chunk.
  */
 #ifndef LL_COMPLETIONS_CODEC_H
--- a/src/replica/job_dag.c
+++ b/src/replica/job_dag.c
@@ -8,7 +8,7 @@
 struct job_dag_node {
     job_id id;
     /** job_dag_add_job was called; until then only dependents have named it. */
-    bool is_known;
+    bool is_added;
     struct job_dag_attributes attributes;
     struct job_dag_state state;
     /** Arrays of struct job_dag_node. */
@@ -22,9 +22,9 @@
     void *context;
 };
 
-static void node_free(gpointer q)
+static void node_free(gpointer pointer)
 {
-    struct job_dag_node *node = q;
+    struct job_dag_node *node = pointer;
     g_ptr_array_unref(node->dependencies);
     g_ptr_array_unref(node->dependents);
     g_free(node);
@@ -73,7 +73,7 @@
 
 static void notify_observer(struct job_dag *dag, struct job_dag_node *node)
 {
-    if (node->is_known)
+    if (node->is_added)
         dag->observer(dag->context, node->id.text, &node->state);
 }
 
@@ -140,10 +140,10 @@
                      const job_id *dependencies, guint dependency_count)
 {
     struct job_dag_node *node = find_node(dag, id);
-    if ((!node && !dependency_count) || (node && node->is_known))
+    if ((!node && !dependency_count) || (node && node->is_added))
         return;
     node = get_or_create_node(dag, id);
-    node->is_known = true;
+    node->is_added = true;
     node->attributes = *attributes;
     for (guint i = 0; i < dependency_count; i++) {
         struct job_dag_node *dependency = get_or_create_node(dag, dependencies[i]);
@@ -180,15 +180,15 @@
 }
 
 /** Marks the direct dependents as cancelled and queues the ids of those that were not before. */
-static void cancel_dependents(struct job_dag *dag, struct job_dag_node *node, revision cancelled_at,
-                              GQueue *queued_ids)
+static void cancel_dependents(struct job_dag *dag, struct job_dag_node *node,
+                              revision cancel_revision, GQueue *queued_ids)
 {
     for (guint i = 0; i < node->dependents->len; i++) {
         struct job_dag_node *dependent = node->dependents->pdata[i];
         if (dependent->state.upstream_cancelled)
             continue;
         dependent->state.upstream_cancelled = true;
-        dependent->state.upstream_cancelled_at = cancelled_at;
+        dependent->state.upstream_cancel_revision = cancel_revision;
         notify_observer(dag, dependent);
         g_queue_push_tail(queued_ids, g_memdup2(&dependent->id, sizeof dependent->id));
     }
@@ -203,7 +203,7 @@
     }
 }
 
-void job_dag_mark_cancelled(struct job_dag *dag, job_id id, revision cancelled_at)
+void job_dag_mark_cancelled(struct job_dag *dag, job_id id, revision cancel_revision)
 {
     /* Ids, not nodes: a queued node may be freed meanwhile with its last edge. */
     GQueue queued_ids = G_QUEUE_INIT;
@@ -215,19 +215,19 @@
         g_free(next_id);
         if (!node)
             continue;
-        cancel_dependents(dag, node, cancelled_at, &queued_ids);
+        cancel_dependents(dag, node, cancel_revision, &queued_ids);
         unlink_dependents(node);
         unlink_dependencies(dag, node);
         remove_unlinked_node(dag, node);
     }
 }
 
-void job_dag_foreach_unknown(struct job_dag *dag, job_dag_unknown_callback callback, void *context)
+void job_dag_foreach_missing(struct job_dag *dag, job_dag_missing_callback callback, void *context)
 {
-    GHashTableIter it;
+    GHashTableIter iterator;
     struct job_dag_node *node;
-    g_hash_table_iter_init(&it, dag->nodes);
-    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&node))
-        if (!node->is_known)
+    g_hash_table_iter_init(&iterator, dag->nodes);
+    while (g_hash_table_iter_next(&iterator, NULL, (gpointer *)&node))
+        if (!node->is_added)
             callback(context, node->id);
 }
--- a/src/replica/job_dag.h
+++ b/src/replica/job_dag.h
@@ -30,7 +30,7 @@
     wall_time dependencies_done_at;
     /** A job that it depends on, directly or not, is cancelled. */
     bool upstream_cancelled;
-    revision upstream_cancelled_at;
+    revision upstream_cancel_revision;
     /** The highest priority of its own and those of all jobs that depend on it. */
     int inherited_priority;
     /** By when it must be done so that all jobs that depend on it can meet their deadlines. */
@@ -54,11 +54,11 @@
                      const job_id *dependencies, guint dependency_count);
 void job_dag_mark_done(struct job_dag *dag, job_id id, wall_time ended_at);
 /** Marks a job as cancelled, and with it all that depend on it, directly or not. */
-void job_dag_mark_cancelled(struct job_dag *dag, job_id id, revision cancelled_at);
+void job_dag_mark_cancelled(struct job_dag *dag, job_id id, revision cancel_revision);
 
-typedef void (*job_dag_unknown_callback)(void *context, job_id id);
+typedef void (*job_dag_missing_callback)(void *context, job_id id);
 /** Calls back for each job that others depend on and that was not reported yet, in any order. */
-void job_dag_foreach_unknown(struct job_dag *dag, job_dag_unknown_callback callback, void *context);
+void job_dag_foreach_missing(struct job_dag *dag, job_dag_missing_callback callback, void *context);
 
 /** The number of jobs held. */
 guint job_dag_size(const struct job_dag *dag);
--- a/src/replica/job_lookup.c
+++ b/src/replica/job_lookup.c
@@ -33,7 +33,7 @@
     g_free(lookup);
 }
 
-/** job_dag_unknown_callback: reads the job, unless too many are being read. */
+/** job_dag_missing_callback: reads the job, unless too many are being read. */
 static void lookup_job(void *context, job_id id)
 {
     struct replica *replica = context;
@@ -43,12 +43,12 @@
     *lookup = (struct job_lookup){replica, id};
     replica->internal->lookup.in_flight++;
     char *key = key_job(id);
-    kv_client_get(replica->kv, KV_LANE_NORMAL, key, RESPONSE_TIMEOUT_MS, QUEUE_TIMEOUT_MS,
+    kv_client_get(replica->kv, KV_PRIORITY_NORMAL, key, RESPONSE_TIMEOUT_MS, QUEUE_TIMEOUT_MS,
                   lookup_on_response, lookup);
     g_free(key);
 }
 
-void replica_lookup_unknown_jobs(struct replica *replica)
+void replica_lookup_missing_jobs(struct replica *replica)
 {
     struct replica_lookup *lookup = &replica->internal->lookup;
     mono_time now = loop_now(replica->loop);
@@ -56,5 +56,5 @@
         time_ms_since(now, lookup->started_at) < LOOKUP_INTERVAL_MS)
         return;
     lookup->started_at = now;
-    job_dag_foreach_unknown(replica->job_dag, lookup_job, replica);
+    job_dag_foreach_missing(replica->job_dag, lookup_job, replica);
 }
--- a/src/replica/jobs.c
+++ b/src/replica/jobs.c
@@ -73,12 +73,12 @@
         /* It counts from the revision of that other cancellation, without any write. */
         job->is_upstream_cancelled = true;
         job->state = JOB_CANCELLED;
-        job->cancelled_at = dag_state->upstream_cancelled_at;
+        job->cancel_revision = dag_state->upstream_cancel_revision;
     }
     add_job_event(replica, job);
 }
 
-static struct job_dag_attributes job_dag_attributes_of(const struct job *job)
+static struct job_dag_attributes get_job_dag_attributes(const struct job *job)
 {
     const struct job_spec *spec = job->spec;
     wall_time deadline = NO_DEADLINE;
@@ -96,9 +96,9 @@
     if (job->state == JOB_DONE) {
         job_dag_mark_done(replica->job_dag, job->id, job->ended_at);
     } else if (job->state == JOB_CANCELLED) {
-        job_dag_mark_cancelled(replica->job_dag, job->id, job->cancelled_at);
+        job_dag_mark_cancelled(replica->job_dag, job->id, job->cancel_revision);
     } else if (job->spec) {
-        struct job_dag_attributes attributes = job_dag_attributes_of(job);
+        struct job_dag_attributes attributes = get_job_dag_attributes(job);
         job_dag_add_job(replica->job_dag, job->id, &attributes, NULL, 0);
     }
 }
@@ -107,7 +107,7 @@
 static void add_to_job_dag(struct replica *replica, struct job *job)
 {
     const struct job_spec *spec = job->spec;
-    struct job_dag_attributes attributes = job_dag_attributes_of(job);
+    struct job_dag_attributes attributes = get_job_dag_attributes(job);
     job->eligible_at = job->submitted_at;
     job->inherited_deadline = attributes.deadline;
     job->inherited_priority = attributes.priority;
@@ -115,7 +115,7 @@
                     spec->dependency_count);
     for (guint i = 0; i < spec->dependency_count; i++) {
         struct job *dependency = replica_get_job(replica, spec->dependencies[i].text);
-        if (dependency && dependency->is_known)
+        if (dependency && dependency->is_loaded)
             report_state_to_job_dag(replica, dependency);
     }
 }
@@ -152,11 +152,11 @@
 {
     discard_spec(job);
     discard_completions(job);
-    if (!job->is_finished)
+    if (!job->is_final)
         g_queue_push_tail(&replica->internal->finished_job_ids, g_strdup(job->id.text));
-    job->is_finished = true;
-    if (!job->cancelled_at.value)
-        job->cancelled_at = mod_revision;
+    job->is_final = true;
+    if (!job->cancel_revision.value)
+        job->cancel_revision = mod_revision;
     report_state_to_job_dag(replica, job);
 }
 
@@ -177,20 +177,20 @@
 }
 
 /** A job that is not finished. False: its value cannot be read. */
-static bool apply_unfinished(struct replica *replica, struct job *job,
-                             const struct key_update *update)
+static bool apply_submitted(struct replica *replica, struct job *job,
+                            const struct key_update *update)
 {
     uint64_t submitted_ms = 0;
     bool is_cancelled = false, is_new = !job->spec;
     json_get_bool(update->value, JOB_FIELD_IS_CANCELLED, &is_cancelled);
     json_get_u64(update->value, JOB_FIELD_SUBMITTED_MS, &submitted_ms);
     if (is_cancelled && job->state != JOB_CANCELLED)
-        job->cancelled_at = update->mod_revision;
+        job->cancel_revision = update->mod_revision;
     job->state = is_cancelled || job->is_upstream_cancelled ? JOB_CANCELLED : JOB_ACTIVE;
     job->submitted_at.ms = (int64_t)submitted_ms;
     if (is_new && !decode_spec(job, update->value))
         return false;
-    job->is_known = true;
+    job->is_loaded = true;
     if (is_new)
         add_to_job_dag(replica, job);
     if (job->state == JOB_CANCELLED)
@@ -205,9 +205,9 @@
         return;
     if (job_decode_final(job, update->value))
         apply_final(replica, job, update->mod_revision);
-    else if (update->value && !apply_unfinished(replica, job, update))
+    else if (update->value && !apply_submitted(replica, job, update))
         return;
-    job->is_known = update->value != NULL;
+    job->is_loaded = update->value != NULL;
     job->mod_revision = update->mod_revision;
     add_job_event(replica, job);
 }
@@ -216,8 +216,8 @@
 {
     struct replica *replica = context;
     struct job *job = replica_get_or_create_job(replica, id.text);
-    bool is_finished = job && job->is_known && !job->spec;
-    if (!job || is_finished)
+    bool is_final = job && job->is_loaded && !job->spec;
+    if (!job || is_final)
         return;
     if (!job->completion_bits)
         job->completion_bits = g_byte_array_new();
--- a/src/replica/kv_keys.c
+++ b/src/replica/kv_keys.c
@@ -18,14 +18,14 @@
     return g_strconcat(KEY_NODE_PREFIX, label, NULL);
 }
 
-char *key_version(const char *label)
+char *key_node_version(const char *label)
 {
-    return g_strconcat(KEY_VERSION_PREFIX, label, NULL);
+    return g_strconcat(KEY_NODE_VERSION_PREFIX, label, NULL);
 }
 
 char *key_record_page(const char *label, int number)
 {
-    return g_strdup_printf(KEY_PAGE_PREFIX "%s/%d", label, number);
+    return g_strdup_printf(KEY_RECORD_PAGE_PREFIX "%s/%d", label, number);
 }
 
 char *key_inventory(const char *label, int number)
@@ -36,7 +36,7 @@
 bool key_parse_page(const char *key, char **label, int *number)
 {
     /* Both prefixes have the same length. */
-    const char *name = key + strlen(KEY_PAGE_PREFIX), *slash = strrchr(key, '/');
+    const char *name = key + strlen(KEY_RECORD_PAGE_PREFIX), *slash = strrchr(key, '/');
     if (slash <= name)
         return false;
     *label = g_strndup(name, (gsize)(slash - name));
--- a/src/replica/kv_keys.h
+++ b/src/replica/kv_keys.h
@@ -13,9 +13,9 @@
 /** The node that leads; attached to its lease. */
 #define KEY_LEADER "ll/leader"
 /** The shard map: its epoch and the nodes that own machines in it. */
-#define KEY_MAP "ll/map"
+#define KEY_SHARD_MAP "ll/map"
 /** Machine types; continued in ll/types/1 and so on where that would be too long. */
-#define KEY_TYPES "ll/types"
+#define KEY_MACHINE_TYPES "ll/types"
 /** Features that are on for all nodes. */
 #define KEY_FEATURES "ll/features"
 
@@ -26,9 +26,9 @@
 /** ll/n/LABEL: a live node; attached to its lease. */
 #define KEY_NODE_PREFIX "ll/n/"
 /** ll/v/LABEL: the version that a process of the node has understood; never deleted. */
-#define KEY_VERSION_PREFIX "ll/v/"
+#define KEY_NODE_VERSION_PREFIX "ll/v/"
 /** ll/p/LABEL/N: a page of the node's run records and completions. */
-#define KEY_PAGE_PREFIX "ll/p/"
+#define KEY_RECORD_PAGE_PREFIX "ll/p/"
 /** ll/a/LABEL/N: an inventory of the node's machines. */
 #define KEY_INVENTORY_PREFIX "ll/a/"
 /** Run records of a machine, as an early version stored them; not understood any more. */
@@ -38,7 +38,7 @@
 char *key_job(job_id id);
 char *key_machine(machine_id id);
 char *key_node(const char *label);
-char *key_version(const char *label);
+char *key_node_version(const char *label);
 char *key_record_page(const char *label, int number);
 char *key_inventory(const char *label, int number);
 
--- a/src/replica/machine_types.c
+++ b/src/replica/machine_types.c
@@ -23,8 +23,8 @@
 /** Part number 0 is that of ll/types. NULL: not read yet. */
 static const struct machine_type_part *find_part(struct replica *replica, uint64_t number)
 {
-    char *key =
-        number ? g_strdup_printf(KEY_TYPES "/%" G_GUINT64_FORMAT, number) : g_strdup(KEY_TYPES);
+    char *key = number ? g_strdup_printf(KEY_MACHINE_TYPES "/%" G_GUINT64_FORMAT, number)
+                       : g_strdup(KEY_MACHINE_TYPES);
     const struct machine_type_part *part =
         g_hash_table_lookup(replica->internal->machine_type_parts, key);
     g_free(key);
@@ -32,7 +32,7 @@
 }
 
 /** Adds the types of all parts to an array. False: a part is missing, or of another revision. */
-static bool join_parts(struct replica *replica, json_object *types)
+static bool append_types_of_all_parts(struct replica *replica, json_object *types)
 {
     const struct machine_type_part *first = find_part(replica, 0);
     uint64_t continuation_count = 0;
@@ -52,10 +52,10 @@
 }
 
 /** The whole list; NULL: not complete, or malformed. */
-static GArray *decode_parts(struct replica *replica)
+static GArray *decode_complete_list(struct replica *replica)
 {
     json_object *list = json_object_new_object(), *types = json_object_new_array();
-    bool is_complete = join_parts(replica, types);
+    bool is_complete = append_types_of_all_parts(replica, types);
     json_object_object_add(list, MACHINE_TYPES_FIELD_TYPES, types);
     GArray *machine_types = is_complete ? machine_types_decode(list) : NULL;
     json_object_put(list);
@@ -72,7 +72,7 @@
     struct machine_type_part *part = g_new(struct machine_type_part, 1);
     *part = (struct machine_type_part){json_object_get(update->value), update->mod_revision};
     g_hash_table_replace(parts, g_strdup(update->key), part);
-    GArray *machine_types = decode_parts(replica);
+    GArray *machine_types = decode_complete_list(replica);
     if (!machine_types)
         return;
     if (replica->machine_types)
--- a/src/replica/machines.c
+++ b/src/replica/machines.c
@@ -37,10 +37,10 @@
 
 static void decode_machine(struct machine_record *machine, json_object *value)
 {
-    replica_copy_text(value, MACHINE_FIELD_ADDRESS, machine->address, sizeof machine->address);
-    replica_copy_text(value, MACHINE_FIELD_TYPE, machine->machine_type_name,
-                      sizeof machine->machine_type_name);
-    replica_copy_text(value, MACHINE_FIELD_ZONE, machine->zone, sizeof machine->zone);
+    replica_copy_string(value, MACHINE_FIELD_ADDRESS, machine->address, sizeof machine->address);
+    replica_copy_string(value, MACHINE_FIELD_TYPE, machine->machine_type_name,
+                        sizeof machine->machine_type_name);
+    replica_copy_string(value, MACHINE_FIELD_ZONE, machine->zone, sizeof machine->zone);
     json_get_bool(value, MACHINE_FIELD_IS_SPOT, &machine->is_spot);
     g_clear_pointer(&machine->description, g_free);
     json_object *images = json_get_array(value, MACHINE_FIELD_IMAGES);
--- a/src/replica/read_barrier.c
+++ b/src/replica/read_barrier.c
@@ -104,8 +104,8 @@
         replica_read_barrier(replica, callback, callback_arg);
 }
 
-void replica_await_outcome(struct replica *replica, const struct txn_outcome *outcome,
-                           replica_callback callback, void *callback_arg)
+void replica_await_txn_outcome(struct replica *replica, const struct txn_outcome *outcome,
+                               replica_callback callback, void *callback_arg)
 {
     if (outcome->status == TXN_COMMITTED || outcome->status == TXN_CONFLICT)
         replica_await_revision(replica, outcome->at_revision, callback, callback_arg);
--- a/src/replica/record_page_codec.c
+++ b/src/replica/record_page_codec.c
@@ -9,7 +9,7 @@
     /** Characters at the end of a machine's name that never belong to the shared prefix. */
     UNSHARED_SUFFIX_CHARS = 3,
     /** Address, machine type, zone and whether it is a spot machine. */
-    DESCRIPTION_PARTS = 4,
+    DESCRIPTION_FIELD_COUNT = 4,
 };
 
 char *machine_description_encode(const char *address, const char *machine_type_name,
@@ -25,23 +25,23 @@
 
 bool machine_description_decode(const char *text, struct machine_description *description)
 {
-    char **parts = g_strsplit(text, ",", -1);
-    bool is_valid = g_strv_length(parts) == DESCRIPTION_PARTS;
+    char **fields = g_strsplit(text, ",", -1);
+    bool is_valid = g_strv_length(fields) == DESCRIPTION_FIELD_COUNT;
     if (is_valid) {
-        g_strlcpy(description->address, parts[0], sizeof description->address);
-        g_strlcpy(description->machine_type_name, parts[1], sizeof description->machine_type_name);
-        g_strlcpy(description->zone, parts[2], sizeof description->zone);
-        description->is_spot = strcmp(parts[3], "1") == 0;
+        g_strlcpy(description->address, fields[0], sizeof description->address);
+        g_strlcpy(description->machine_type_name, fields[1], sizeof description->machine_type_name);
+        g_strlcpy(description->zone, fields[2], sizeof description->zone);
+        description->is_spot = strcmp(fields[3], "1") == 0;
     }
-    g_strfreev(parts);
+    g_strfreev(fields);
     return is_valid;
 }
 
 /* ---- run records ---- */
 
 /** Orders by job, then by attempt. */
-static int compare_attempts(const struct record_page_entry *left,
-                            const struct record_page_entry *right)
+static int compare_jobs_and_attempts(const struct record_page_entry *left,
+                                     const struct record_page_entry *right)
 {
     int job_order = strcmp(left->job.text, right->job.text);
     if (job_order != 0)
@@ -60,7 +60,7 @@
 static gint compare_by_job(gconstpointer a, gconstpointer b)
 {
     const struct record_page_entry *left = a, *right = b;
-    int order = compare_attempts(left, right);
+    int order = compare_jobs_and_attempts(left, right);
     if (order == 0)
         order = strcmp(left->machine.text, right->machine.text);
     return order ? order : compare_task_indexes(left, right);
@@ -71,7 +71,7 @@
     const struct record_page_entry *left = a, *right = b;
     int order = strcmp(left->machine.text, right->machine.text);
     if (order == 0)
-        order = compare_attempts(left, right);
+        order = compare_jobs_and_attempts(left, right);
     return order ? order : compare_task_indexes(left, right);
 }
 
@@ -80,7 +80,7 @@
  * last characters. It stays the same as long as any name with it is left on the page; after that,
  * all others were written in full already. That keeps a page of fewer records from being longer.
  */
-static char *shared_name_prefix(const GArray *entries)
+static char *find_shared_name_prefix(const GArray *entries)
 {
     const char *first = NULL;
     for (guint i = 0; i < entries->len; i++) {
@@ -122,16 +122,16 @@
 {
     const struct record_page_entry *previous = writer->previous;
     bool job_first = writer->job_first;
-    bool same_attempt = previous && compare_attempts(previous, entry) == 0;
+    bool same_attempt = previous && compare_jobs_and_attempts(previous, entry) == 0;
     bool same_job = previous && job_id_equal(previous->job, entry->job);
     bool same_machine = previous && machine_id_equal(previous->machine, entry->machine) &&
                         (same_attempt || !job_first);
-    bool keeps_order = same_machine || job_first;
+    bool keeps_job_words = same_machine || job_first;
     if (!same_machine && !job_first)
         write_machine(writer, entry);
-    if (!same_job || !keeps_order)
+    if (!same_job || !keeps_job_words)
         g_string_append_printf(writer->text, "#%s ", entry->job.text);
-    if (!same_attempt || !keeps_order)
+    if (!same_attempt || !keeps_job_words)
         g_string_append_printf(writer->text, "*%" G_GUINT64_FORMAT " ", entry->attempt.value);
     if (!same_machine && job_first)
         write_machine(writer, entry);
@@ -144,7 +144,7 @@
 {
     struct page_writer writer = {
         .text = g_string_new(NULL),
-        .prefix = is_legacy ? g_strdup("") : shared_name_prefix(entries),
+        .prefix = is_legacy ? g_strdup("") : find_shared_name_prefix(entries),
         .described_machines = g_hash_table_new(g_str_hash, g_str_equal),
         .job_first = job_first,
     };
--- a/src/replica/record_page_codec.h
+++ b/src/replica/record_page_codec.h
@@ -6,7 +6,7 @@
  * A page is a text of words. "@MACHINE", "#JOB" and "*ATTEMPT" each hold until the next of their
  * kind; a number is a task. "=ADDRESS,TYPE,ZONE,SPOT" behind "@MACHINE" describes the machine as
  * long as nothing else does. "^TEXT" is the prefix of machines' names from there on, "&MACHINE" a
- * full name in spite of it. Nodes of NODE_VERSION_FIRST understand neither "^" nor "&": what they
+ * full name in spite of it. Nodes of NODE_VERSION_INITIAL understand neither "^" nor "&": what they
  * may read is encoded in the legacy form, without them.
  */
 #ifndef LL_RECORD_PAGE_CODEC_H
--- a/src/replica/reload.c
+++ b/src/replica/reload.c
@@ -7,9 +7,9 @@
 #include "replica_internal.h"
 
 /** Keys in one response. */
-enum { RELOAD_PAGE_KEYS = 500 };
+enum { MAX_KEYS_PER_RESPONSE = 500 };
 
-static void request_page(struct replica *replica);
+static void request_key_range(struct replica *replica);
 
 bool replica_is_reloading(const struct replica *replica)
 {
@@ -22,7 +22,7 @@
     g_clear_pointer(&reload->last_key, g_free);
 }
 
-static void apply_page(struct replica *replica, const GArray *items)
+static void apply_key_range(struct replica *replica, const GArray *items)
 {
     struct replica_reload *reload = &replica->internal->reload;
     const char *last_key = NULL;
@@ -77,37 +77,38 @@
     replica_watch(replica);
 }
 
-static void page_on_response(void *arg, const struct http_response *response)
+static void key_range_on_response(void *arg, const struct http_response *response)
 {
     struct replica *replica = arg;
     struct replica_reload *reload = &replica->internal->reload;
     json_object *body = kv_parse_response(response);
     GArray *items;
     revision at_revision;
-    bool more;
-    if (!kv_decode_range(body, &items, &at_revision, &more)) {
+    bool has_more;
+    if (!kv_decode_range(body, &items, &at_revision, &has_more)) {
         json_object_put(body);
-        replica_watch_retry(replica);
+        replica_schedule_watch_retry(replica);
         return;
     }
     if (!reload->last_key) /* the first page */
         reload->base_revision = at_revision;
-    apply_page(replica, items);
+    apply_key_range(replica, items);
     g_array_unref(items);
     json_object_put(body);
-    if (more && reload->last_key)
-        request_page(replica);
+    if (has_more && reload->last_key)
+        request_key_range(replica);
     else
         finish_reload(replica);
 }
 
-static void request_page(struct replica *replica)
+static void request_key_range(struct replica *replica)
 {
     const char *last_key = replica->internal->reload.last_key;
-    char *path = last_key ? g_strdup_printf("/keys?Starts=" KEY_ROOT "&From=%s&Page=%d", last_key,
-                                            RELOAD_PAGE_KEYS)
-                          : g_strdup_printf("/keys?Starts=" KEY_ROOT "&Page=%d", RELOAD_PAGE_KEYS);
-    replica_send_request(replica, path, RESPONSE_TIMEOUT_MS, page_on_response);
+    char *path = last_key
+                     ? g_strdup_printf("/keys?Starts=" KEY_ROOT "&From=%s&Page=%d", last_key,
+                                       MAX_KEYS_PER_RESPONSE)
+                     : g_strdup_printf("/keys?Starts=" KEY_ROOT "&Page=%d", MAX_KEYS_PER_RESPONSE);
+    replica_send_request(replica, path, RESPONSE_TIMEOUT_MS, key_range_on_response);
     g_free(path);
 }
 
@@ -118,5 +119,5 @@
         internal->reload.seen_keys = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
         internal->watch.requested_at = loop_now(replica->loop);
     }
-    request_page(replica);
+    request_key_range(replica);
 }
--- a/src/replica/replica.c
+++ b/src/replica/replica.c
@@ -11,7 +11,7 @@
 {
     struct replica *replica = arg;
     replica_expire_waiters(replica);
-    replica_lookup_unknown_jobs(replica);
+    replica_lookup_missing_jobs(replica);
     timer_start(replica->loop, &replica->internal->expiry_timer, EXPIRY_CHECK_INTERVAL_MS);
 }
 
@@ -106,7 +106,7 @@
     return g_hash_table_lookup(replica->machines, id);
 }
 
-void replica_copy_text(json_object *value, const char *field, char *out, size_t size)
+void replica_copy_string(json_object *value, const char *field, char *out, size_t size)
 {
     const char *text;
     if (json_get_text(value, field, &text))
@@ -138,7 +138,7 @@
     replica_evict_finished_jobs(replica);
     if (internal->pending_events->len && replica->is_ready) {
         for (guint i = 0; i < internal->listeners->len; i++)
-            actor_send(replica->loop, internal->listeners->pdata[i], MSG_REPLICA,
+            actor_send(replica->loop, internal->listeners->pdata[i], MSG_REPLICA_EVENTS,
                        g_array_ref(internal->pending_events), unref_events);
         g_array_unref(internal->pending_events);
         internal->pending_events = g_array_new(FALSE, TRUE, sizeof(struct replica_event));
@@ -192,19 +192,19 @@
 static const struct key_handler key_handlers[] = {
     {KEY_JOB_PREFIX, false, replica_apply_job},
     {KEY_MACHINE_PREFIX, false, replica_apply_machine},
-    {KEY_PAGE_PREFIX, false, replica_apply_page},
+    {KEY_RECORD_PAGE_PREFIX, false, replica_apply_page},
     {KEY_LEGACY_RECORDS_PREFIX, false, apply_legacy_records},
     {KEY_NODE_PREFIX, false, replica_apply_node},
     {KEY_INVENTORY_PREFIX, false, replica_apply_inventory},
-    {KEY_VERSION_PREFIX, false, replica_apply_version},
+    {KEY_NODE_VERSION_PREFIX, false, replica_apply_version},
     {KEY_LEADER, true, replica_apply_leader},
-    {KEY_MAP, true, replica_apply_shard_map},
+    {KEY_SHARD_MAP, true, replica_apply_shard_map},
     {KEY_FEATURES, true, replica_apply_features},
-    {KEY_TYPES, false, replica_apply_machine_types},
+    {KEY_MACHINE_TYPES, false, replica_apply_machine_types},
     {KEY_ROOT, false, replica_apply_singleton_role},
 };
 
-static bool handles_key(const struct key_handler *handler, const char *key)
+static bool matches_key(const struct key_handler *handler, const char *key)
 {
     return handler->is_whole_key ? strcmp(key, handler->prefix) == 0
                                  : g_str_has_prefix(key, handler->prefix);
@@ -214,7 +214,7 @@
 {
     for (guint i = 0; i < G_N_ELEMENTS(key_handlers); i++) {
         const struct key_handler *handler = &key_handlers[i];
-        if (!handles_key(handler, update.key))
+        if (!matches_key(handler, update.key))
             continue;
         update.name = update.key + strlen(handler->prefix);
         handler->apply(replica, &update);
--- a/src/replica/replica.h
+++ b/src/replica/replica.h
@@ -18,8 +18,8 @@
 /** What an event is about. */
 enum replica_event_kind {
     REPLICA_EVENT_JOB,
-    REPLICA_EVENT_RUN_RECORDED,
-    REPLICA_EVENT_RUN_REMOVED,
+    REPLICA_EVENT_RUN_RECORD_ADDED,
+    REPLICA_EVENT_RUN_RECORD_REMOVED,
     REPLICA_EVENT_MACHINE,
     REPLICA_EVENT_PAGE,
     REPLICA_EVENT_INVENTORY,
@@ -47,7 +47,7 @@
 };
 
 /** The message that listeners get; its body is a GArray of struct replica_event, in their order. */
-enum { MSG_REPLICA = 100 };
+enum { MSG_REPLICA_EVENTS = 100 };
 
 /** The replica. Others only read it, except for max_finished_jobs. */
 struct replica {
@@ -104,7 +104,7 @@
 struct replica *replica_new(struct loop *loop, struct kv_client *kv);
 /** Frees the replica with all records; waiting callers are not called back. */
 void replica_free(struct replica *replica);
-/** Sends MSG_REPLICA to the listener from now on. */
+/** Sends MSG_REPLICA_EVENTS to the listener from now on. */
 void replica_add_listener(struct replica *replica, struct actor *listener);
 /** Starts reading all keys, and then watches them. */
 void replica_start(struct replica *replica);
@@ -133,7 +133,7 @@
  * Calls back once the replica shows what became of a transaction: at the revision of its outcome;
  * without one, as replica_read_barrier.
  */
-void replica_await_outcome(struct replica *replica, const struct txn_outcome *outcome,
-                           replica_callback callback, void *callback_arg);
+void replica_await_txn_outcome(struct replica *replica, const struct txn_outcome *outcome,
+                               replica_callback callback, void *callback_arg);
 
 #endif
--- a/src/replica/replica_internal.h
+++ b/src/replica/replica_internal.h
@@ -79,7 +79,7 @@
 /* ---- replica.c ---- */
 
 /** Copies a text field if it is there; a longer one is cut. */
-void replica_copy_text(json_object *value, const char *field, char *out, size_t size);
+void replica_copy_string(json_object *value, const char *field, char *out, size_t size);
 /** Adds an event to those that are published next. */
 void replica_add_event(struct replica *replica, struct replica_event event);
 /** Adds an event about a page or an inventory. */
@@ -157,7 +157,7 @@
 void replica_send_request(struct replica *replica, const char *path, int response_timeout_ms,
                           http_response_callback callback);
 /** Repeats a failed request after a pause. */
-void replica_watch_retry(struct replica *replica);
+void replica_schedule_watch_retry(struct replica *replica);
 /** Notes that the records reflect all that was stored when the last request was sent. */
 void replica_mark_fresh(struct replica *replica);
 
@@ -172,7 +172,7 @@
 /* ---- job_lookup.c ---- */
 
 /** Reads jobs that others depend on and that are not in memory. */
-void replica_lookup_unknown_jobs(struct replica *replica);
+void replica_lookup_missing_jobs(struct replica *replica);
 
 /* ---- read_barrier.c ---- */
 
--- a/src/replica/replica_records.h
+++ b/src/replica/replica_records.h
@@ -11,7 +11,7 @@
 /** What a node understands, as its own key says. */
 enum node_version {
     /** The key says nothing. */
-    NODE_VERSION_FIRST = 0,
+    NODE_VERSION_INITIAL = 0,
     /**
      * Jobs may depend on others, a machine's records may be on several pages, and completions may
      * begin within a chunk.
@@ -29,9 +29,9 @@
 struct job {
     job_id id;
     /** Its key was seen; otherwise only pages name it. */
-    bool is_known;
+    bool is_loaded;
     /** Its key will not change any more. */
-    bool is_finished;
+    bool is_final;
     enum job_state state;
     revision mod_revision;
     /** NULL once it is finished. */
@@ -50,7 +50,7 @@
     /** It is cancelled because a job that it depends on is. */
     bool is_upstream_cancelled;
     /** The revision of the first cancellation that applies to it. */
-    revision cancelled_at;
+    revision cancel_revision;
     /** One bit a task; NULL: no task is completed. */
     GByteArray *completion_bits;
     uint32_t task_count, completed_count;
@@ -107,7 +107,7 @@
     /** Array of struct run_record. */
     GPtrArray *run_records;
     /** The completions as they are stored (completions_codec.h). */
-    char *completions_text;
+    char *encoded_completions;
     /** Length of the texts of records and completions. */
     gsize size_bytes;
     /** Counts the times that it was read. */
@@ -122,7 +122,7 @@
     lease_id incarnation;
     revision mod_revision;
     /** See enum node_version. */
-    uint64_t understood_version;
+    uint64_t supported_version;
     /** Its operators have switched singleton roles on. */
     bool wants_singleton_roles;
 };
--- a/src/replica/run_records.c
+++ b/src/replica/run_records.c
@@ -8,7 +8,7 @@
     g_ptr_array_unref(page->run_records);
     g_free(page->key);
     g_free(page->label);
-    g_free(page->completions_text);
+    g_free(page->encoded_completions);
     g_free(page);
 }
 
@@ -51,7 +51,7 @@
     if (!job->run_records)
         job->run_records = g_hash_table_new(NULL, NULL);
     g_hash_table_insert(job->run_records, GUINT_TO_POINTER(run_record->task_index + 1), run_record);
-    add_run_event(replica, REPLICA_EVENT_RUN_RECORDED, run_record);
+    add_run_event(replica, REPLICA_EVENT_RUN_RECORD_ADDED, run_record);
 }
 
 /** Frees a record that was taken off its page. */
@@ -62,7 +62,7 @@
         g_hash_table_remove(job->run_records, GUINT_TO_POINTER(run_record->task_index + 1));
     if (job->run_records && g_hash_table_size(job->run_records) == 0)
         g_clear_pointer(&job->run_records, g_hash_table_unref);
-    add_run_event(replica, REPLICA_EVENT_RUN_REMOVED, run_record);
+    add_run_event(replica, REPLICA_EVENT_RUN_RECORD_REMOVED, run_record);
     g_ptr_array_remove_fast(run_record->machine->run_records, run_record); /* frees it */
 }
 
@@ -115,8 +115,8 @@
 }
 
 /** Removes the records that were not read again. Adds their machines to a set. */
-static void remove_unread_records(struct replica *replica, struct record_page *page,
-                                  GHashTable *machines)
+static void remove_stale_run_records(struct replica *replica, struct record_page *page,
+                                     GHashTable *machines)
 {
     for (guint i = 0; i < page->run_records->len;) {
         struct run_record *run_record = page->run_records->pdata[i];
@@ -130,7 +130,7 @@
     }
 }
 
-static void add_new_records(struct replica *replica, const GArray *new_records)
+static void add_new_run_records(struct replica *replica, const GArray *new_records)
 {
     for (guint i = 0; i < new_records->len; i++) {
         const struct run_record *new_record = &g_array_index(new_records, struct run_record, i);
@@ -154,8 +154,8 @@
                                  g_array_new(FALSE, FALSE, sizeof(struct run_record))};
     GHashTable *machines = g_hash_table_new(NULL, NULL); /* of records that are gone */
     record_page_decode(text, apply_page_entry, &reader);
-    remove_unread_records(replica, page, machines);
-    add_new_records(replica, reader.new_records);
+    remove_stale_run_records(replica, page, machines);
+    add_new_run_records(replica, reader.new_records);
     remove_unused_machines(replica, machines);
     g_hash_table_unref(machines);
     g_array_unref(reader.new_records);
@@ -163,11 +163,11 @@
 
 static void apply_completions(struct replica *replica, struct record_page *page, const char *text)
 {
-    if (g_strcmp0(text, page->completions_text) == 0)
+    if (g_strcmp0(text, page->encoded_completions) == 0)
         return;
     completions_decode(text, replica_merge_completions, replica);
-    g_free(page->completions_text);
-    page->completions_text = g_strdup(text);
+    g_free(page->encoded_completions);
+    page->encoded_completions = g_strdup(text);
 }
 
 void replica_apply_page(struct replica *replica, const struct key_update *update)
--- a/src/replica/watch.c
+++ b/src/replica/watch.c
@@ -14,12 +14,12 @@
     /** How long the store waits for a change before it answers. */
     WATCH_BLOCK_MS = 2000,
     /** How much later a response to a watch may arrive. */
-    WATCH_GRACE_MS = 1500,
+    WATCH_RESPONSE_GRACE_MS = 1500,
     RETRY_DELAY_MS = 250,
     /** Without an answer for so long, the newest revision is asked for first. */
-    GAP_CHECK_AFTER_MS = 8000,
+    BACKLOG_CHECK_AFTER_MS = 8000,
     /** So many revisions are always taken in one response. */
-    MIN_WATCH_BACKLOG = 100,
+    MIN_WATCH_BACKLOG_REVISIONS = 100,
     /** Values of the longest allowed size that a revision writes, at most. */
     MAX_VALUES_PER_REVISION = 6,
 };
@@ -35,7 +35,7 @@
                           http_response_callback callback)
 {
     struct kv_request request = {
-        .lane = KV_LANE_WATCH,
+        .priority = KV_PRIORITY_WATCH,
         .method = "GET",
         .path = path,
         .response_timeout_ms = response_timeout_ms,
@@ -44,7 +44,7 @@
     kv_client_send(replica->kv, &request, callback, replica);
 }
 
-void replica_watch_retry(struct replica *replica)
+void replica_schedule_watch_retry(struct replica *replica)
 {
     timer_start(replica->loop, &replica->internal->watch.timer, RETRY_DELAY_MS);
 }
@@ -56,14 +56,14 @@
 }
 
 /** How many revisions one response may hold, whatever their values are. */
-static uint64_t max_watch_backlog(const struct replica *replica)
+static uint64_t max_watch_backlog_revisions(const struct replica *replica)
 {
     const struct kv_limits *limits = kv_client_limits(replica->kv);
     size_t revision_bytes = MAX_VALUES_PER_REVISION * MAX(limits->max_value_bytes, 1);
-    return MAX(limits->max_response_bytes / revision_bytes, MIN_WATCH_BACKLOG);
+    return MAX(limits->max_response_bytes / revision_bytes, MIN_WATCH_BACKLOG_REVISIONS);
 }
 
-static void gap_check_on_response(void *arg, const struct http_response *response)
+static void backlog_check_on_response(void *arg, const struct http_response *response)
 {
     struct replica *replica = arg;
     json_object *body = kv_parse_response(response);
@@ -71,8 +71,9 @@
     bool ok = kv_decode_revision(body, &newest);
     json_object_put(body);
     if (!ok) {
-        replica_watch_retry(replica);
-    } else if (newest.value > replica->applied_revision.value + max_watch_backlog(replica)) {
+        replica_schedule_watch_retry(replica);
+    } else if (newest.value >
+               replica->applied_revision.value + max_watch_backlog_revisions(replica)) {
         LOG_INFO("watch_behind", "revision=%" G_GUINT64_FORMAT " newest=%" G_GUINT64_FORMAT,
                  replica->applied_revision.value, newest.value);
         replica_reload(replica);
@@ -104,7 +105,7 @@
     revision at_revision;
     if (!kv_decode_watch(body, &changes, &at_revision)) {
         json_object_put(body);
-        replica_watch_retry(replica);
+        replica_schedule_watch_retry(replica);
         return;
     }
     apply_changes(replica, changes, at_revision);
@@ -144,9 +145,9 @@
     }
     if (!take_watch_token(replica))
         return;
-    if (time_ms_since(loop_now(replica->loop), replica->fresh_at) > GAP_CHECK_AFTER_MS)
-        replica_send_request(replica, "/keys?Starts=" KEY_MAP "&Page=1", RESPONSE_TIMEOUT_MS,
-                             gap_check_on_response);
+    if (time_ms_since(loop_now(replica->loop), replica->fresh_at) > BACKLOG_CHECK_AFTER_MS)
+        replica_send_request(replica, "/keys?Starts=" KEY_SHARD_MAP "&Page=1", RESPONSE_TIMEOUT_MS,
+                             backlog_check_on_response);
     else
         send_watch(replica);
 }
@@ -156,6 +157,7 @@
     replica->internal->watch.requested_at = loop_now(replica->loop);
     char *path = g_strdup_printf("/watch?Starts=" KEY_ROOT "&From=%" G_GUINT64_FORMAT "&BlockMs=%d",
                                  replica->applied_revision.value, WATCH_BLOCK_MS);
-    replica_send_request(replica, path, WATCH_BLOCK_MS + WATCH_GRACE_MS, watch_on_response);
+    replica_send_request(replica, path, WATCH_BLOCK_MS + WATCH_RESPONSE_GRACE_MS,
+                         watch_on_response);
     g_free(path);
 }
--- a/src/scheduler/autoscaler_services.c
+++ b/src/scheduler/autoscaler_services.c
@@ -46,7 +46,7 @@
     g_hash_table_iter_init(&it, leader->ledger.jobs);
     while (g_hash_table_iter_next(&it, NULL, (gpointer *)&job)) {
         const struct job *job_record = replica_get_job(leader->replica, job->id.text);
-        if (job->is_service && job_record && job_record->is_known)
+        if (job->is_service && job_record && job_record->is_loaded)
             add_service(&sample, job_record, job->task_resources, now);
     }
     return sample;
--- a/src/scheduler/feature_switch.c
+++ b/src/scheduler/feature_switch.c
@@ -14,7 +14,7 @@
 static void submit_switch(struct leader *leader, struct txn *txn)
 {
     leader->is_switching_features = true;
-    kv_client_commit(leader->kv, KV_LANE_NORMAL, txn, on_switch_written, leader);
+    kv_client_commit(leader->kv, KV_PRIORITY_NORMAL, txn, on_switch_written, leader);
 }
 
 /** A transaction that fails if this node does not lead or the switch was turned meanwhile. */
--- a/src/scheduler/garbage_collector.c
+++ b/src/scheduler/garbage_collector.c
@@ -50,11 +50,11 @@
         role_manager_add_guard(collector->role_manager, ROLE_GARBAGE_COLLECTOR, txn);
     else
         txn_compare(txn, KEY_LEADER, collector->replica->leader_mod_revision);
-    txn_compare(txn, KEY_MAP, collector->replica->shard_map_mod_revision);
+    txn_compare(txn, KEY_SHARD_MAP, collector->replica->shard_map_mod_revision);
     txn_compare(txn, key, mod_revision);
     txn_delete(txn, key);
     collector->removal_in_flight = true;
-    kv_client_commit(collector->kv, KV_LANE_NORMAL, txn, on_key_removed, collector);
+    kv_client_commit(collector->kv, KV_PRIORITY_NORMAL, txn, on_key_removed, collector);
 }
 
 /** Whether the shard map does not contain the node. */
@@ -72,7 +72,7 @@
                                  const struct record_page *page)
 {
     struct live_job_search search = {collector->replica, false};
-    completions_decode(page->completions_text ? page->completions_text : "", visit_completion,
+    completions_decode(page->encoded_completions ? page->encoded_completions : "", visit_completion,
                        &search);
     return search.found;
 }
--- a/src/scheduler/job_completion.c
+++ b/src/scheduler/job_completion.c
@@ -32,7 +32,7 @@
 static void on_end_written(void *arg, const struct txn_outcome *outcome)
 {
     struct job_end_write *pending = arg;
-    replica_await_outcome(pending->leader->replica, outcome, on_end_visible, pending);
+    replica_await_txn_outcome(pending->leader->replica, outcome, on_end_visible, pending);
 }
 
 /** Records the end of a job, on condition that neither the job nor the leader has changed. */
@@ -51,14 +51,14 @@
     struct job_end_write *pending = g_new(struct job_end_write, 1);
     *pending = (struct job_end_write){leader, job->id, job_record->state == JOB_CANCELLED};
     leader->cancelled_ends_in_flight += pending->is_cancelled;
-    enum kv_lane lane = pending->is_cancelled ? KV_LANE_NORMAL : KV_LANE_URGENT;
+    enum kv_priority lane = pending->is_cancelled ? KV_PRIORITY_NORMAL : KV_PRIORITY_URGENT;
     kv_client_commit(leader->kv, lane, txn, on_end_written, pending);
 }
 
 void job_completion_check(struct leader *leader, struct ledger_job *job)
 {
     const struct job *job_record = replica_get_job(leader->replica, job->id.text);
-    if (!job_record || !job_record->is_known || job->is_end_in_flight || !job_record->spec ||
+    if (!job_record || !job_record->is_loaded || job->is_end_in_flight || !job_record->spec ||
         !membership_is_leader(leader->membership))
         return;
     bool is_completed = job_record->completed_count == job_record->task_count;
--- a/src/scheduler/job_queue.c
+++ b/src/scheduler/job_queue.c
@@ -257,7 +257,7 @@
 /** Whether the job may have tasks to dispatch in this pass. */
 static bool is_ready(struct leader *leader, struct ledger_job *job, const struct job *job_record)
 {
-    if (!job_record || !job_record->is_known || job_record->state != JOB_ACTIVE ||
+    if (!job_record || !job_record->is_loaded || job_record->state != JOB_ACTIVE ||
         !job_record->spec)
         return false;
     /* The jobs it depends on must be completed on record, whichever node was the leader then. */
--- a/src/scheduler/leader.c
+++ b/src/scheduler/leader.c
@@ -36,7 +36,7 @@
 static void handle_message(struct actor *self, const struct message *message)
 {
     struct leader *leader = (struct leader *)self;
-    if (message->kind == MSG_REPLICA)
+    if (message->kind == MSG_REPLICA_EVENTS)
         on_replica_events(leader, message->body);
     else if (message->kind == MSG_CLOUD_PROVIDER)
         leader_request_pass(leader);
@@ -190,16 +190,16 @@
 {
     struct job *job_record;
     switch (event->kind) {
-    case REPLICA_EVENT_RUN_RECORDED:
+    case REPLICA_EVENT_RUN_RECORD_ADDED:
         quota_ledger_add_allocation(leader, event->job, event->task_index, event->attempt,
                                     event->machine);
         break;
-    case REPLICA_EVENT_RUN_REMOVED:
+    case REPLICA_EVENT_RUN_RECORD_REMOVED:
         quota_ledger_remove_allocation(leader, event->job, event->task_index, event->attempt);
         break;
     case REPLICA_EVENT_JOB:
         job_record = replica_get_job(leader->replica, event->job.text);
-        if (job_record && job_record->is_known && job_record->spec)
+        if (job_record && job_record->is_loaded && job_record->spec)
             quota_ledger_update_inherited(leader, quota_ledger_ensure_job(leader, event->job),
                                           job_record);
         break;
@@ -231,8 +231,8 @@
 /** Whether the event is about a job or one of its tasks. */
 static bool is_job_event(const struct replica_event *event)
 {
-    return event->kind == REPLICA_EVENT_JOB || event->kind == REPLICA_EVENT_RUN_RECORDED ||
-           event->kind == REPLICA_EVENT_RUN_REMOVED;
+    return event->kind == REPLICA_EVENT_JOB || event->kind == REPLICA_EVENT_RUN_RECORD_ADDED ||
+           event->kind == REPLICA_EVENT_RUN_RECORD_REMOVED;
 }
 
 static void on_replica_events(struct leader *leader, const GArray *events)
--- a/src/scheduler/quota_ledger_rebuild.c
+++ b/src/scheduler/quota_ledger_rebuild.c
@@ -41,7 +41,7 @@
 static void load_job_record(struct leader *leader, const struct job *job_record,
                             GHashTable *previous_jobs)
 {
-    if (!job_record->is_known || (job_record->state != JOB_ACTIVE && !job_record->spec))
+    if (!job_record->is_loaded || (job_record->state != JOB_ACTIVE && !job_record->spec))
         return;
     struct ledger_job *job = quota_ledger_ensure_job(leader, job_record->id);
     struct ledger_job *previous = g_hash_table_lookup(previous_jobs, job_record->id.text);
--- a/src/shard/dispatch_queue.c
+++ b/src/shard/dispatch_queue.c
@@ -112,7 +112,7 @@
                                              bool is_live)
 {
     const struct job *job = replica_get_job(shard->replica, dispatch->job.text);
-    if (!is_live && job && job->is_known)
+    if (!is_live && job && job->is_loaded)
         return DISPATCH_SETTLED; /* over */
     if (time_ms_since(loop_now(shard->loop), dispatch->dispatched_at) < MAX_QUEUE_TIME_MS)
         return DISPATCH_WAITS;
--- a/src/shard/page_split.c
+++ b/src/shard/page_split.c
@@ -100,7 +100,7 @@
 {
     const struct kv_limits *limits = kv_client_limits(shard->kv);
     guint max_writes = (guint)limits->max_txn_operations;
-    if (legacy_format && !limits->rate_limit_lowered)
+    if (legacy_format && !limits->is_lowered)
         max_writes = MAX(max_writes, (guint)shard->settings->kv_limits.max_txn_operations);
     return max_writes;
 }
--- a/src/shard/page_split_plan.c
+++ b/src/shard/page_split_plan.c
@@ -10,7 +10,7 @@
 bool node_supports_multi_page(const struct shard *shard, const char *label)
 {
     const struct node_record *node = g_hash_table_lookup(shard->replica->nodes, label);
-    return node && node->understood_version >= NODE_VERSION_JOB_DAG;
+    return node && node->supported_version >= NODE_VERSION_JOB_DAG;
 }
 
 /* ---- one of the pages ---- */
@@ -195,8 +195,8 @@
     while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&other)) {
         bool counts = other != page && strcmp(other->label, page->label) == 0 &&
                       !shard_page_is_too_long(split->shard, other);
-        if (counts && other->completions_text)
-            completions_decode(other->completions_text, add_covered_unit, split);
+        if (counts && other->encoded_completions)
+            completions_decode(other->encoded_completions, add_covered_unit, split);
     }
 }
 
@@ -259,7 +259,7 @@
         .fits = true,
     };
     collect_covered_units(&split, page);
-    completions_decode(page->completions_text, split_completion_unit, &split);
+    completions_decode(page->encoded_completions, split_completion_unit, &split);
     g_hash_table_unref(split.covered);
     return split.fits;
 }
@@ -269,7 +269,7 @@
     GPtrArray *pages = g_ptr_array_new_with_free_func(split_page_free);
     split_page_new(pages, legacy_format);
     bool fits = split_records(shard, page, legacy_format, pages);
-    if (fits && page->completions_text)
+    if (fits && page->encoded_completions)
         fits = split_completions(shard, page, legacy_format, pages);
     if (!fits)
         g_clear_pointer(&pages, g_ptr_array_unref);
--- a/src/shard/record_batch_adopt.c
+++ b/src/shard/record_batch_adopt.c
@@ -15,8 +15,8 @@
     if (!shard_page_is_too_long(shard, page))
         return true;
     const struct node_record *node = g_hash_table_lookup(shard->replica->nodes, page->label);
-    return legacy_format && node && node->understood_version < NODE_VERSION_JOB_DAG &&
-           !limits->rate_limit_lowered;
+    return legacy_format && node && node->supported_version < NODE_VERSION_JOB_DAG &&
+           !limits->is_lowered;
 }
 
 struct record_page *shard_source_page_of_run(struct shard *shard, const struct machine *machine,
@@ -118,7 +118,7 @@
     if (remaining->len < page->run_records->len) {
         GString *text = record_page_encode(remaining, batch->legacy_format);
         record_txn_put_page(batch->txn, page->key, page->mod_revision, text->str,
-                            page->completions_text ? page->completions_text : "");
+                            page->encoded_completions ? page->encoded_completions : "");
         g_string_free(text, TRUE);
     }
     g_array_unref(remaining);
--- a/src/shard/record_txn.c
+++ b/src/shard/record_txn.c
@@ -18,7 +18,7 @@
     struct txn *txn = txn_new();
     char *node_key = key_node(shard->settings->label);
     txn_compare(txn, node_key, membership_get_mod_revision(shard->membership));
-    txn_compare(txn, KEY_MAP, shard->replica->shard_map_mod_revision);
+    txn_compare(txn, KEY_SHARD_MAP, shard->replica->shard_map_mod_revision);
     g_free(node_key);
     return txn;
 }
@@ -80,7 +80,7 @@
 {
     shard->records.write_budget -= txn_write_count(txn);
     shard->records.txn_in_flight = true;
-    kv_client_commit(shard->kv, KV_LANE_URGENT, txn, callback, arg);
+    kv_client_commit(shard->kv, KV_PRIORITY_URGENT, txn, callback, arg);
 }
 
 void record_txn_await_outcome(struct shard *shard, const struct txn_outcome *outcome,
--- a/src/shard/run_records_reconcile.c
+++ b/src/shard/run_records_reconcile.c
@@ -35,8 +35,8 @@
     }
     page->mod_revision = replica_page->mod_revision;
     collect_foreign_records(shard, replica_page, page->foreign_records);
-    if (replica_page->completions_text)
-        shard_completions_read(shard, replica_page->completions_text, page_number);
+    if (replica_page->encoded_completions)
+        shard_completions_read(shard, replica_page->encoded_completions, page_number);
     page->bytes = replica_page->size_bytes;
 }
 
--- a/src/shard/shard.c
+++ b/src/shard/shard.c
@@ -111,7 +111,7 @@
 static void handle_message(struct actor *self, const struct message *message)
 {
     struct shard *shard = (struct shard *)self;
-    if (message->kind == MSG_REPLICA)
+    if (message->kind == MSG_REPLICA_EVENTS)
         handle_replica_events(shard, message->body);
     if (message->kind == MSG_CANCELLED)
         stop_runs_if_job_over(shard, *(job_id *)message->body);
--- a/src/shard/task_runs.c
+++ b/src/shard/task_runs.c
@@ -7,7 +7,7 @@
 struct job *shard_find_live_job(struct shard *shard, job_id id)
 {
     struct job *job = replica_get_job(shard->replica, id.text);
-    return job && job->is_known && job->state == JOB_ACTIVE && job->spec ? job : NULL;
+    return job && job->is_loaded && job->state == JOB_ACTIVE && job->spec ? job : NULL;
 }
 
 /* A cancellation that is only possible counts while this node has no lease, and can neither start
@@ -16,7 +16,7 @@
 bool shard_job_is_over(struct shard *shard, job_id id)
 {
     struct job *job = replica_get_job(shard->replica, id.text);
-    if (job && job->is_known && job->state != JOB_ACTIVE)
+    if (job && job->is_loaded && job->state != JOB_ACTIVE)
         return true;
     enum cancel_status cancellation = cancel_broadcast_get_status(shard->cancel_broadcast, id);
     return cancellation == CANCEL_COMMITTED ||
--- a/src/singleton/role_manager.c
+++ b/src/singleton/role_manager.c
@@ -183,7 +183,7 @@
     else
         txn_delete(txn, key);
     g_free(key);
-    kv_client_commit(state->manager->config.kv, KV_LANE_URGENT, txn, on_txn_done, state);
+    kv_client_commit(state->manager->config.kv, KV_PRIORITY_URGENT, txn, on_txn_done, state);
 }
 
 static void send_claim(struct role_state *state)
--- a/tests/test_pipeline.c
+++ b/tests/test_pipeline.c
@@ -95,7 +95,7 @@
     }
     job_dag_mark_cancelled(dag, id_of("wk-0"), (revision){42});
     assert_int_equal(heard.dooms, LENGTH);
-    assert_int_equal(facts_of(&heard, "wk-20000").upstream_cancelled_at.value, 42);
+    assert_int_equal(facts_of(&heard, "wk-20000").upstream_cancel_revision.value, 42);
     assert_int_equal(job_dag_size(dag), 0);
     job_dag_mark_cancelled(dag, id_of("wk-5"), (revision){43}); /* said of each of them, too */
     job_dag_free(dag);
