--- a/src/kv/kv_client.c
+++ b/src/kv/kv_client.c
@@ -1,18 +1,19 @@
 /**
- * Key-value client: lanes, rate limits and the store's availability. Transactions are in
- * kv_commit.c, leases in kv_lease.c, the read barrier in kv_read_barrier.c.
+ * Key-value client: request queues, rate limits and the availability of the store. Transactions are
+ * in kv_commit.c, leases in kv_lease.c, the read barrier in kv_read_barrier.c.
  */
 #include "kv_client_internal.h"
 
 #include "log.h"
 
 enum {
-    /** Pause after a 429. */
+    /** Pause after a 429 response. */
     RATE_LIMITED_RETRY_DELAY_MS = 120,
     UNAVAILABLE_AFTER_NO_RESPONSE_MS = 1800,
     UNAVAILABLE_AFTER_503_MS = 150,
-    /** So many 429s for writes, close to one another, mean that the write rate was lowered. */
+    /** This many writes answered with 429 in short succession indicate a lowered write rate. */
     MIN_RATE_LIMITED_WRITES = 4,
+    /** Maximum interval between two of these responses. */
     RATE_LIMITED_WINDOW_MS = 3000,
 };
 
@@ -27,21 +28,21 @@
     void *callback_arg;
 };
 
-/** What keeps a call in its lane. */
+/** The part of the queued requests that has to wait. */
 enum call_throttle {
     THROTTLE_NONE,
-    /** The write rate: requests without writes may still be sent. */
+    /** The write rate is exhausted: requests without writes may still be sent. */
     THROTTLE_WRITES,
-    /** The pause after a 429 or the request rate: nothing may be sent. */
+    /** The pause after a 429 lasts or the request rate is exhausted: nothing may be sent. */
     THROTTLE_ALL,
 };
 
 static void send_queued_calls(void *arg);
 
 /**
- * The part of the rate limits that this node uses. They are shared by all nodes, but one node may
- * need more than its equal share for a while, so each uses over half; a 429 shows when the nodes
- * together were too fast.
+ * Returns the fraction of the rate limits that this node uses. All nodes share the limits, but a
+ * node may temporarily need more than an equal share, so each uses more than half. If the nodes
+ * together exceed a limit, the store responds with 429.
  */
 static double get_node_rate_share(const struct kv_limits *limits)
 {
@@ -110,8 +111,10 @@
 }
 
 /**
- * The write rate may be lowered without notice. One 429 only shows that all nodes together were too
- * fast for a moment; several within a short time show that less is granted now.
+ * Counts a write answered with 429 and switches to the announced write rate after several of them.
+ * The store may lower the write rate without notice. A single 429 only shows that all nodes
+ * together exceeded the rate for a moment; several within a short time show that the lower rate is
+ * in force.
  */
 static void count_rate_limited_write(struct kv_client *kv)
 {
@@ -131,7 +134,10 @@
                           limits->rate_limit_write_rps * get_node_rate_share(limits));
 }
 
-/** A 429: the request was not carried out. It is sent again after a pause, first in its lane. */
+/**
+ * Handles a 429 response: the request was not executed. Returns it to the head of its queue, to be
+ * sent again after a pause.
+ */
 static void call_retry_later(struct kv_call *call)
 {
     struct kv_client *kv = call->kv;
@@ -178,8 +184,8 @@
 }
 
 /**
- * Whether a call has to stay in its lane now, and for how long. The node's lease must be renewed in
- * time whatever else happens, so that lane heeds only the pause after a 429.
+ * Determines whether a call has to wait in its queue, and for how long. The node's lease must be
+ * renewed in time under any load, so requests of that priority wait only for the pause after a 429.
  */
 static enum call_throttle call_throttle(const struct kv_call *call, mono_time now, int64_t *wait_ms)
 {
@@ -201,7 +207,10 @@
     return THROTTLE_NONE;
 }
 
-/** Sends what a lane may send now. False: nothing may be sent from the other lanes either. */
+/**
+ * Sends the calls of a queue that may be sent now. Returns false if nothing may be sent from the
+ * queues of lower priority either.
+ */
 static bool send_from_queue(struct kv_client *kv, enum kv_priority priority, mono_time now,
                             int64_t *wait_ms)
 {
@@ -221,7 +230,7 @@
     return true;
 }
 
-/** Timer callback: sends all calls that may be sent now, and runs again for the next. */
+/** Timer callback: sends all calls that may be sent now, and starts the timer for the next one. */
 static void send_queued_calls(void *arg)
 {
     struct kv_client *kv = arg;
--- a/src/kv/kv_codec.c
+++ b/src/kv/kv_codec.c
@@ -1,7 +1,7 @@
 /** Codec of the key-value store's protocol: see kv_codec.h. */
 #include "kv_codec.h"
 
-/* The words of the protocol. */
+/* Field names and values of the protocol. */
 static const char FIELD_REVISION[] = "Ledger";
 static const char FIELD_KEY[] = "K";
 static const char FIELD_VALUE[] = "V";
--- a/src/kv/kv_commit.c
+++ b/src/kv/kv_commit.c
@@ -1,4 +1,4 @@
-/** Sending transactions and reading what became of them. */
+/** Sends transactions and decodes their outcomes. */
 #include "kv_client_internal.h"
 
 #include "kv_codec.h"
@@ -7,11 +7,11 @@
 enum {
     TXN_RESPONSE_TIMEOUT_MS = 2500,
     TXN_QUEUE_TIMEOUT_MS = 2500,
-    /** Characters of a response that go to the log. */
+    /** Responses are truncated to this length in the log. */
     MAX_LOGGED_RESPONSE_BYTES = 200,
 };
 
-/** A transaction that was sent. */
+/** A transaction that was passed to the client, with its callback. */
 struct txn_call {
     struct kv_client *kv;
     txn_callback callback;
@@ -54,7 +54,8 @@
     if (outcome.status == TXN_REJECTED && response->status == HTTP_STATUS_BAD_REQUEST) {
         LOG_ERROR("kv_txn_rejected", "response=%.*s",
                   (int)MIN(response->body_bytes, MAX_LOGGED_RESPONSE_BYTES), response->body);
-        /* Perhaps it was too large: the next transactions keep to the later, tighter limits. */
+        /* It may have been too large, so further transactions observe the limits announced for
+         * later, which are lower. */
         call->kv->limits.is_lowered = true;
     }
     call->callback(call->callback_arg, &outcome);
--- a/src/kv/kv_lease.c
+++ b/src/kv/kv_lease.c
@@ -1,4 +1,4 @@
-/** Requests for leases. */
+/** Requests and renewals of leases. */
 #include "kv_client_internal.h"
 
 #include "kv_codec.h"
--- a/src/kv/kv_read_barrier.c
+++ b/src/kv/kv_read_barrier.c
@@ -1,11 +1,11 @@
 /**
- * The read barrier: a transaction without writes, whose answer carries the newest revision. At most
- * one is in flight; callers that come meanwhile share the next one.
+ * The read barrier: a transaction without writes, whose response contains the newest revision. At
+ * most one is in flight; callers that arrive in the meantime share the next one.
  */
 #include "kv_client_internal.h"
 
 enum {
-    /** At least so long from one barrier to the next, so that callers gather. */
+    /** Minimum interval between two barriers, so that each serves several callers. */
     READ_BARRIER_INTERVAL_MS = 40,
 };
 
@@ -14,7 +14,7 @@
     void *callback_arg;
 };
 
-/** A barrier in flight with the callers it answers. */
+/** A barrier in flight, with the callers that wait for it. */
 struct read_barrier_batch {
     struct kv_client *kv;
     /** Array of struct read_barrier_waiter. */
@@ -57,7 +57,10 @@
     g_free(batch);
 }
 
-/** Timer callback: sends a barrier for the callers that wait, unless one has to be waited for. */
+/**
+ * Timer callback: sends a barrier for the waiting callers, unless one is in flight. Before the
+ * minimum interval has passed, starts the timer instead.
+ */
 static void send_read_barrier(void *arg)
 {
     struct kv_client *kv = arg;
--- a/src/kv/kv_txn.c
+++ b/src/kv/kv_txn.c
@@ -1,10 +1,10 @@
-/** Building transactions: see kv_txn.h. */
+/** Construction of transactions: see kv_txn.h. */
 #include "kv_txn.h"
 
 #include "kv_codec.h"
 
 enum {
-    /** What a compare, put or delete takes in JSON besides its key and value, at most. */
+    /** Upper limits of the JSON bytes of a compare, put or delete in addition to key and value. */
     COMPARE_OVERHEAD_BYTES = 40,
     PUT_OVERHEAD_BYTES = 50,
     DELETE_OVERHEAD_BYTES = 20,
--- a/src/kv/kv_txn.h
+++ b/src/kv/kv_txn.h
@@ -1,60 +1,71 @@
 /**
  * Transactions of the key-value store: compare-and-swap over several keys.
  *
- * A transaction is a list of compares (a key and the revision at which it must have been written
- * last) and a list of writes. The store carries out all writes if all compares hold, and none
- * otherwise.
+ * A transaction consists of compares (each a key and the revision at which it must last have been
+ * written) and writes. The store executes all writes if all compares succeed, and none otherwise.
  */
 #ifndef LL_KV_TXN_H
 #define LL_KV_TXN_H
 
 #include "json_fields.h"
 
+/** A transaction that is being built. */
 struct txn;
 
+/** The possible outcomes of a transaction. */
 enum txn_status {
-    /** All writes were carried out. */
+    /** All writes were executed. */
     TXN_COMMITTED,
-    /** A compare did not hold; nothing was written. */
+    /** A compare failed; nothing was written. */
     TXN_CONFLICT,
-    /** A lease that the transaction names has expired; nothing was written. */
+    /** A lease that the transaction refers to has expired; nothing was written. */
     TXN_LEASE_EXPIRED,
-    /** The store refused the transaction, or it was never sent; nothing was written. */
+    /** The store rejected the transaction, or it was never sent; nothing was written. */
     TXN_REJECTED,
-    /** The answer is missing: it may have been carried out, or may still be. */
+    /** No usable response arrived: the writes may have been executed, or may still be executed. */
     TXN_UNKNOWN,
 };
 
-/** What became of a transaction; valid for the callback only. */
+/** The outcome of a transaction; valid only during the callback. */
 struct txn_outcome {
     enum txn_status status;
-    /** The store's revision; set with TXN_COMMITTED and TXN_CONFLICT. */
+    /** The store's revision; set for TXN_COMMITTED and TXN_CONFLICT. */
     revision at_revision;
-    /** Keys (char *) whose compares failed; NULL unless TXN_CONFLICT. Valid for the callback. */
+    /** The keys (char *) whose compares failed; NULL unless the status is TXN_CONFLICT. */
     GPtrArray *failed_keys;
 };
 
+/** Receives the outcome of a transaction. */
 typedef void (*txn_callback)(void *arg, const struct txn_outcome *outcome);
 
+/** Creates an empty transaction. */
 struct txn *txn_new(void);
-/** Frees a transaction that was not committed; kv_client_commit takes ownership. */
+/** Frees a transaction that was not passed to kv_client_commit, which takes ownership. */
 void txn_free(struct txn *txn);
 
-/** Requires that the key was last written at mod_revision; 0: that it does not exist. */
+/**
+ * Adds a compare: the key must last have been written at mod_revision or, if that is 0, must not
+ * exist.
+ */
 void txn_compare(struct txn *txn, const char *key, revision mod_revision);
-/** Writes a key. Takes ownership of the value. The key is deleted when the lease expires; 0: never.
+/**
+ * Adds a write of a key and takes ownership of the value. The store deletes the key when the lease
+ * expires; with lease 0 the key is attached to no lease.
  */
 void txn_put(struct txn *txn, const char *key, json_object *value, lease_id lease);
+/** Adds the deletion of a key. */
 void txn_delete(struct txn *txn, const char *key);
 
+/** Returns the number of puts and deletions. */
 guint txn_write_count(const struct txn *txn);
+/** Returns the number of compares. */
 guint txn_compare_count(const struct txn *txn);
-/** An upper estimate of the encoded size of the compares and writes. */
+/** Returns an upper estimate of the encoded size of the compares and writes. */
 size_t txn_size_bytes(const struct txn *txn);
-/** The encoded size of one value. */
+/** Returns the encoded size of one value. */
 size_t kv_value_size_bytes(json_object *value);
 
-/** Encodes the request body. The caller owns the object. */
+/** Encodes the request body. The caller owns the result. */
 json_object *txn_encode(const struct txn *txn);
 
 #endif
--- a/src/kv/token_bucket.h
+++ b/src/kv/token_bucket.h
@@ -1,33 +1,42 @@
 /**
- * A token bucket: a budget of operations that refills at a steady rate.
+ * A token bucket: limits the rate of operations to a constant rate of refill.
  *
- * The level may go below zero; it is the caller that waits until a token is available.
+ * The number of tokens may become negative. The bucket does not block: the caller has to wait until
+ * a token is available.
  */
 #ifndef LL_TOKEN_BUCKET_H
 #define LL_TOKEN_BUCKET_H
 
 #include "types.h"
 
+/** The state of a token bucket. */
 struct token_bucket {
     double refill_per_s, capacity, tokens;
     mono_time refilled_at;
 };
 
-/** A bucket that holds one second's refill and is full now. */
+/** Returns a full bucket with a capacity of one second's refill. */
 struct token_bucket token_bucket_make_full(double refill_per_s, mono_time now);
 
-/** Adds what has accrued since the last refill, up to the capacity. */
+/** Adds the tokens accrued since the last refill, up to the capacity. */
 void token_bucket_refill(struct token_bucket *bucket, mono_time now);
 
-/** Changes the rate and the capacity to one second's refill at that rate; drops what exceeds it. */
+/**
+ * Changes the rate, and the capacity to one second's refill at that rate. Discards tokens beyond
+ * the new capacity.
+ */
 void token_bucket_set_rate(struct token_bucket *bucket, double refill_per_s);
 
-/** Takes away all tokens that are left, as the server has granted too many. */
+/** Removes all remaining tokens, because the server has signalled that the rate was exceeded. */
 void token_bucket_drain(struct token_bucket *bucket);
 
+/** Returns true if a token is available. */
 bool token_bucket_has_token(const struct token_bucket *bucket);
 
-/** Milliseconds until a token is available, at least 1; only for a bucket that has none. */
+/**
+ * Returns the milliseconds until a token is available, at least 1. Call it only if
+ * token_bucket_has_token returns false.
+ */
 int64_t token_bucket_wait_ms(const struct token_bucket *bucket);
 
 #endif
