--- a/src/replica/cluster_records.c
+++ b/src/replica/cluster_records.c
@@ -1,4 +1,4 @@
-/** Records of the cluster: live nodes, the leader, the shard map, features, singleton roles. */
+/** Records of the cluster: live nodes, the leader, the shard map, features and singleton roles. */
 #include "log.h"
 #include "replica_internal.h"
 #include "stored_fields.h"
@@ -75,7 +75,7 @@
     g_free(entry->label);
 }
 
-/** Entries that cannot be read are left out. */
+/** Decodes the nodes of the shard map; skips malformed entries. */
 static void decode_shard_map_nodes(GArray *shard_map, json_object *nodes)
 {
     g_array_set_size(shard_map, 0);
--- a/src/replica/completions_codec.c
+++ b/src/replica/completions_codec.c
@@ -6,12 +6,12 @@
 #include <stdlib.h>
 
 enum {
-    /** Bytes of a chunk: 8,192 tasks. */
+    /** The bitmap size of a chunk, which has 8,192 tasks. */
     CHUNK_BYTES = 1024,
     UNITS_PER_CHUNK = CHUNK_BYTES / COMPLETION_UNIT_BYTES,
-    /** Enough for the largest job, which has 100,000 tasks. */
+    /** The chunks of the largest job, which has 100,000 tasks. */
     MAX_CHUNKS = 100000 / (8 * CHUNK_BYTES) + 1,
-    /** The numbers of a word and the characters beside them, at most. */
+    /** An upper limit of the numbers and separators in the encoding of a unit. */
     MAX_WORD_OVERHEAD_BYTES = 22,
 };
 
@@ -57,14 +57,14 @@
     g_string_append_c(text, ' ');
 }
 
-/** A byte from two hexadecimal digits; 0 if either is none. */
+/** Decodes a byte from two hexadecimal digits. Returns 0 if either character is not a digit. */
 static guint8 decode_byte(const char *hex_digits)
 {
     int high = g_ascii_xdigit_value(hex_digits[0]), low = g_ascii_xdigit_value(hex_digits[1]);
     return high < 0 || low < 0 ? 0 : (guint8)(high << 4 | low);
 }
 
-/** Calls back for each unit in a word, which may hold several. */
+/** Calls back for each unit in a word, which may contain several. */
 static void decode_units(job_id job, uint32_t unit, const char *hex_digits, size_t length,
                          completions_callback callback, void *context)
 {
@@ -84,7 +84,10 @@
     }
 }
 
-/** Reads "CHUNK:" or "CHUNK+BYTES:" and finds the digits behind it. False: malformed. */
+/**
+ * Decodes "CHUNK:" or "CHUNK+BYTES:" to the first unit and the position of the digits. Returns
+ * false if the word is malformed.
+ */
 static bool decode_chunk_position(const char *word, uint32_t *unit, const char **hex_digits)
 {
     char *rest;
--- a/src/replica/completions_codec.h
+++ b/src/replica/completions_codec.h
@@ -1,11 +1,12 @@
 /**
- * Codec of completions: the tasks that a record page lists as completed. Pure logic.
+ * Codec of completions: the tasks that a record page lists as completed. The functions are pure.
  *
- * The text is "#JOB CHUNK:BITS ...". BITS are the bits of a chunk of tasks in hexadecimal, two
- * digits for eight tasks, the first task in the lowest bit; zeros at the end are left out.
- * "CHUNK+BYTES:BITS" begins that many bytes within the chunk, so that the completions of a long job
- * are several words. Nodes of NODE_VERSION_INITIAL do not understand "+": what they may read is
- * encoded in the legacy form, which begins at the start of the chunk.
+ * The format is "#JOB CHUNK:BITS ...". BITS are the bits of a chunk of tasks in hexadecimal, two
+ * digits for eight tasks, with the first task in the lowest bit; trailing zeros are omitted.
+ * "CHUNK+BYTES:BITS" begins at a byte offset within the chunk, so that the completions of a large
+ * job can be split into several words. Nodes of NODE_VERSION_INITIAL do not support "+":
+ * completions that they may read are encoded in the legacy form, which begins at the start of the
+ * chunk.
  */
 #ifndef LL_COMPLETIONS_CODEC_H
 #define LL_COMPLETIONS_CODEC_H
@@ -13,29 +14,29 @@
 #include "types.h"
 
 enum {
-    /** Bits are encoded, and move between pages, in units of at most so many bytes. */
+    /** Completions are encoded, and moved between pages, in units of at most this size. */
     COMPLETION_UNIT_BYTES = 128,
     COMPLETION_UNIT_TASKS = 8 * COMPLETION_UNIT_BYTES,
 };
 
-/** Extends an array of bits with zeros to at least a length. */
+/** Extends a bitmap with zeros to at least the given length. */
 void bitmap_grow(GByteArray *bitmap, guint length_bytes);
-/** Sets in the first all bits that are set in the second. */
+/** Sets all bits in `to` that are set in `from`. */
 void bitmap_merge(GByteArray *to, const GByteArray *from);
 
 /**
- * Appends the completions of one unit: of the tasks from unit * COMPLETION_UNIT_TASKS on, whose
- * bits begin with bit 0.
+ * Appends the encoded completions of one unit. Bit 0 is that of the task with the index
+ * unit * COMPLETION_UNIT_TASKS.
  */
 void completions_encode(GString *text, job_id job, uint32_t unit, const GByteArray *bits,
                         bool is_legacy);
-/** An upper limit of what completions_encode appends for a bitmap of a length. */
+/** Returns an upper limit of the bytes that completions_encode appends for a bitmap. */
 gsize completions_max_bytes(job_id job, uint32_t unit, guint bitmap_bytes, bool is_legacy);
 
-/** The bits are valid for the call. */
+/** Receives the completions of one unit; the bits are valid only during the callback. */
 typedef void (*completions_callback)(void *context, job_id job, uint32_t unit,
                                      const GByteArray *bits);
-/** Calls back for every unit that has a bit set; words that cannot be read are passed over. */
+/** Calls back for each unit in which a bit is set; skips words that are malformed. */
 void completions_decode(const char *text, completions_callback callback, void *context);
 
 #endif
--- a/src/replica/inventories.c
+++ b/src/replica/inventories.c
@@ -1,4 +1,4 @@
-/** Inventories: the values of ll/a/LABEL/N. */
+/** Inventories of machines: the values of ll/a/LABEL/N. */
 #include "replica_internal.h"
 #include "stored_fields.h"
 
@@ -11,7 +11,10 @@
     g_free(inventory);
 }
 
-/** Finds the inventory of an update or creates it; NULL: not a valid key, or deleted already. */
+/**
+ * Returns the inventory of an update and creates it if there is none. NULL if the key is invalid,
+ * or if the update deletes an inventory that does not exist.
+ */
 static struct machine_inventory *get_or_create_inventory(struct replica *replica,
                                                          const struct key_update *update)
 {
--- a/src/replica/job_dag.c
+++ b/src/replica/job_dag.c
@@ -1,13 +1,13 @@
 /** DAG of jobs: see job_dag.h. */
 #include "job_dag.h"
 
-/** Lower than any job's priority; the initial value of those that are not known. */
+/** Lower than the priority of any job; the initial value for jobs that were not added yet. */
 enum { LOWEST_PRIORITY = 1000 };
 
-/** A job that depends on an unfinished one, or on which one depends. */
+/** A job that depends on an active job, or on which a job depends. */
 struct job_dag_node {
     job_id id;
-    /** job_dag_add_job was called; until then only dependents have named it. */
+    /** job_dag_add_job was called for the job; until then only its dependents refer to it. */
     bool is_added;
     struct job_dag_attributes attributes;
     struct job_dag_state state;
@@ -77,7 +77,10 @@
         dag->observer(dag->context, node->id.text, &node->state);
 }
 
-/** Derives a job's priority and deadline from its own and those of its dependents. */
+/**
+ * Derives a job's inherited priority and deadline from its own and those of its dependents. A
+ * dependent's deadline is brought forward by the run time that the dependent itself needs.
+ */
 static void derive_inherited(const struct job_dag_node *node, int *priority, wall_time *deadline)
 {
     *priority = node->attributes.priority;
@@ -92,8 +95,8 @@
 }
 
 /**
- * Updates what a job inherits and, where that has changed, what its dependencies inherit in turn.
- * A chain of jobs may be long, so there is a queue in place of recursion.
+ * Updates the inherited values of a job and, if they have changed, those of its dependencies in
+ * turn. Uses a queue instead of recursion because a chain of dependencies may be long.
  */
 static void propagate_inherited(struct job_dag *dag, struct job_dag_node *first)
 {
@@ -115,14 +118,14 @@
     }
 }
 
-/** Removes a job that neither depends on others nor has dependents. */
+/** Removes a job if it has neither dependencies nor dependents. */
 static void remove_unlinked_node(struct job_dag *dag, struct job_dag_node *node)
 {
     if (!node->dependencies->len && !node->dependents->len)
         g_hash_table_remove(dag->nodes, node->id.text);
 }
 
-/** Removes the edges to a job's dependencies, which inherit nothing from it any more. */
+/** Removes the edges to a job's dependencies, which then no longer inherit from the job. */
 static void unlink_dependencies(struct job_dag *dag, struct job_dag_node *node)
 {
     GPtrArray *dependencies = node->dependencies;
@@ -151,7 +154,7 @@
         g_ptr_array_add(dependency->dependents, node);
     }
     node->state.pending_dependencies = dependency_count;
-    /* Unlike any real value, so that propagation reports the job. */
+    /* These differ from the values of any job, so propagation detects a change. */
     node->state.inherited_priority = LOWEST_PRIORITY;
     node->state.inherited_deadline = NO_DEADLINE;
     propagate_inherited(dag, node);
@@ -179,7 +182,7 @@
     remove_unlinked_node(dag, node);
 }
 
-/** Marks the direct dependents as cancelled and queues the ids of those that were not before. */
+/** Marks the direct dependents as cancelled and queues the ids of those newly cancelled. */
 static void cancel_dependents(struct job_dag *dag, struct job_dag_node *node,
                               revision cancel_revision, GQueue *queued_ids)
 {
@@ -205,7 +208,7 @@
 
 void job_dag_mark_cancelled(struct job_dag *dag, job_id id, revision cancel_revision)
 {
-    /* Ids, not nodes: a queued node may be freed meanwhile with its last edge. */
+    /* The queue contains ids, because a queued node may be freed when its last edge is removed. */
     GQueue queued_ids = G_QUEUE_INIT;
     if (find_node(dag, id))
         g_queue_push_tail(&queued_ids, g_memdup2(&id, sizeof id));
--- a/src/replica/job_lookup.c
+++ b/src/replica/job_lookup.c
@@ -1,16 +1,17 @@
 /**
- * Reads of single jobs: those that another job depends on and that are not in memory, as they were
- * finished so long ago that they were evicted.
+ * Reads of evicted jobs: jobs that another job depends on, but that finished so long ago that they
+ * are no longer in memory.
  */
 #include "kv_codec.h"
 #include "replica_internal.h"
 
 enum {
-    /** From one round of reads to the next. */
+    /** The minimum interval between two rounds of reads. */
     LOOKUP_INTERVAL_MS = 1000,
     MAX_LOOKUPS_IN_FLIGHT = 16,
 };
 
+/** A read of one job that is in flight. */
 struct job_lookup {
     struct replica *replica;
     job_id job;
@@ -33,7 +34,7 @@
     g_free(lookup);
 }
 
-/** job_dag_missing_callback: reads the job, unless too many are being read. */
+/** job_dag_missing_callback: reads the job unless too many reads are in flight. */
 static void lookup_job(void *context, job_id id)
 {
     struct replica *replica = context;
--- a/src/replica/jobs.c
+++ b/src/replica/jobs.c
@@ -1,4 +1,4 @@
-/** Jobs: the values of ll/j/JOB, and what the job DAG and the pages say of them. */
+/** Jobs: the values of ll/j/JOB, with the updates from the job DAG and from record pages. */
 #include "log.h"
 #include "replica_internal.h"
 #include "stored_fields.h"
@@ -70,7 +70,7 @@
     job->inherited_priority = dag_state->inherited_priority;
     job->inherited_deadline = dag_state->inherited_deadline;
     if (dag_state->upstream_cancelled && job->state == JOB_ACTIVE) {
-        /* It counts from the revision of that other cancellation, without any write. */
+        /* This cancellation is not stored; it takes effect at the revision of the other one. */
         job->is_upstream_cancelled = true;
         job->state = JOB_CANCELLED;
         job->cancel_revision = dag_state->upstream_cancel_revision;
@@ -103,7 +103,7 @@
     }
 }
 
-/** Adds a job that was read for the first time, and reports what is known of its dependencies. */
+/** Adds a job that was read for the first time, and reports its loaded dependencies to the DAG. */
 static void add_to_job_dag(struct replica *replica, struct job *job)
 {
     const struct job_spec *spec = job->spec;
@@ -147,7 +147,7 @@
     return object;
 }
 
-/** A job whose final state job_decode_final has just read. */
+/** Applies the final state that job_decode_final has just decoded into the job. */
 static void apply_final(struct replica *replica, struct job *job, revision mod_revision)
 {
     discard_spec(job);
@@ -160,7 +160,7 @@
     report_state_to_job_dag(replica, job);
 }
 
-/** Reads what was submitted; false: it cannot be read. */
+/** Decodes the submitted specification. Returns false if it is malformed. */
 static bool decode_spec(struct job *job, json_object *value)
 {
     struct job_spec spec;
@@ -176,7 +176,7 @@
     return true;
 }
 
-/** A job that is not finished. False: its value cannot be read. */
+/** Applies the value of a job without a final state. Returns false if the value is malformed. */
 static bool apply_submitted(struct replica *replica, struct job *job,
                             const struct key_update *update)
 {
--- a/src/replica/kv_keys.c
+++ b/src/replica/kv_keys.c
@@ -1,4 +1,4 @@
-/** Keys of the scheduler: see kv_keys.h. */
+/** Keys in the key-value store: see kv_keys.h. */
 #include "kv_keys.h"
 
 #include <stdlib.h>
--- a/src/replica/machine_types.c
+++ b/src/replica/machine_types.c
@@ -1,13 +1,13 @@
 /**
- * Machine types: the values of ll/types and its continuations ll/types/1 and so on.
+ * Machine types: the values of ll/types and of its continuations ll/types/1 and so on.
  *
- * All parts of a list are written in one transaction, so parts that belong together have the same
+ * All parts of the list are written in one transaction, so parts that belong together have the same
  * revision.
  */
 #include "replica_internal.h"
 #include "stored_fields.h"
 
-/** The value of one of the keys. */
+/** A part of the list: the value of one of the keys. */
 struct machine_type_part {
     json_object *value;
     revision mod_revision;
@@ -20,7 +20,7 @@
     g_free(part);
 }
 
-/** Part number 0 is that of ll/types. NULL: not read yet. */
+/** Returns a part of the list, or NULL if it was not read yet. Part 0 is the value of ll/types. */
 static const struct machine_type_part *find_part(struct replica *replica, uint64_t number)
 {
     char *key = number ? g_strdup_printf(KEY_MACHINE_TYPES "/%" G_GUINT64_FORMAT, number)
@@ -31,7 +31,10 @@
     return part;
 }
 
-/** Adds the types of all parts to an array. False: a part is missing, or of another revision. */
+/**
+ * Appends the types of all parts to an array. Returns false if a part is missing or has another
+ * revision than the first.
+ */
 static bool append_types_of_all_parts(struct replica *replica, json_object *types)
 {
     const struct machine_type_part *first = find_part(replica, 0);
@@ -51,7 +54,7 @@
     return true;
 }
 
-/** The whole list; NULL: not complete, or malformed. */
+/** Decodes the complete list. Returns NULL if it is incomplete or malformed. */
 static GArray *decode_complete_list(struct replica *replica)
 {
     json_object *list = json_object_new_object(), *types = json_object_new_array();
--- a/src/replica/machines.c
+++ b/src/replica/machines.c
@@ -1,4 +1,4 @@
-/** Machines: the values of ll/h/MACHINE, and the descriptions on pages and in inventories. */
+/** Machines: the values of ll/h/MACHINE, and descriptions on record pages and in inventories. */
 #include "image_cache.h"
 #include "replica_internal.h"
 #include "stored_fields.h"
--- a/src/replica/page_words.c
+++ b/src/replica/page_words.c
@@ -1,4 +1,4 @@
-/** Scanner for texts of words: see page_words.h. */
+/** Scanner for space-separated words: see page_words.h. */
 #include "page_words.h"
 
 const char *page_next_word(const char **position, size_t *length)
--- a/src/replica/page_words.h
+++ b/src/replica/page_words.h
@@ -1,4 +1,4 @@
-/** Scanner for texts that consist of words between blanks; for the codecs in src/replica only. */
+/** Scanner for strings of space-separated words, for the codecs in src/replica only. */
 #ifndef LL_PAGE_WORDS_H
 #define LL_PAGE_WORDS_H
 
@@ -7,12 +7,13 @@
 /** Longer than any job id or machine id. */
 enum { NAME_BUFFER_BYTES = 64 };
 
-/** The next word and its length; moves the position behind it. NULL: there is none. */
+/** Returns the next word and its length, and advances the position. NULL at the end of the string.
+ */
 const char *page_next_word(const char **position, size_t *length);
 
 /**
- * Copies the name that a word holds behind its first character, with a prefix before it, to a
- * buffer of NAME_BUFFER_BYTES. Returns the buffer; too long a name is cut.
+ * Writes the prefix and the word without its first character to a buffer of NAME_BUFFER_BYTES.
+ * Truncates a name that is too long. Returns the buffer.
  */
 const char *page_copy_name(const char *prefix, const char *word, size_t length, char *name);
 
--- a/src/replica/read_barrier.c
+++ b/src/replica/read_barrier.c
@@ -1,9 +1,10 @@
-/** Callers that wait until the replica reflects a revision, and the read barrier on top of that. */
+/** Waits until the replica reflects a revision, and the read barrier that is built on them. */
 #include "replica_internal.h"
 
 /** How long a caller waits for its revision. */
 enum { AWAIT_TIMEOUT_MS = 1800 };
 
+/** A caller that waits until the replica reflects a revision. */
 struct revision_waiter {
     revision revision_needed;
     mono_time deadline;
@@ -16,7 +17,7 @@
     return g_array_new(FALSE, FALSE, sizeof(struct revision_waiter));
 }
 
-/** Removes a waiter and calls it back, which may add others. */
+/** Removes a waiter and calls its callback, which may add further waiters. */
 static void finish_waiter(GArray *waiters, guint index, bool ok)
 {
     struct revision_waiter waiter = g_array_index(waiters, struct revision_waiter, index);
@@ -70,7 +71,7 @@
     g_array_append_val(replica->internal->waiters, waiter);
 }
 
-/** A read barrier that was sent to the store. */
+/** A read barrier that waits for the store's response. */
 struct pending_barrier {
     struct replica *replica;
     replica_callback callback;
--- a/src/replica/record_page_codec.c
+++ b/src/replica/record_page_codec.c
@@ -6,16 +6,16 @@
 #include <stdlib.h>
 
 enum {
-    /** Characters at the end of a machine's name that never belong to the shared prefix. */
+    /** The last characters of a machine's name, which are never part of the shared prefix. */
     UNSHARED_SUFFIX_CHARS = 3,
-    /** Address, machine type, zone and whether it is a spot machine. */
+    /** The fields are the address, machine type, zone, and whether it is a spot machine. */
     DESCRIPTION_FIELD_COUNT = 4,
 };
 
 char *machine_description_encode(const char *address, const char *machine_type_name,
                                  const char *zone, bool is_spot)
 {
-    /* They end a word, or take more bytes in JSON. */
+    /* Blanks and commas are separators; the others may need several bytes in JSON. */
     static const char forbidden_characters[] = " ,\"\\/";
     if (!*address || strpbrk(address, forbidden_characters) ||
         strpbrk(machine_type_name, forbidden_characters) || strpbrk(zone, forbidden_characters))
@@ -39,7 +39,7 @@
 
 /* ---- run records ---- */
 
-/** Orders by job, then by attempt. */
+/** Compares by job, then by attempt. */
 static int compare_jobs_and_attempts(const struct record_page_entry *left,
                                      const struct record_page_entry *right)
 {
@@ -76,9 +76,10 @@
 }
 
 /**
- * The prefix that the names of machines on a page share: the first name in their order without its
- * last characters. It stays the same as long as any name with it is left on the page; after that,
- * all others were written in full already. That keeps a page of fewer records from being longer.
+ * Returns the prefix shared by machine names on a page: the first name in sorted order without its
+ * last characters. Removing entries changes the prefix only when no name with it is left on the
+ * page, and all remaining names were then already written in full. So removing entries never makes
+ * the page longer.
  */
 static char *find_shared_name_prefix(const GArray *entries)
 {
@@ -93,11 +94,11 @@
                      length > UNSHARED_SUFFIX_CHARS ? length - UNSHARED_SUFFIX_CHARS : 0);
 }
 
-/** The state of encoding a page in one order. */
+/** The state of the encoding of a page in one order. */
 struct page_writer {
     GString *text;
     char *prefix;
-    /** Names of machines whose description was written. */
+    /** The names of the machines whose description was written. */
     GHashTable *described_machines;
     const struct record_page_entry *previous;
     bool job_first;
@@ -115,8 +116,9 @@
 }
 
 /**
- * Writes each word once until another of its kind is needed. With the job first, a machine is named
- * again for each attempt, so that the length of an entry does not depend on its neighbours.
+ * Writes an entry, omitting words that still apply from the previous entry. When sorted by job, the
+ * machine is repeated for each attempt, so that the length of an entry does not depend on its
+ * neighbours.
  */
 static void write_entry(struct page_writer *writer, const struct record_page_entry *entry)
 {
@@ -139,7 +141,7 @@
     writer->previous = entry;
 }
 
-/** Encodes sorted entries, machines or jobs first. */
+/** Encodes entries that are sorted by job (job_first) or by machine. */
 static GString *encode_in_order(const GArray *entries, bool job_first, bool is_legacy)
 {
     struct page_writer writer = {
@@ -157,7 +159,7 @@
     return writer.text;
 }
 
-/** The same entries in both orders. */
+/** The encodings of the same entries in both orders. */
 struct page_texts {
     GString *by_machine, *by_job;
 };
--- a/src/replica/record_page_codec.h
+++ b/src/replica/record_page_codec.h
@@ -1,13 +1,14 @@
 /**
- * Codec of record pages, the compact texts in which nodes store their run records, and of
- * inventories, which list machines. Pure logic; completions have a codec of their own
+ * Codec of record pages, the compact strings in which nodes store their run records, and of
+ * inventories, which list machines. The functions are pure; completions have their own codec
  * (completions_codec.h).
  *
- * A page is a text of words. "@MACHINE", "#JOB" and "*ATTEMPT" each hold until the next of their
- * kind; a number is a task. "=ADDRESS,TYPE,ZONE,SPOT" behind "@MACHINE" describes the machine as
- * long as nothing else does. "^TEXT" is the prefix of machines' names from there on, "&MACHINE" a
- * full name in spite of it. Nodes of NODE_VERSION_INITIAL understand neither "^" nor "&": what they
- * may read is encoded in the legacy form, without them.
+ * A page consists of space-separated words. "@MACHINE", "#JOB" and "*ATTEMPT" each apply until the
+ * next word of the same kind; a number is a task index. "=ADDRESS,TYPE,ZONE,SPOT" after "@MACHINE"
+ * describes a machine that neither its own key nor an inventory describes. "^PREFIX" sets the
+ * prefix of the machine names in the following "@" words; "&MACHINE" is a full name without that
+ * prefix. Nodes of NODE_VERSION_INITIAL support neither "^" nor "&": pages that they may read are
+ * encoded in the legacy form, without these words.
  */
 #ifndef LL_RECORD_PAGE_CODEC_H
 #define LL_RECORD_PAGE_CODEC_H
@@ -21,49 +22,58 @@
     job_id job;
     attempt_no attempt;
     uint32_t task_index;
-    /** The description of the machine on the page; NULL: none. Decoded: valid for the callback. */
+    /**
+     * The description of the machine on the page; NULL if it has none. A decoded description is
+     * valid only during the callback.
+     */
     const char *description;
 };
 
 /**
- * Encodes entries, in whichever order is shorter, and sorts them. The same entries always give the
- * same text and fewer never a longer one (but for two bytes), in whatever order they come: what was
- * on a page fits on it again, whoever writes it.
+ * Encodes the entries, sorted by machine or by job, whichever string is shorter. Sorts the array.
+ * The result does not depend on the initial order, and a subset of the entries never gives a longer
+ * string (except for two bytes). So entries that were on a page fit on it again, whichever node
+ * writes it.
  */
 GString *record_page_encode(GArray *entries, bool is_legacy);
 /**
- * The length of the text with jobs first, on which record_page_entry_max_bytes is based;
- * shortest_bytes: the length of what record_page_encode gives. Sorts the entries.
+ * Returns the length of the encoding sorted by job, on which record_page_entry_max_bytes is based,
+ * and sets shortest_bytes to the length of the result of record_page_encode. Sorts the array.
  */
 gsize record_page_encoded_bytes(GArray *entries, bool is_legacy, gsize *shortest_bytes);
 /**
- * An upper limit of what one more entry adds to a text with jobs first. has_job, has_attempt: the
- * page has entries of that job, and of that attempt, already.
+ * Returns an upper limit of the bytes that one more entry adds to the encoding sorted by job.
+ * has_job and has_attempt state whether the page already has entries of that job and that attempt.
  */
 gsize record_page_entry_max_bytes(const struct record_page_entry *entry, bool has_job,
                                   bool has_attempt);
 
+/** Receives an entry of a record page; the entry is valid only during the callback. */
 typedef void (*record_page_entry_callback)(void *context, const struct record_page_entry *entry);
-/** Calls back for every entry, in the order of the text; words that cannot be read are passed over.
- */
+/** Calls back for each entry in the order of the page; skips words that are malformed. */
 void record_page_decode(const char *text, record_page_entry_callback callback, void *context);
 
-/** Appends a machine to an inventory. */
+/** Appends a machine to an encoded inventory. */
 void inventory_encode_machine(GString *text, machine_id machine, const char *description);
+/** Receives a machine of an inventory; the description is valid only during the callback. */
 typedef void (*inventory_machine_callback)(void *context, machine_id machine,
                                            const char *description);
+/** Calls back for each machine that an inventory describes. */
 void inventory_decode(const char *text, inventory_machine_callback callback, void *context);
 
-/** What a page or an inventory says of a machine. */
+/** The description of a machine on a record page or in an inventory. */
 struct machine_description {
     char address[24], machine_type_name[48], zone[48];
     bool is_spot;
 };
 
-/** Encodes a description as one word, a new text; NULL: it cannot be one word. */
+/**
+ * Encodes a description as one word, which the caller frees. Returns NULL if a part contains a
+ * character that a word cannot contain, or if there is no address.
+ */
 char *machine_description_encode(const char *address, const char *machine_type_name,
                                  const char *zone, bool is_spot);
-/** Decodes a description; longer parts are cut. False: malformed. */
+/** Decodes a description; truncates parts that are too long. Returns false if it is malformed. */
 bool machine_description_decode(const char *text, struct machine_description *description);
 
 #endif
--- a/src/replica/reload.c
+++ b/src/replica/reload.c
@@ -1,12 +1,13 @@
 /**
- * Reading all keys, page by page, in the order of the keys. Pages are read at different revisions;
- * the watch goes on from the revision of the first one and repeats what later pages showed already.
+ * Reload: reads all keys, one range at a time, in the order of the keys. The ranges are read at
+ * different revisions; the watch continues from the revision of the first range, and so repeats
+ * changes that later ranges already contained.
  */
 #include "kv_codec.h"
 #include "log.h"
 #include "replica_internal.h"
 
-/** Keys in one response. */
+/** The maximum number of keys in one response. */
 enum { MAX_KEYS_PER_RESPONSE = 500 };
 
 static void request_key_range(struct replica *replica);
@@ -28,7 +29,7 @@
     const char *last_key = NULL;
     for (guint i = 0; i < items->len; i++) {
         const struct kv_item *item = &g_array_index(items, struct kv_item, i);
-        if (!key_is_job(item->key)) /* these are never deleted */
+        if (!key_is_job(item->key)) /* jobs are never deleted */
             g_hash_table_add(reload->seen_keys, g_strdup(item->key));
         replica_apply(replica, item->key, item->value, item->mod_revision);
         last_key = item->key;
@@ -38,7 +39,7 @@
     replica_evict_finished_jobs(replica);
 }
 
-/** Known keys that were not read any more were deleted. */
+/** Applies the deletion of all known keys that this reload did not find. */
 static void remove_unseen_keys(struct replica *replica)
 {
     GHashTable *mod_revisions = replica->internal->mod_revisions;
@@ -57,7 +58,7 @@
     g_ptr_array_unref(removed_keys);
 }
 
-/** All pages are read: publishes the records and starts the watch. */
+/** Publishes the records when all ranges were read, and starts the watch. */
 static void finish_reload(struct replica *replica)
 {
     struct replica_internal *internal = replica->internal;
@@ -65,7 +66,8 @@
     replica_reload_clear(&internal->reload);
     replica->applied_revision = internal->reload.base_revision;
     replica_mark_fresh(replica);
-    /* Acting without the run records that are stored in the legacy form would start tasks twice. */
+    /* Working without the run records in the legacy format would start their tasks a second time.
+     */
     if (internal->has_legacy_records)
         LOG_ERROR("legacy_records",
                   "keys below ll/m/ are of an earlier version; see operations.md");
@@ -90,7 +92,7 @@
         replica_schedule_watch_retry(replica);
         return;
     }
-    if (!reload->last_key) /* the first page */
+    if (!reload->last_key) /* the first range */
         reload->base_revision = at_revision;
     apply_key_range(replica, items);
     g_array_unref(items);
--- a/src/replica/replica.c
+++ b/src/replica/replica.c
@@ -1,4 +1,4 @@
-/** The replica: its life, its events, and the dispatch of changed keys. */
+/** The replica: its creation, its events, and the dispatch of changed keys. */
 #include "replica_internal.h"
 
 enum {
@@ -6,7 +6,7 @@
     EXPIRY_CHECK_INTERVAL_MS = 200,
 };
 
-/** Timer callback: ends waits that took too long, and looks for evicted jobs. */
+/** Timer callback: expires waiters and reads the evicted jobs that others depend on. */
 static void replica_on_expiry_timer(void *arg)
 {
     struct replica *replica = arg;
@@ -163,7 +163,7 @@
     for (guint n = ids->length; n > replica->max_finished_jobs; n--) {
         char *id = g_queue_pop_head(ids);
         struct job *job = replica_get_job(replica, id);
-        if (job && job->run_records) { /* a page still names it */
+        if (job && job->run_records) { /* a page still refers to it */
             g_queue_push_tail(ids, id);
             continue;
         }
@@ -181,10 +181,10 @@
         replica->internal->has_legacy_records = true;
 }
 
-/** Which function applies the values of a kind of keys. */
+/** The function that applies changes of one kind of keys. */
 struct key_handler {
     const char *prefix;
-    /** The prefix is the whole key. */
+    /** The prefix is the complete key. */
     bool is_whole_key;
     void (*apply)(struct replica *replica, const struct key_update *update);
 };
@@ -222,7 +222,10 @@
     }
 }
 
-/** Whether the replica has a newer value already, or this one, from a page read after the watch. */
+/**
+ * Returns true if the replica already has this value or a newer one, from a range of keys that was
+ * read at a revision later than that of the change.
+ */
 static bool is_outdated(const revision *known, json_object *value, revision mod_revision)
 {
     if (!known)
--- a/src/replica/replica.h
+++ b/src/replica/replica.h
@@ -1,9 +1,9 @@
 /**
- * Every node's replica of the keys below ll/ (kv_keys.h): the records at one revision, kept up to
- * date by a watch.
+ * In-memory replica of the keys below ll/ (kv_keys.h). Each node has one; it holds the records at
+ * one revision and follows the store with a watch.
  *
- * Listeners receive the changes as events, which carry ids. A read that must not be stale goes
- * through replica_read_barrier.
+ * Listeners receive the changes as events, which contain ids. A read that must not return stale
+ * data has to call replica_read_barrier first.
  */
 #ifndef LL_REPLICA_H
 #define LL_REPLICA_H
@@ -15,7 +15,7 @@
 #include "replica_records.h"
 #include "role_records.h"
 
-/** What an event is about. */
+/** The kinds of changes that the replica reports. */
 enum replica_event_kind {
     REPLICA_EVENT_JOB,
     REPLICA_EVENT_RUN_RECORD_ADDED,
@@ -27,29 +27,32 @@
     REPLICA_EVENT_LEADER,
     REPLICA_EVENT_SHARD_MAP,
     REPLICA_EVENT_MACHINE_TYPES,
-    /** Who holds the roles, or whether they are on. */
+    /** The holders of the singleton roles, or whether the roles are enabled. */
     REPLICA_EVENT_SINGLETON_ROLES,
-    /** An intent to return the machine was recorded, or settled. */
+    /** An intent to return the machine was recorded or resolved. */
     REPLICA_EVENT_MACHINE_RETURN,
-    /** All keys were read again; changes in between have no events. */
+    /** All keys were read again; changes in between may have no events of their own. */
     REPLICA_EVENT_RELOADED,
 };
 
-/** A change; fields that its kind does not use are zero. */
+/** A change of a record. Fields that its kind does not use are zero. */
 struct replica_event {
     enum replica_event_kind kind;
     job_id job;
     uint32_t task_index;
     attempt_no attempt;
     machine_id machine;
-    /** Of a page or an inventory. */
+    /** The key of the changed record page or inventory. */
     char page_key[72];
 };
 
-/** The message that listeners get; its body is a GArray of struct replica_event, in their order. */
+/**
+ * The kind of the message that listeners receive. Its body is a GArray of struct replica_event in
+ * the order of the changes.
+ */
 enum { MSG_REPLICA_EVENTS = 100 };
 
-/** The replica. Others only read it, except for max_finished_jobs. */
+/** The replica. Other modules only read it, except for max_finished_jobs. */
 struct replica {
     struct loop *loop;
     struct kv_client *kv;
@@ -57,8 +60,10 @@
     bool is_ready;
     /** The revision that the records reflect. */
     revision applied_revision;
-    /** The records were the newest at this moment, and at the one before: any change that is new
-     * here was made after that. */
+    /**
+     * The last time and the previous time at which the records were known to be current: a change
+     * that was applied since the previous time was made after it.
+     */
     mono_time fresh_at, previous_fresh_at;
     /** Id -> struct job. */
     GHashTable *jobs;
@@ -70,12 +75,12 @@
     GHashTable *inventories;
     /** Label -> struct node_record. */
     GHashTable *nodes;
-    /** Label -> version that some process of that label has understood. */
+    /** Label -> version that some process of the node has supported, also while it is not live. */
     GHashTable *announced_versions;
-    /** Counts changes of nodes and announced_versions. */
+    /** The number of changes of nodes and announced_versions. */
     uint64_t node_change_count;
     struct job_dag *job_dag;
-    /** NULL: nobody leads. */
+    /** NULL if there is no leader. */
     char *leader_label;
     lease_id leader_incarnation;
     revision leader_mod_revision;
@@ -83,55 +88,61 @@
     revision shard_map_mod_revision;
     /** Array of struct shard_map_entry. */
     GArray *shard_map;
-    /** Array of struct machine_type; NULL: not stored yet. */
+    /** Array of struct machine_type; NULL if none are stored yet. */
     GArray *machine_types;
     struct role_records *singleton_roles;
-    /** Roles are on for all nodes, as ll/features says. */
+    /** Singleton roles are enabled for all nodes (ll/features). */
     bool singleton_roles_enabled;
     revision features_mod_revision;
     /**
-     * How many finished jobs are kept in memory. The oldest are evicted beyond that; whoever is
-     * asked for a job that is not in memory has to read its key.
+     * The maximum number of finished jobs in memory; the oldest ones beyond it are evicted. To
+     * answer a query for a job that is not in memory, a caller has to read its key.
      */
     guint max_finished_jobs;
-    /** Some were evicted. */
+    /** At least one finished job was evicted. */
     bool has_evicted_jobs;
-    /** Private: see replica_internal.h. */
+    /** Private state: see replica_internal.h. */
     struct replica_internal *internal;
 };
 
-/** Creates an empty replica. The loop and the client must outlive it. */
+/** Creates an empty replica. The event loop and the client must outlive it. */
 struct replica *replica_new(struct loop *loop, struct kv_client *kv);
-/** Frees the replica with all records; waiting callers are not called back. */
+/** Frees the replica and all records without calling the callbacks of waiting callers. */
 void replica_free(struct replica *replica);
 /** Sends MSG_REPLICA_EVENTS to the listener from now on. */
 void replica_add_listener(struct replica *replica, struct actor *listener);
-/** Starts reading all keys, and then watches them. */
+/** Starts to read all keys and then watches them. */
 void replica_start(struct replica *replica);
 
-/** The job, or NULL. Check is_known: it may be one that only pages name. */
+/**
+ * Returns the job, or NULL if it is not in memory. Check is_loaded: the job may be known only from
+ * record pages that refer to it.
+ */
 struct job *replica_get_job(struct replica *replica, const char *id);
-/** The machine, or NULL. */
+/** Returns the machine, or NULL if no stored key refers to it. */
 struct machine_record *replica_get_machine(struct replica *replica, const char *id);
 /**
- * How a page has to describe the machine: NULL if its own key or an inventory does, or if it is not
- * known. Valid until the machine changes.
+ * Returns the description of the machine that a record page has to contain. NULL if the machine is
+ * unknown, or described by its own key or an inventory. Valid until the machine changes.
  */
 const char *replica_get_machine_description(struct replica *replica, const char *machine_name);
 
-/** ok is false when it took too long. */
+/** Receives the result of a wait; ok is false if it failed or timed out. */
 typedef void (*replica_callback)(void *arg, bool ok);
-/** Calls back once the replica reflects a revision that was the newest after this call. */
+/**
+ * Calls back when the replica reflects a revision that was the newest one in the store at some time
+ * after this call.
+ */
 void replica_read_barrier(struct replica *replica, replica_callback callback, void *callback_arg);
-/** Calls back once the replica reflects a revision; at once, if it does already. */
+/** Calls back when the replica reflects the revision; immediately if it already does. */
 void replica_await_revision(struct replica *replica, revision revision_needed,
                             replica_callback callback, void *callback_arg);
-/** As replica_await_revision; for revision 0, as replica_read_barrier. */
+/** Calls replica_await_revision or, if the revision is 0, replica_read_barrier. */
 void replica_await_revision_or_newest(struct replica *replica, revision revision_needed,
                                       replica_callback callback, void *callback_arg);
 /**
- * Calls back once the replica shows what became of a transaction: at the revision of its outcome;
- * without one, as replica_read_barrier.
+ * Calls back when the replica reflects the outcome of a transaction: its revision or, if the
+ * outcome has none, a revision as for replica_read_barrier.
  */
 void replica_await_txn_outcome(struct replica *replica, const struct txn_outcome *outcome,
                                replica_callback callback, void *callback_arg);
--- a/src/replica/replica_internal.h
+++ b/src/replica/replica_internal.h
@@ -1,11 +1,11 @@
 /**
- * What the files of the replica share; for src/replica only.
+ * Internal declarations of the replica, for src/replica only.
  *
- * replica.c owns the struct, the events and the dispatch of a key to the file that decodes its
- * value: jobs.c, machines.c, inventories.c, run_records.c (pages), cluster_records.c (nodes,
- * leader, shard map, features, roles) and machine_types.c. reload.c reads all keys and watch.c
- * follows their changes; job_lookup.c reads jobs that were evicted; read_barrier.c has the callers
- * that wait for a revision.
+ * replica.c owns the struct, publishes the events and dispatches each key to the file that decodes
+ * its value: jobs.c, machines.c, inventories.c, run_records.c (record pages), cluster_records.c
+ * (nodes, leader, shard map, features, roles) and machine_types.c. reload.c reads all keys and
+ * watch.c follows their changes; job_lookup.c reads jobs that were evicted; read_barrier.c manages
+ * the callers that wait for a revision.
  */
 #ifndef LL_REPLICA_INTERNAL_H
 #define LL_REPLICA_INTERNAL_H
@@ -13,7 +13,7 @@
 #include "replica.h"
 #include "token_bucket.h"
 
-/** Times of requests of the replica; see struct kv_request. */
+/** Timeouts of the replica's requests; see struct kv_request. */
 enum {
     RESPONSE_TIMEOUT_MS = 2500,
     QUEUE_TIMEOUT_MS = 10000,
@@ -21,166 +21,181 @@
 
 /** The watch (watch.c). */
 struct replica_watch {
-    /** Runs until the next watch, or until a failed request is repeated. */
+    /** Expires when the next watch is due or a failed request is retried. */
     struct timer timer;
     struct token_bucket bucket;
-    /** When the request that is answered next was sent: of the watch, or the first of a reload. */
+    /** When the outstanding watch request, or the first request of the reload, was sent. */
     mono_time requested_at;
 };
 
-/** Reading all keys, page by page (reload.c). */
+/** State of a reload, which reads all keys, one range at a time (reload.c). */
 struct replica_reload {
-    /** The keys that were read, jobs excepted; NULL: no reload is under way. */
+    /** The keys that were read, except those of jobs; NULL if no reload is in progress. */
     GHashTable *seen_keys;
-    /** The last key of the last page; NULL: none was read yet. */
+    /** The last key of the last range; NULL if none was read yet. */
     char *last_key;
-    /** The revision of the first page, from which the watch goes on. */
+    /** The revision of the first range, from which the watch continues. */
     revision base_revision;
 };
 
-/** Reads of evicted jobs (job_lookup.c). */
+/** State of the reads of evicted jobs (job_lookup.c). */
 struct replica_lookup {
     mono_time started_at;
     guint in_flight;
 };
 
+/** Private state of the replica. */
 struct replica_internal {
-    /** There are records of a version that this one does not understand. */
+    /** There are records of an early version, which this version does not support. */
     bool has_legacy_records;
-    /** Ids of finished jobs, the oldest first. */
+    /** Ids of jobs whose final state is stored, the oldest first. */
     GQueue finished_job_ids;
-    /** Key -> revision, of every key. */
+    /** Key -> revision of its last change, for all keys. */
     GHashTable *mod_revisions;
     /** Array of struct actor. */
     GPtrArray *listeners;
-    /** Array of struct replica_event that are not published yet. */
+    /** Array of struct replica_event: the events that are not published yet. */
     GArray *pending_events;
     /** Key -> struct machine_type_part. */
     GHashTable *machine_type_parts;
     /** Array of struct revision_waiter (read_barrier.c). */
     GArray *waiters;
-    /** Runs replica_on_expiry_timer. */
+    /** Calls replica_on_expiry_timer. */
     struct timer expiry_timer;
     struct replica_watch watch;
     struct replica_reload reload;
     struct replica_lookup lookup;
 };
 
-/** A key's new value. */
+/** A change of a key. */
 struct key_update {
     const char *key;
-    /** The part of the key behind its prefix. */
+    /** The part of the key after its prefix. */
     const char *name;
-    /** NULL: the key was deleted. */
+    /** The new value; NULL if the key was deleted. */
     json_object *value;
     revision mod_revision;
 };
 
 /* ---- replica.c ---- */
 
-/** Copies a text field if it is there; a longer one is cut. */
+/** Copies a string field if it exists; truncates a string that is too long. */
 void replica_copy_string(json_object *value, const char *field, char *out, size_t size);
-/** Adds an event to those that are published next. */
+/** Adds an event to those that will be published next. */
 void replica_add_event(struct replica *replica, struct replica_event event);
-/** Adds an event about a page or an inventory. */
+/** Adds an event for a record page or an inventory. */
 void replica_add_page_event(struct replica *replica, enum replica_event_kind kind, const char *key);
-/** Drops the oldest finished jobs beyond max_finished_jobs. */
+/** Evicts the oldest finished jobs beyond max_finished_jobs. */
 void replica_evict_finished_jobs(struct replica *replica);
-/** Sends the pending events to the listeners, and calls back those who wait for this revision. */
+/** Sends the pending events to the listeners and calls back the waiters for this revision. */
 void replica_publish_events(struct replica *replica);
-/** Applies a key's value, unless a newer one is known; value NULL: the key was deleted. */
+/** Applies the value of a key unless a newer one is known; value NULL means a deletion. */
 void replica_apply(struct replica *replica, const char *key, json_object *value,
                    revision mod_revision);
 
 /* ---- jobs.c ---- */
 
-/** Finds a job or creates one that only pages name; NULL: not a valid id. */
+/** Returns a job; creates one that is not loaded if there is none. NULL if the id is invalid. */
 struct job *replica_get_or_create_job(struct replica *replica, const char *id);
-/** GDestroyNotify of struct job. */
+/** GDestroyNotify that frees a struct job. */
 void replica_job_free(gpointer job);
+/** Applies a change of ll/j/JOB. */
 void replica_apply_job(struct replica *replica, const struct key_update *update);
-/** completions_callback with the replica as its context. */
+/** completions_callback that merges completions into a job; the context is the replica. */
 void replica_merge_completions(void *context, job_id id, uint32_t unit, const GByteArray *bits);
-/** job_dag_observer with the replica as its context. */
+/** job_dag_observer that updates a job from the job DAG; the context is the replica. */
 void replica_on_job_dag_change(void *context, const char *id,
                                const struct job_dag_state *dag_state);
 
 /* ---- machines.c ---- */
 
-/** Finds a machine or creates it; NULL: not a valid id. */
+/** Returns a machine and creates it if there is none. NULL if the id is invalid. */
 struct machine_record *replica_get_or_create_machine(struct replica *replica, const char *id);
-/** Removes a machine that nothing names any more. */
+/** Removes the machine if no stored key refers to it. */
 void replica_remove_unused_machine(struct replica *replica, struct machine_record *machine);
-/** Takes over what a page or an inventory says of a machine, unless the machine has its own key. */
+/** Applies the description on a page or in an inventory unless the machine has its own key. */
 void machine_apply_description(struct machine_record *machine, const char *text);
-/** GDestroyNotify of struct machine_record. */
+/** GDestroyNotify that frees a struct machine_record. */
 void replica_machine_free(gpointer machine);
+/** Applies a change of ll/h/MACHINE. */
 void replica_apply_machine(struct replica *replica, const struct key_update *update);
 
 /* ---- inventories.c ---- */
 
-/** GDestroyNotify of struct machine_inventory. */
+/** GDestroyNotify that frees a struct machine_inventory. */
 void replica_inventory_free(gpointer inventory);
+/** Applies a change of ll/a/LABEL/N. */
 void replica_apply_inventory(struct replica *replica, const struct key_update *update);
 
 /* ---- run_records.c ---- */
 
-/** GDestroyNotify of struct record_page. */
+/** GDestroyNotify that frees a struct record_page. */
 void replica_page_free(gpointer page);
+/** Applies a change of ll/p/LABEL/N. */
 void replica_apply_page(struct replica *replica, const struct key_update *update);
 
 /* ---- cluster_records.c ---- */
 
-/** GDestroyNotify of struct node_record. */
+/** GDestroyNotify that frees a struct node_record. */
 void replica_node_free(gpointer node);
-/** Frees what a struct shard_map_entry holds. */
+/** GDestroyNotify that frees the contents of a struct shard_map_entry. */
 void shard_map_entry_clear(gpointer entry);
+/** Applies a change of ll/n/LABEL. */
 void replica_apply_node(struct replica *replica, const struct key_update *update);
+/** Applies a change of ll/v/LABEL. */
 void replica_apply_version(struct replica *replica, const struct key_update *update);
+/** Applies a change of ll/leader. */
 void replica_apply_leader(struct replica *replica, const struct key_update *update);
+/** Applies a change of ll/map. */
 void replica_apply_shard_map(struct replica *replica, const struct key_update *update);
+/** Applies a change of ll/features. */
 void replica_apply_features(struct replica *replica, const struct key_update *update);
-/** Applies the update if the key belongs to a singleton role or its intents. */
+/** Applies a change if the key belongs to a singleton role or its intents. */
 void replica_apply_singleton_role(struct replica *replica, const struct key_update *update);
 
 /* ---- machine_types.c ---- */
 
-/** GDestroyNotify of struct machine_type_part. */
+/** GDestroyNotify that frees a struct machine_type_part. */
 void machine_type_part_free(gpointer part);
+/** Applies a change of ll/types or ll/types/N. */
 void replica_apply_machine_types(struct replica *replica, const struct key_update *update);
 
 /* ---- watch.c ---- */
 
-/** Timer callback: sends the next watch once its rate limit allows, or starts a reload. */
+/**
+ * Timer callback: sends the next watch when its rate limit allows, or continues the reload if the
+ * keys are not read yet.
+ */
 void replica_watch(void *arg);
-/** Sends a GET in the lane of the watch; the callback gets the replica. */
+/** Sends a GET request with the priority of the watch; the callback receives the replica. */
 void replica_send_request(struct replica *replica, const char *path, int response_timeout_ms,
                           http_response_callback callback);
-/** Repeats a failed request after a pause. */
+/** Schedules the retry of a failed request. */
 void replica_schedule_watch_retry(struct replica *replica);
-/** Notes that the records reflect all that was stored when the last request was sent. */
+/** Records that the replica reflects everything stored at the time of the last request. */
 void replica_mark_fresh(struct replica *replica);
 
 /* ---- reload.c ---- */
 
-/** Reads all keys, or goes on with it, and then watches. */
+/** Starts or continues to read all keys, and then watches them. */
 void replica_reload(struct replica *replica);
+/** Returns true while a reload is in progress. */
 bool replica_is_reloading(const struct replica *replica);
-/** Frees the state of a reload that is under way. */
+/** Frees the state of a reload that is in progress. */
 void replica_reload_clear(struct replica_reload *reload);
 
 /* ---- job_lookup.c ---- */
 
-/** Reads jobs that others depend on and that are not in memory. */
+/** Reads the jobs that other jobs depend on and that are not in memory. */
 void replica_lookup_missing_jobs(struct replica *replica);
 
 /* ---- read_barrier.c ---- */
 
-/** The array of those who wait for a revision. */
+/** Creates the array of the callers that wait for a revision. */
 GArray *replica_waiters_new(void);
-/** Calls back those whose revision is reflected now. */
+/** Calls back the waiters whose revision is now reflected. */
 void replica_notify_waiters(struct replica *replica);
-/** Calls back those who have waited too long. */
+/** Calls back the waiters that have timed out. */
 void replica_expire_waiters(struct replica *replica);
 
 #endif
--- a/src/replica/replica_records.h
+++ b/src/replica/replica_records.h
@@ -1,92 +1,100 @@
 /**
- * The records of the replica: what the stored keys say of jobs, tasks, machines and nodes, linked
- * to one another. The replica owns them all and others only read them; a record may be freed
- * whenever the replica applies a change, so others keep ids in place of pointers.
+ * The records of the replica: the decoded values of the stored keys for jobs, tasks, machines and
+ * nodes, with links between them. The replica owns all records; other modules only read them. A
+ * record may be freed whenever the replica applies a change, so other modules have to keep ids, not
+ * pointers.
  */
 #ifndef LL_REPLICA_RECORDS_H
 #define LL_REPLICA_RECORDS_H
 
 #include "codec.h"
 
-/** What a node understands, as its own key says. */
+/** The version of the stored records and messages that a node supports, as stored in its key. */
 enum node_version {
-    /** The key says nothing. */
+    /** The node's key contains no version. */
     NODE_VERSION_INITIAL = 0,
     /**
-     * Jobs may depend on others, a machine's records may be on several pages, and completions may
-     * begin within a chunk.
+     * Jobs may depend on other jobs, the run records of a machine may be on several pages, and
+     * encoded completions may begin within a chunk.
      */
     NODE_VERSION_JOB_DAG = 1,
-    /** Nothing is placed on machines that a recorded intent is going to return. */
+    /** No task is placed on a machine that a recorded intent will return to the cloud. */
     NODE_VERSION_SINGLETON_ROLES = 2,
-    /** Of this program. */
+    /** The version of this program. */
     NODE_VERSION_CURRENT = NODE_VERSION_SINGLETON_ROLES,
 };
 
+/** The state of a job; done and cancelled jobs are finished. */
 enum job_state { JOB_ACTIVE, JOB_CANCELLED, JOB_DONE };
 
-/** A job. */
+/** A job with its dependencies, completed tasks and run records. */
 struct job {
     job_id id;
-    /** Its key was seen; otherwise only pages name it. */
+    /** The value of the job's key was read; otherwise only record pages refer to the job. */
     bool is_loaded;
-    /** Its key will not change any more. */
+    /** The job's key contains the final state and will not change again. */
     bool is_final;
     enum job_state state;
     revision mod_revision;
-    /** NULL once it is finished. */
+    /** The submitted specification; NULL once the final state was read. */
     struct job_spec *spec;
     wall_time submitted_at;
-    /** When it could first have started: when the last of its dependencies was done. */
+    /** The earliest time at which the job could start: when its last dependency was done. */
     wall_time eligible_at;
-    /** 0: not finished, or not known. */
+    /** 0 if the job is not finished or the time is unknown. */
     wall_time ended_at;
-    /** By when it must be done, also for the jobs that depend on it. */
+    /** The earliest deadline that follows from its own and those of the jobs that depend on it. */
     wall_time inherited_deadline;
-    /** The highest of its own and those of the jobs that depend on it; lower numbers are higher. */
+    /**
+     * The highest of its own priority and those of the jobs that depend on it; a lower number is a
+     * higher priority.
+     */
     int inherited_priority;
-    /** A dependency is not done: none of its tasks may start. */
+    /** A dependency is not done yet, so none of the job's tasks may start. */
     bool has_pending_dependencies;
-    /** It is cancelled because a job that it depends on is. */
+    /** The job is cancelled because a job that it depends on is cancelled. */
     bool is_upstream_cancelled;
-    /** The revision of the first cancellation that applies to it. */
+    /** The revision of the first cancellation that applies to the job. */
     revision cancel_revision;
-    /** One bit a task; NULL: no task is completed. */
+    /** One bit per task; NULL if no task is completed. */
     GByteArray *completion_bits;
     uint32_t task_count, completed_count;
-    /** Task index + 1 -> struct run_record; NULL: there is none. */
+    /** Task index + 1 -> struct run_record; NULL if there are no run records. */
     GHashTable *run_records;
 };
 
-/** A task on record: it runs on its machine, or may run there, until the record is removed. */
+/**
+ * A stored record of an attempt to run a task on a machine. As long as the record exists, the task
+ * is running on the machine or may be running there.
+ */
 struct run_record {
     struct job *job;
     uint32_t task_index;
     attempt_no attempt;
     struct machine_record *machine;
     struct record_page *page;
-    /** The generation of its page in which it was last read. */
+    /** The generation of its page when the record was last read. */
     uint64_t page_generation;
 };
 
-/** A machine that some key names. */
+/** A machine that at least one stored key refers to. */
 struct machine_record {
     machine_id id;
     char address[24], machine_type_name[48], zone[48];
     bool is_spot;
-    /** Of its own key; 0: it has none. */
+    /** The revision of the machine's own key; 0 if it has none. */
     revision mod_revision;
-    /** Array of struct run_record, which it owns. */
+    /** Array of struct run_record, owned by the machine. */
     GPtrArray *run_records;
-    /** Interned names of the images it has fetched, the newest last. */
+    /** Interned names of the images that the machine has fetched, the newest last. */
     GPtrArray *cached_images;
-    /** Cache of replica_get_machine_description. */
+    /** Cached result of replica_get_machine_description. */
     char *description;
-    /** The inventory that describes it; NULL: none. */
+    /** The inventory that describes the machine; NULL if there is none. */
     struct machine_inventory *inventory;
 };
 
-/** A list of a node's machines: as long as it is stored, pages need not describe them. */
+/** A stored list of a node's machines. Record pages need not describe the machines listed here. */
 struct machine_inventory {
     char *key, *label;
     int number;
@@ -96,9 +104,9 @@
 };
 
 /**
- * A page of run records and completions, as one node wrote it. After a change of shard owners it
- * may hold records of machines that other nodes own by now, until these have taken the records
- * over.
+ * A record page: run records and completions written by one node. After a change of shard owners a
+ * page may contain records of machines that other nodes own now, until these nodes have moved the
+ * records to their own pages.
  */
 struct record_page {
     char *key, *label;
@@ -106,11 +114,11 @@
     revision mod_revision;
     /** Array of struct run_record. */
     GPtrArray *run_records;
-    /** The completions as they are stored (completions_codec.h). */
+    /** The completions in their stored form (completions_codec.h). */
     char *encoded_completions;
-    /** Length of the texts of records and completions. */
+    /** The total length of the encoded records and completions. */
     gsize size_bytes;
-    /** Counts the times that it was read. */
+    /** The number of times that the page was read. */
     uint64_t generation;
 };
 
@@ -118,28 +126,33 @@
 struct node_record {
     char *label;
     char rpc_address[24];
-    /** The lease of its process, which tells it from earlier ones of that label. */
+    /** The lease of the node's process, which distinguishes it from earlier processes of the node.
+     */
     lease_id incarnation;
     revision mod_revision;
     /** See enum node_version. */
     uint64_t supported_version;
-    /** Its operators have switched singleton roles on. */
+    /** The node's operators have enabled singleton roles. */
     bool wants_singleton_roles;
 };
 
-/** A node in the shard map, as the process that it was when the map was written. */
+/** A node in the shard map, identified by the process that ran when the map was written. */
 struct shard_map_entry {
     char *label;
     lease_id incarnation;
 };
 
-/** The run record of a task, or NULL. */
+/** Returns the run record of a task, or NULL if there is none. */
 struct run_record *job_get_run_record(const struct job *job, uint32_t task_index);
+/** Returns true if the task is recorded as completed. */
 bool job_is_task_completed(const struct job *job, uint32_t task_index);
 
-/** Reads the value of a finished job into the job; false, and nothing is changed, for others. */
+/**
+ * Decodes the final state of a job into the job. Returns false and leaves the job unchanged if the
+ * value contains no final state.
+ */
 bool job_decode_final(struct job *job, json_object *value);
-/** The value of a finished job; the caller owns it. */
+/** Encodes the value that stores the final state of a job. The caller owns the result. */
 json_object *job_encode_final(enum job_state final_state, uint32_t task_count, wall_time ended_at);
 
 #endif
--- a/src/replica/run_records.c
+++ b/src/replica/run_records.c
@@ -12,7 +12,10 @@
     g_free(page);
 }
 
-/** Finds the page of an update or creates it; NULL: not a valid key, or deleted already. */
+/**
+ * Returns the page of an update and creates it if there is none. NULL if the key is invalid, or if
+ * the update deletes a page that does not exist.
+ */
 static struct record_page *get_or_create_page(struct replica *replica,
                                               const struct key_update *update)
 {
@@ -42,7 +45,7 @@
                                                       .machine = run_record->machine->id});
 }
 
-/** Links a record, which the machine owns from now on, to its machine, page and job. */
+/** Links a record to its machine, which takes ownership, and to its page and job. */
 static void link_run_record(struct replica *replica, struct run_record *run_record)
 {
     struct job *job = run_record->job;
@@ -54,7 +57,7 @@
     add_run_event(replica, REPLICA_EVENT_RUN_RECORD_ADDED, run_record);
 }
 
-/** Frees a record that was taken off its page. */
+/** Unlinks a record that was already removed from its page, and frees it. */
 static void remove_run_record(struct replica *replica, struct run_record *run_record)
 {
     struct job *job = run_record->job;
@@ -70,7 +73,7 @@
 struct page_reader {
     struct replica *replica;
     struct record_page *page;
-    /** Array of struct run_record: those that are not linked yet. */
+    /** Array of struct run_record: the new records, which are not linked yet. */
     GArray *new_records;
 };
 
@@ -85,8 +88,8 @@
 }
 
 /**
- * record_page_entry_callback: marks a known record as read. New ones are kept for later, so that
- * records that are gone are removed first, as a task may have moved to another machine.
+ * record_page_entry_callback: marks a known record as read again and collects new records. These
+ * are added after the removal of stale records, because a task may have moved to another machine.
  */
 static void apply_page_entry(void *context, const struct record_page_entry *entry)
 {
@@ -114,7 +117,7 @@
     g_array_append_val(reader->new_records, new_record);
 }
 
-/** Removes the records that were not read again. Adds their machines to a set. */
+/** Removes the records of the page that were not read again, and adds their machines to a set. */
 static void remove_stale_run_records(struct replica *replica, struct record_page *page,
                                      GHashTable *machines)
 {
@@ -138,7 +141,7 @@
     }
 }
 
-/** Removes machines that were named only by the records that are gone. */
+/** Removes the machines to which only the removed records referred. */
 static void remove_unused_machines(struct replica *replica, GHashTable *machines)
 {
     GHashTableIter iterator;
@@ -152,7 +155,7 @@
 {
     struct page_reader reader = {replica, page,
                                  g_array_new(FALSE, FALSE, sizeof(struct run_record))};
-    GHashTable *machines = g_hash_table_new(NULL, NULL); /* of records that are gone */
+    GHashTable *machines = g_hash_table_new(NULL, NULL); /* of the removed records */
     record_page_decode(text, apply_page_entry, &reader);
     remove_stale_run_records(replica, page, machines);
     add_new_run_records(replica, reader.new_records);
--- a/src/replica/stored_fields.h
+++ b/src/replica/stored_fields.h
@@ -1,22 +1,25 @@
 /**
- * The words of the values stored below ll/ (kv_keys.h), for those who read and write them. They are
- * stored for good, and nodes of several versions read them, so they never change.
+ * Field names in the JSON values stored below ll/ (kv_keys.h). The values are persistent and are
+ * read by nodes of different versions, so the names must never change.
  *
- * The texts of record pages and inventories have codecs of their own (record_page_codec.h); roles
- * and intents, too (role_codec.h).
+ * The strings of record pages and inventories have their own codec (record_page_codec.h), and so do
+ * roles and intents (role_codec.h).
  */
 #ifndef LL_STORED_FIELDS_H
 #define LL_STORED_FIELDS_H
 
 /* ---- ll/j/JOB ---- */
 
-/** What was submitted; see job_spec_encode. */
+/** The submitted specification; see job_spec_encode. */
 #define JOB_FIELD_SPEC "w"
-/** When it was submitted. */
+/** When the job was submitted. */
 #define JOB_FIELD_SUBMITTED_MS "t"
-/** Whether a user has cancelled it. */
+/** Whether a user has cancelled the job. */
 #define JOB_FIELD_IS_CANCELLED "c"
-/** Of a finished job, in place of all others: how it ended, its number of tasks, and when. */
+/**
+ * The final state of a finished job. Together with the number of tasks and the end time it replaces
+ * all other fields.
+ */
 #define JOB_FIELD_FINAL_STATE "f"
 #define JOB_FIELD_TASK_COUNT "n"
 #define JOB_FIELD_ENDED_MS "e"
@@ -40,17 +43,17 @@
 
 /* ---- ll/n/LABEL and ll/v/LABEL ---- */
 
-/** The lease of the process. */
+/** The lease of the node's process. */
 #define NODE_FIELD_INCARNATION "i"
 #define NODE_FIELD_RPC_ADDRESS "b"
-/** What it understands: see enum node_version. */
+/** The version that the node supports: see enum node_version. */
 #define NODE_FIELD_VERSION "v"
-/** Whether its operators have switched singleton roles on. */
+/** Whether the node's operators have enabled singleton roles. */
 #define NODE_FIELD_SINGLETON_ROLES "duties"
 
 /* ---- ll/leader and ll/map ---- */
 
-/** A process of a node: all of ll/leader, and each node in ll/map. */
+/** Fields that identify a process of a node, in ll/leader and for each node in ll/map. */
 #define PROCESS_FIELD_LABEL "n"
 #define PROCESS_FIELD_INCARNATION "i"
 #define SHARD_MAP_FIELD_EPOCH "e"
@@ -62,9 +65,9 @@
 
 /* ---- ll/types and ll/types/N ---- */
 
-/** A part of the list; see machine_types_encode. */
+/** One part of the list of machine types; see machine_types_encode. */
 #define MACHINE_TYPES_FIELD_TYPES "Builds"
-/** In ll/types: the number of keys that continue the list. */
+/** In ll/types only: the number of keys that continue the list. */
 #define MACHINE_TYPES_FIELD_CONTINUATIONS "more"
 
 #endif
--- a/src/replica/watch.c
+++ b/src/replica/watch.c
@@ -1,32 +1,32 @@
 /**
- * The watch: a request that the store answers with all changes after a revision, as soon as there
- * is one. The replica applies them and sends the next.
+ * The watch: a long-polling request that the store answers with all changes after a revision, as
+ * soon as there is at least one. The replica applies them and sends the next request.
  *
- * A response holds all changes since the revision, however many these are. After a pause they may
- * be more than the process has memory for, so the newest revision is asked for first, and all keys
- * are read anew where it is far ahead: these come in pages.
+ * A response contains all changes since the revision, whatever their number. After a pause they may
+ * exceed the memory of the process. The replica therefore first requests the newest revision and,
+ * if that is far ahead, reloads all keys, which are read in ranges of limited size.
  */
 #include "kv_codec.h"
 #include "log.h"
 #include "replica_internal.h"
 
 enum {
-    /** How long the store waits for a change before it answers. */
+    /** How long the store waits for a change before it responds. */
     WATCH_BLOCK_MS = 2000,
-    /** How much later a response to a watch may arrive. */
+    /** How long to wait for the response beyond WATCH_BLOCK_MS. */
     WATCH_RESPONSE_GRACE_MS = 1500,
     RETRY_DELAY_MS = 250,
-    /** Without an answer for so long, the newest revision is asked for first. */
+    /** After this time without a response, the newest revision is requested first. */
     BACKLOG_CHECK_AFTER_MS = 8000,
-    /** So many revisions are always taken in one response. */
+    /** Up to this many revisions are always requested with a watch. */
     MIN_WATCH_BACKLOG_REVISIONS = 100,
-    /** Values of the longest allowed size that a revision writes, at most. */
+    /** The maximum number of values of the maximum size that one revision writes. */
     MAX_VALUES_PER_REVISION = 6,
 };
 
-/** The share of the rate limit that the watches of all nodes take together. */
+/** The fraction of the rate limit that the watches of all nodes together may use. */
 static const double WATCH_RATE_SHARE = 0.5;
-/** How much of one second's watches may follow one another without a pause. */
+/** The capacity of the watch's token bucket, in seconds of its refill rate. */
 static const double WATCH_BURST_S = 0.25;
 
 static void send_watch(struct replica *replica);
@@ -55,7 +55,8 @@
     replica->fresh_at = replica->internal->watch.requested_at;
 }
 
-/** How many revisions one response may hold, whatever their values are. */
+/** Returns the number of revisions that fit into one response, whatever the sizes of their values.
+ */
 static uint64_t max_watch_backlog_revisions(const struct replica *replica)
 {
     const struct kv_limits *limits = kv_client_limits(replica->kv);
@@ -116,9 +117,10 @@
 }
 
 /**
- * Takes a token of the watch's own rate limit, or returns false and runs replica_watch later. Every
- * response costs a request for the next watch; when there are many changes they gather a little, so
- * that the watches of all nodes leave most of the rate limit to the writes.
+ * Takes a token of the watch's own rate limit. If there is none, schedules replica_watch and
+ * returns false. Each response requires a request for the next watch. This limit makes a response
+ * collect several changes when there are many, so that the watches of all nodes leave most of the
+ * rate limit to the writes.
  */
 static bool take_watch_token(struct replica *replica)
 {
