--- a/src/replica/completions_codec.c
+++ b/src/replica/completions_codec.c
@@ -12,7 +12,7 @@
     /** The chunks of the largest job, which has 100,000 tasks. */
     MAX_CHUNKS = 100000 / (8 * CHUNK_BYTES) + 1,
     /** An upper limit of the numbers and separators in the encoding of a unit. */
-    MAX_WORD_OVERHEAD_BYTES = 22,
+    MAX_UNIT_OVERHEAD_BYTES = 22,
 };
 
 void bitmap_grow(GByteArray *bitmap, guint length_bytes)
@@ -34,7 +34,7 @@
 gsize completions_max_bytes(job_id job, uint32_t unit, guint bitmap_bytes, bool is_legacy)
 {
     guint leading_bytes = is_legacy ? unit % UNITS_PER_CHUNK * COMPLETION_UNIT_BYTES : 0;
-    return strlen(job.text) + MAX_WORD_OVERHEAD_BYTES + 2 * (gsize)(leading_bytes + bitmap_bytes);
+    return strlen(job.text) + MAX_UNIT_OVERHEAD_BYTES + 2 * (gsize)(leading_bytes + bitmap_bytes);
 }
 
 void completions_encode(GString *text, job_id job, uint32_t unit, const GByteArray *bits,
