--- a/src/kv/kv_client.c
+++ b/src/kv/kv_client.c
@@ -9,7 +9,9 @@
 enum {
     /** Pause after a 429 response. */
     RATE_LIMITED_RETRY_DELAY_MS = 120,
+    /** Time since the last success after which the store counts as unavailable. */
     UNAVAILABLE_AFTER_NO_RESPONSE_MS = 1800,
+    /** The same if the last response was a 503. */
     UNAVAILABLE_AFTER_503_MS = 150,
     /** This many writes answered with 429 in short succession indicate a lowered write rate. */
     MIN_RATE_LIMITED_WRITES = 4,
--- a/src/kv/kv_read_barrier.c
+++ b/src/kv/kv_read_barrier.c
@@ -9,6 +9,7 @@
     READ_BARRIER_INTERVAL_MS = 40,
 };
 
+/** A caller that waits for a read barrier. */
 struct read_barrier_waiter {
     read_barrier_callback callback;
     void *callback_arg;
--- a/src/kv/kv_txn.c
+++ b/src/kv/kv_txn.c
@@ -10,6 +10,7 @@
     DELETE_OVERHEAD_BYTES = 20,
 };
 
+/** The encoded compares and writes, and an upper estimate of their encoded size. */
 struct txn {
     json_object *compares, *writes;
     size_t size_bytes;
--- a/src/replica/job_dag.c
+++ b/src/replica/job_dag.c
@@ -4,7 +4,7 @@
 /** Lower than the priority of any job; the initial value for jobs that were not added yet. */
 enum { LOWEST_PRIORITY = 1000 };
 
-/** A job that depends on an active job, or on which a job depends. */
+/** A job that depends on a job not known to be finished, or such a dependency. */
 struct job_dag_node {
     job_id id;
     /** job_dag_add_job was called for the job; until then only its dependents refer to it. */
@@ -15,6 +15,7 @@
     GPtrArray *dependencies, *dependents;
 };
 
+/** The jobs by id, and the observer of their states. */
 struct job_dag {
     /** Job id -> struct job_dag_node. */
     GHashTable *nodes;
--- a/src/replica/job_dag.h
+++ b/src/replica/job_dag.h
@@ -4,8 +4,8 @@
  * from their dependents.
  *
  * The DAG does no I/O: the caller reports jobs and their final states, and an observer is notified
- * of changes. The DAG contains only jobs that depend on an active job, or on which a job depends.
- * Done and cancelled are final states, so the edges of such jobs are removed.
+ * of changes. The DAG contains only jobs that depend on a job not known to be finished, and these
+ * dependencies. Done and cancelled are final states, so the edges of such jobs are removed.
  */
 #ifndef LL_JOB_DAG_H
 #define LL_JOB_DAG_H
@@ -35,7 +35,7 @@
     revision upstream_cancel_revision;
     /** The highest of its own priority and those of its direct and indirect dependents. */
     int inherited_priority;
-    /** The time by which the job must be done so that all dependents can meet their deadlines. */
+    /** The time by which the job must be done for it and its dependents to meet their deadlines. */
     wall_time inherited_deadline;
 };
 
--- a/src/replica/page_words.h
+++ b/src/replica/page_words.h
@@ -7,8 +7,7 @@
 /** Longer than any job id or machine id. */
 enum { NAME_BUFFER_BYTES = 64 };
 
-/** Returns the next word and its length, and advances the position. NULL at the end of the string.
- */
+/** Returns the next word and its length, and advances the position. NULL if no word is left. */
 const char *page_next_word(const char **position, size_t *length);
 
 /**
--- a/src/replica/record_page_codec.h
+++ b/src/replica/record_page_codec.h
@@ -4,11 +4,11 @@
  * (completions_codec.h).
  *
  * A page consists of space-separated words. "@MACHINE", "#JOB" and "*ATTEMPT" each apply until the
- * next word of the same kind; a number is a task index. "=ADDRESS,TYPE,ZONE,SPOT" after "@MACHINE"
- * describes a machine that neither its own key nor an inventory describes. "^PREFIX" sets the
- * prefix of the machine names in the following "@" words; "&MACHINE" is a full name without that
- * prefix. Nodes of NODE_VERSION_INITIAL support neither "^" nor "&": pages that they may read are
- * encoded in the legacy form, without these words.
+ * next word of the same kind; a number is a task index. "=ADDRESS,TYPE,ZONE,SPOT" after the
+ * name of a machine describes one that neither its own key nor an inventory describes. "^PREFIX"
+ * sets the prefix of the machine names in the following "@" words; "&MACHINE" is a full name
+ * without that prefix. Nodes of NODE_VERSION_INITIAL support neither "^" nor "&": pages that they
+ * may read are encoded in the legacy form, without these words.
  */
 #ifndef LL_RECORD_PAGE_CODEC_H
 #define LL_RECORD_PAGE_CODEC_H
@@ -31,8 +31,8 @@
 
 /**
  * Encodes the entries, sorted by machine or by job, whichever string is shorter. Sorts the array.
- * The result does not depend on the initial order, and a subset of the entries never gives a longer
- * string (except for two bytes). So entries that were on a page fit on it again, whichever node
+ * The result does not depend on the initial order, and for a subset of the entries it is never
+ * longer (except for two bytes). So entries that were on a page fit on it again, whichever node
  * writes it.
  */
 GString *record_page_encode(GArray *entries, bool is_legacy);
--- a/src/replica/replica.h
+++ b/src/replica/replica.h
@@ -61,8 +61,8 @@
     /** The revision that the records reflect. */
     revision applied_revision;
     /**
-     * The last time and the previous time at which the records were known to be current: a change
-     * that was applied since the previous time was made after it.
+     * The last and the previous time for which the records are known to be current. The changes
+     * applied by the last update were made after previous_fresh_at.
      */
     mono_time fresh_at, previous_fresh_at;
     /** Id -> struct job. */
--- a/src/replica/replica_internal.h
+++ b/src/replica/replica_internal.h
@@ -163,8 +163,8 @@
 /* ---- watch.c ---- */
 
 /**
- * Timer callback: sends the next watch when its rate limit allows, or continues the reload if the
- * keys are not read yet.
+ * Timer callback: sends the next watch when its rate limit allows, or starts or continues a reload
+ * if the keys are not read yet.
  */
 void replica_watch(void *arg);
 /** Sends a GET request with the priority of the watch; the callback receives the replica. */
--- a/src/replica/replica_records.h
+++ b/src/replica/replica_records.h
@@ -43,7 +43,7 @@
     wall_time eligible_at;
     /** 0 if the job is not finished or the time is unknown. */
     wall_time ended_at;
-    /** The earliest deadline that follows from its own and those of the jobs that depend on it. */
+    /** The time by which the job must be done for it and its dependents to meet their deadlines. */
     wall_time inherited_deadline;
     /**
      * The highest of its own priority and those of the jobs that depend on it; a lower number is a
@@ -126,8 +126,7 @@
 struct node_record {
     char *label;
     char rpc_address[24];
-    /** The lease of the node's process, which distinguishes it from earlier processes of the node.
-     */
+    /** The lease of the node's process; distinguishes it from earlier processes of the node. */
     lease_id incarnation;
     revision mod_revision;
     /** See enum node_version. */
--- a/src/replica/watch.c
+++ b/src/replica/watch.c
@@ -55,8 +55,7 @@
     replica->fresh_at = replica->internal->watch.requested_at;
 }
 
-/** Returns the number of revisions that fit into one response, whatever the sizes of their values.
- */
+/** Returns how many revisions fit into one response even if all values have the maximum size. */
 static uint64_t max_watch_backlog_revisions(const struct replica *replica)
 {
     const struct kv_limits *limits = kv_client_limits(replica->kv);
