--- a/src/kv/kv_lease.c
+++ b/src/kv/kv_lease.c
@@ -1,4 +1,4 @@
-/** Requests for leases. */
+/** Requests and renewals of leases. */
 #include "kv_client_internal.h"
 
 #include "kv_codec.h"
@@ -7,7 +7,7 @@
                                int timeout_ms, http_response_callback callback, void *callback_arg)
 {
     struct kv_request request = {
-        .lane = KV_LANE_LEASE,
+        .priority = KV_PRIORITY_LEASE,
         .method = "POST",
         .path = path,
         .body = body,
--- a/src/replica/cluster_records.c
+++ b/src/replica/cluster_records.c
@@ -1,4 +1,4 @@
-/** Records of the cluster: live nodes, the leader, the shard map, features, singleton roles. */
+/** Records of the cluster: live nodes, the leader, the shard map, features and singleton roles. */
 #include "log.h"
 #include "replica_internal.h"
 #include "stored_fields.h"
@@ -23,9 +23,9 @@
     node->label = g_strdup(update->name);
     node->mod_revision = update->mod_revision;
     json_get_u64(update->value, NODE_FIELD_INCARNATION, &node->incarnation.value);
-    replica_copy_text(update->value, NODE_FIELD_RPC_ADDRESS, node->rpc_address,
-                      sizeof node->rpc_address);
-    json_get_u64(update->value, NODE_FIELD_VERSION, &node->understood_version);
+    replica_copy_string(update->value, NODE_FIELD_RPC_ADDRESS, node->rpc_address,
+                        sizeof node->rpc_address);
+    json_get_u64(update->value, NODE_FIELD_VERSION, &node->supported_version);
     json_get_bool(update->value, NODE_FIELD_SINGLETON_ROLES, &node->wants_singleton_roles);
     return node;
 }
@@ -75,7 +75,7 @@
     g_free(entry->label);
 }
 
-/** Entries that cannot be read are left out. */
+/** Decodes the nodes of the shard map; skips malformed entries. */
 static void decode_shard_map_nodes(GArray *shard_map, json_object *nodes)
 {
     g_array_set_size(shard_map, 0);
--- a/src/replica/job_dag.c
+++ b/src/replica/job_dag.c
@@ -1,20 +1,21 @@
 /** DAG of jobs: see job_dag.h. */
 #include "job_dag.h"
 
-/** Lower than any job's priority; the initial value of those that are not known. */
+/** Lower than the priority of any job; the initial value for jobs that were not added yet. */
 enum { LOWEST_PRIORITY = 1000 };
 
-/** A job that depends on an unfinished one, or on which one depends. */
+/** A job that depends on a job not known to be finished, or such a dependency. */
 struct job_dag_node {
     job_id id;
-    /** job_dag_add_job was called; until then only dependents have named it. */
-    bool is_known;
+    /** job_dag_add_job was called for the job; until then only its dependents refer to it. */
+    bool is_added;
     struct job_dag_attributes attributes;
     struct job_dag_state state;
     /** Arrays of struct job_dag_node. */
     GPtrArray *dependencies, *dependents;
 };
 
+/** The jobs by id, and the observer of their states. */
 struct job_dag {
     /** Job id -> struct job_dag_node. */
     GHashTable *nodes;
@@ -22,9 +23,9 @@
     void *context;
 };
 
-static void node_free(gpointer q)
+static void node_free(gpointer pointer)
 {
-    struct job_dag_node *node = q;
+    struct job_dag_node *node = pointer;
     g_ptr_array_unref(node->dependencies);
     g_ptr_array_unref(node->dependents);
     g_free(node);
@@ -73,11 +74,14 @@
 
 static void notify_observer(struct job_dag *dag, struct job_dag_node *node)
 {
-    if (node->is_known)
+    if (node->is_added)
         dag->observer(dag->context, node->id.text, &node->state);
 }
 
-/** Derives a job's priority and deadline from its own and those of its dependents. */
+/**
+ * Derives a job's inherited priority and deadline from its own and those of its dependents. A
+ * dependent's deadline is brought forward by the run time that the dependent itself needs.
+ */
 static void derive_inherited(const struct job_dag_node *node, int *priority, wall_time *deadline)
 {
     *priority = node->attributes.priority;
@@ -92,8 +96,8 @@
 }
 
 /**
- * Updates what a job inherits and, where that has changed, what its dependencies inherit in turn.
- * A chain of jobs may be long, so there is a queue in place of recursion.
+ * Updates the inherited values of a job and, if they have changed, those of its dependencies in
+ * turn. Uses a queue instead of recursion because a chain of dependencies may be long.
  */
 static void propagate_inherited(struct job_dag *dag, struct job_dag_node *first)
 {
@@ -115,14 +119,14 @@
     }
 }
 
-/** Removes a job that neither depends on others nor has dependents. */
+/** Removes a job if it has neither dependencies nor dependents. */
 static void remove_unlinked_node(struct job_dag *dag, struct job_dag_node *node)
 {
     if (!node->dependencies->len && !node->dependents->len)
         g_hash_table_remove(dag->nodes, node->id.text);
 }
 
-/** Removes the edges to a job's dependencies, which inherit nothing from it any more. */
+/** Removes the edges to a job's dependencies, which then no longer inherit from the job. */
 static void unlink_dependencies(struct job_dag *dag, struct job_dag_node *node)
 {
     GPtrArray *dependencies = node->dependencies;
@@ -140,10 +144,10 @@
                      const job_id *dependencies, guint dependency_count)
 {
     struct job_dag_node *node = find_node(dag, id);
-    if ((!node && !dependency_count) || (node && node->is_known))
+    if ((!node && !dependency_count) || (node && node->is_added))
         return;
     node = get_or_create_node(dag, id);
-    node->is_known = true;
+    node->is_added = true;
     node->attributes = *attributes;
     for (guint i = 0; i < dependency_count; i++) {
         struct job_dag_node *dependency = get_or_create_node(dag, dependencies[i]);
@@ -151,7 +155,7 @@
         g_ptr_array_add(dependency->dependents, node);
     }
     node->state.pending_dependencies = dependency_count;
-    /* Unlike any real value, so that propagation reports the job. */
+    /* These differ from the values of any job, so propagation detects a change. */
     node->state.inherited_priority = LOWEST_PRIORITY;
     node->state.inherited_deadline = NO_DEADLINE;
     propagate_inherited(dag, node);
@@ -179,16 +183,16 @@
     remove_unlinked_node(dag, node);
 }
 
-/** Marks the direct dependents as cancelled and queues the ids of those that were not before. */
-static void cancel_dependents(struct job_dag *dag, struct job_dag_node *node, revision cancelled_at,
-                              GQueue *queued_ids)
+/** Marks the direct dependents as cancelled and queues the ids of those newly cancelled. */
+static void cancel_dependents(struct job_dag *dag, struct job_dag_node *node,
+                              revision cancel_revision, GQueue *queued_ids)
 {
     for (guint i = 0; i < node->dependents->len; i++) {
         struct job_dag_node *dependent = node->dependents->pdata[i];
         if (dependent->state.upstream_cancelled)
             continue;
         dependent->state.upstream_cancelled = true;
-        dependent->state.upstream_cancelled_at = cancelled_at;
+        dependent->state.upstream_cancel_revision = cancel_revision;
         notify_observer(dag, dependent);
         g_queue_push_tail(queued_ids, g_memdup2(&dependent->id, sizeof dependent->id));
     }
@@ -203,9 +207,9 @@
     }
 }
 
-void job_dag_mark_cancelled(struct job_dag *dag, job_id id, revision cancelled_at)
+void job_dag_mark_cancelled(struct job_dag *dag, job_id id, revision cancel_revision)
 {
-    /* Ids, not nodes: a queued node may be freed meanwhile with its last edge. */
+    /* The queue contains ids, because a queued node may be freed when its last edge is removed. */
     GQueue queued_ids = G_QUEUE_INIT;
     if (find_node(dag, id))
         g_queue_push_tail(&queued_ids, g_memdup2(&id, sizeof id));
@@ -215,19 +219,19 @@
         g_free(next_id);
         if (!node)
             continue;
-        cancel_dependents(dag, node, cancelled_at, &queued_ids);
+        cancel_dependents(dag, node, cancel_revision, &queued_ids);
         unlink_dependents(node);
         unlink_dependencies(dag, node);
         remove_unlinked_node(dag, node);
     }
 }
 
-void job_dag_foreach_unknown(struct job_dag *dag, job_dag_unknown_callback callback, void *context)
+void job_dag_foreach_missing(struct job_dag *dag, job_dag_missing_callback callback, void *context)
 {
-    GHashTableIter it;
+    GHashTableIter iterator;
     struct job_dag_node *node;
-    g_hash_table_iter_init(&it, dag->nodes);
-    while (g_hash_table_iter_next(&it, NULL, (gpointer *)&node))
-        if (!node->is_known)
+    g_hash_table_iter_init(&iterator, dag->nodes);
+    while (g_hash_table_iter_next(&iterator, NULL, (gpointer *)&node))
+        if (!node->is_added)
             callback(context, node->id);
 }
--- a/src/replica/record_page_codec.c
+++ b/src/replica/record_page_codec.c
@@ -6,16 +6,16 @@
 #include <stdlib.h>
 
 enum {
-    /** Characters at the end of a machine's name that never belong to the shared prefix. */
+    /** The last characters of a machine's name, which are never part of the shared prefix. */
     UNSHARED_SUFFIX_CHARS = 3,
-    /** Address, machine type, zone and whether it is a spot machine. */
-    DESCRIPTION_PARTS = 4,
+    /** The fields are the address, machine type, zone, and whether it is a spot machine. */
+    DESCRIPTION_FIELD_COUNT = 4,
 };
 
 char *machine_description_encode(const char *address, const char *machine_type_name,
                                  const char *zone, bool is_spot)
 {
-    /* They end a word, or take more bytes in JSON. */
+    /* Blanks and commas are separators; the others may need several bytes in JSON. */
     static const char forbidden_characters[] = " ,\"\\/";
     if (!*address || strpbrk(address, forbidden_characters) ||
         strpbrk(machine_type_name, forbidden_characters) || strpbrk(zone, forbidden_characters))
@@ -25,23 +25,23 @@
 
 bool machine_description_decode(const char *text, struct machine_description *description)
 {
-    char **parts = g_strsplit(text, ",", -1);
-    bool is_valid = g_strv_length(parts) == DESCRIPTION_PARTS;
+    char **fields = g_strsplit(text, ",", -1);
+    bool is_valid = g_strv_length(fields) == DESCRIPTION_FIELD_COUNT;
     if (is_valid) {
-        g_strlcpy(description->address, parts[0], sizeof description->address);
-        g_strlcpy(description->machine_type_name, parts[1], sizeof description->machine_type_name);
-        g_strlcpy(description->zone, parts[2], sizeof description->zone);
-        description->is_spot = strcmp(parts[3], "1") == 0;
+        g_strlcpy(description->address, fields[0], sizeof description->address);
+        g_strlcpy(description->machine_type_name, fields[1], sizeof description->machine_type_name);
+        g_strlcpy(description->zone, fields[2], sizeof description->zone);
+        description->is_spot = strcmp(fields[3], "1") == 0;
     }
-    g_strfreev(parts);
+    g_strfreev(fields);
     return is_valid;
 }
 
 /* ---- run records ---- */
 
-/** Orders by job, then by attempt. */
-static int compare_attempts(const struct record_page_entry *left,
-                            const struct record_page_entry *right)
+/** Compares by job, then by attempt. */
+static int compare_jobs_and_attempts(const struct record_page_entry *left,
+                                     const struct record_page_entry *right)
 {
     int job_order = strcmp(left->job.text, right->job.text);
     if (job_order != 0)
@@ -60,7 +60,7 @@
 static gint compare_by_job(gconstpointer a, gconstpointer b)
 {
     const struct record_page_entry *left = a, *right = b;
-    int order = compare_attempts(left, right);
+    int order = compare_jobs_and_attempts(left, right);
     if (order == 0)
         order = strcmp(left->machine.text, right->machine.text);
     return order ? order : compare_task_indexes(left, right);
@@ -71,16 +71,17 @@
     const struct record_page_entry *left = a, *right = b;
     int order = strcmp(left->machine.text, right->machine.text);
     if (order == 0)
-        order = compare_attempts(left, right);
+        order = compare_jobs_and_attempts(left, right);
     return order ? order : compare_task_indexes(left, right);
 }
 
 /**
- * The prefix that the names of machines on a page share: the first name in their order without its
- * last characters. It stays the same as long as any name with it is left on the page; after that,
- * all others were written in full already. That keeps a page of fewer records from being longer.
+ * Returns the prefix shared by machine names on a page: the first name in sorted order without its
+ * last characters. Removing entries changes the prefix only when no name with it is left on the
+ * page, and all remaining names were then already written in full. So removing entries never makes
+ * the page longer.
  */
-static char *shared_name_prefix(const GArray *entries)
+static char *find_shared_name_prefix(const GArray *entries)
 {
     const char *first = NULL;
     for (guint i = 0; i < entries->len; i++) {
@@ -93,11 +94,11 @@
                      length > UNSHARED_SUFFIX_CHARS ? length - UNSHARED_SUFFIX_CHARS : 0);
 }
 
-/** The state of encoding a page in one order. */
+/** The state of the encoding of a page in one order. */
 struct page_writer {
     GString *text;
     char *prefix;
-    /** Names of machines whose description was written. */
+    /** The names of the machines whose description was written. */
     GHashTable *described_machines;
     const struct record_page_entry *previous;
     bool job_first;
@@ -115,23 +116,24 @@
 }
 
 /**
- * Writes each word once until another of its kind is needed. With the job first, a machine is named
- * again for each attempt, so that the length of an entry does not depend on its neighbours.
+ * Writes an entry, omitting words that still apply from the previous entry. When sorted by job, the
+ * machine is repeated for each attempt, so that the length of an entry does not depend on its
+ * neighbours.
  */
 static void write_entry(struct page_writer *writer, const struct record_page_entry *entry)
 {
     const struct record_page_entry *previous = writer->previous;
     bool job_first = writer->job_first;
-    bool same_attempt = previous && compare_attempts(previous, entry) == 0;
+    bool same_attempt = previous && compare_jobs_and_attempts(previous, entry) == 0;
     bool same_job = previous && job_id_equal(previous->job, entry->job);
     bool same_machine = previous && machine_id_equal(previous->machine, entry->machine) &&
                         (same_attempt || !job_first);
-    bool keeps_order = same_machine || job_first;
+    bool keeps_job_words = same_machine || job_first;
     if (!same_machine && !job_first)
         write_machine(writer, entry);
-    if (!same_job || !keeps_order)
+    if (!same_job || !keeps_job_words)
         g_string_append_printf(writer->text, "#%s ", entry->job.text);
-    if (!same_attempt || !keeps_order)
+    if (!same_attempt || !keeps_job_words)
         g_string_append_printf(writer->text, "*%" G_GUINT64_FORMAT " ", entry->attempt.value);
     if (!same_machine && job_first)
         write_machine(writer, entry);
@@ -139,12 +141,12 @@
     writer->previous = entry;
 }
 
-/** Encodes sorted entries, machines or jobs first. */
+/** Encodes entries that are sorted by job (job_first) or by machine. */
 static GString *encode_in_order(const GArray *entries, bool job_first, bool is_legacy)
 {
     struct page_writer writer = {
         .text = g_string_new(NULL),
-        .prefix = is_legacy ? g_strdup("") : shared_name_prefix(entries),
+        .prefix = is_legacy ? g_strdup("") : find_shared_name_prefix(entries),
         .described_machines = g_hash_table_new(g_str_hash, g_str_equal),
         .job_first = job_first,
     };
@@ -157,7 +159,7 @@
     return writer.text;
 }
 
-/** The same entries in both orders. */
+/** The encodings of the same entries in both orders. */
 struct page_texts {
     GString *by_machine, *by_job;
 };
--- a/src/replica/run_records.c
+++ b/src/replica/run_records.c
@@ -8,11 +8,14 @@
     g_ptr_array_unref(page->run_records);
     g_free(page->key);
     g_free(page->label);
-    g_free(page->completions_text);
+    g_free(page->encoded_completions);
     g_free(page);
 }
 
-/** Finds the page of an update or creates it; NULL: not a valid key, or deleted already. */
+/**
+ * Returns the page of an update and creates it if there is none. NULL if the key is invalid, or if
+ * the update deletes a page that does not exist.
+ */
 static struct record_page *get_or_create_page(struct replica *replica,
                                               const struct key_update *update)
 {
@@ -42,7 +45,7 @@
                                                       .machine = run_record->machine->id});
 }
 
-/** Links a record, which the machine owns from now on, to its machine, page and job. */
+/** Links a record to its machine, which takes ownership, and to its page and job. */
 static void link_run_record(struct replica *replica, struct run_record *run_record)
 {
     struct job *job = run_record->job;
@@ -51,10 +54,10 @@
     if (!job->run_records)
         job->run_records = g_hash_table_new(NULL, NULL);
     g_hash_table_insert(job->run_records, GUINT_TO_POINTER(run_record->task_index + 1), run_record);
-    add_run_event(replica, REPLICA_EVENT_RUN_RECORDED, run_record);
+    add_run_event(replica, REPLICA_EVENT_RUN_RECORD_ADDED, run_record);
 }
 
-/** Frees a record that was taken off its page. */
+/** Unlinks a record that was already removed from its page, and frees it. */
 static void remove_run_record(struct replica *replica, struct run_record *run_record)
 {
     struct job *job = run_record->job;
@@ -62,7 +65,7 @@
         g_hash_table_remove(job->run_records, GUINT_TO_POINTER(run_record->task_index + 1));
     if (job->run_records && g_hash_table_size(job->run_records) == 0)
         g_clear_pointer(&job->run_records, g_hash_table_unref);
-    add_run_event(replica, REPLICA_EVENT_RUN_REMOVED, run_record);
+    add_run_event(replica, REPLICA_EVENT_RUN_RECORD_REMOVED, run_record);
     g_ptr_array_remove_fast(run_record->machine->run_records, run_record); /* frees it */
 }
 
@@ -70,7 +73,7 @@
 struct page_reader {
     struct replica *replica;
     struct record_page *page;
-    /** Array of struct run_record: those that are not linked yet. */
+    /** Array of struct run_record: the new records, which are not linked yet. */
     GArray *new_records;
 };
 
@@ -85,8 +88,8 @@
 }
 
 /**
- * record_page_entry_callback: marks a known record as read. New ones are kept for later, so that
- * records that are gone are removed first, as a task may have moved to another machine.
+ * record_page_entry_callback: marks a known record as read again and collects new records. These
+ * are added after the removal of stale records, because a task may have moved to another machine.
  */
 static void apply_page_entry(void *context, const struct record_page_entry *entry)
 {
@@ -114,9 +117,9 @@
     g_array_append_val(reader->new_records, new_record);
 }
 
-/** Removes the records that were not read again. Adds their machines to a set. */
-static void remove_unread_records(struct replica *replica, struct record_page *page,
-                                  GHashTable *machines)
+/** Removes the records of the page that were not read again, and adds their machines to a set. */
+static void remove_stale_run_records(struct replica *replica, struct record_page *page,
+                                     GHashTable *machines)
 {
     for (guint i = 0; i < page->run_records->len;) {
         struct run_record *run_record = page->run_records->pdata[i];
@@ -130,7 +133,7 @@
     }
 }
 
-static void add_new_records(struct replica *replica, const GArray *new_records)
+static void add_new_run_records(struct replica *replica, const GArray *new_records)
 {
     for (guint i = 0; i < new_records->len; i++) {
         const struct run_record *new_record = &g_array_index(new_records, struct run_record, i);
@@ -138,7 +141,7 @@
     }
 }
 
-/** Removes machines that were named only by the records that are gone. */
+/** Removes the machines to which only the removed records referred. */
 static void remove_unused_machines(struct replica *replica, GHashTable *machines)
 {
     GHashTableIter iterator;
@@ -152,10 +155,10 @@
 {
     struct page_reader reader = {replica, page,
                                  g_array_new(FALSE, FALSE, sizeof(struct run_record))};
-    GHashTable *machines = g_hash_table_new(NULL, NULL); /* of records that are gone */
+    GHashTable *machines = g_hash_table_new(NULL, NULL); /* of the removed records */
     record_page_decode(text, apply_page_entry, &reader);
-    remove_unread_records(replica, page, machines);
-    add_new_records(replica, reader.new_records);
+    remove_stale_run_records(replica, page, machines);
+    add_new_run_records(replica, reader.new_records);
     remove_unused_machines(replica, machines);
     g_hash_table_unref(machines);
     g_array_unref(reader.new_records);
@@ -163,11 +166,11 @@
 
 static void apply_completions(struct replica *replica, struct record_page *page, const char *text)
 {
-    if (g_strcmp0(text, page->completions_text) == 0)
+    if (g_strcmp0(text, page->encoded_completions) == 0)
         return;
     completions_decode(text, replica_merge_completions, replica);
-    g_free(page->completions_text);
-    page->completions_text = g_strdup(text);
+    g_free(page->encoded_completions);
+    page->encoded_completions = g_strdup(text);
 }
 
 void replica_apply_page(struct replica *replica, const struct key_update *update)
--- a/src/replica/watch.c
+++ b/src/replica/watch.c
@@ -1,32 +1,32 @@
 /**
- * The watch: a request that the store answers with all changes after a revision, as soon as there
- * is one. The replica applies them and sends the next.
+ * The watch: a long-polling request that the store answers with all changes after a revision, as
+ * soon as there is at least one. The replica applies them and sends the next request.
  *
- * A response holds all changes since the revision, however many these are. After a pause they may
- * be more than the process has memory for, so the newest revision is asked for first, and all keys
- * are read anew where it is far ahead: these come in pages.
+ * A response contains all changes since the revision, whatever their number. After a pause they may
+ * exceed the memory of the process. The replica therefore first requests the newest revision and,
+ * if that is far ahead, reloads all keys, which are read in ranges of limited size.
  */
 #include "kv_codec.h"
 #include "log.h"
 #include "replica_internal.h"
 
 enum {
-    /** How long the store waits for a change before it answers. */
+    /** How long the store waits for a change before it responds. */
     WATCH_BLOCK_MS = 2000,
-    /** How much later a response to a watch may arrive. */
-    WATCH_GRACE_MS = 1500,
+    /** How long to wait for the response beyond WATCH_BLOCK_MS. */
+    WATCH_RESPONSE_GRACE_MS = 1500,
     RETRY_DELAY_MS = 250,
-    /** Without an answer for so long, the newest revision is asked for first. */
-    GAP_CHECK_AFTER_MS = 8000,
-    /** So many revisions are always taken in one response. */
-    MIN_WATCH_BACKLOG = 100,
-    /** Values of the longest allowed size that a revision writes, at most. */
+    /** After this time without a response, the newest revision is requested first. */
+    BACKLOG_CHECK_AFTER_MS = 8000,
+    /** Up to this many revisions are always requested with a watch. */
+    MIN_WATCH_BACKLOG_REVISIONS = 100,
+    /** The maximum number of values of the maximum size that one revision writes. */
     MAX_VALUES_PER_REVISION = 6,
 };
 
-/** The share of the rate limit that the watches of all nodes take together. */
+/** The fraction of the rate limit that the watches of all nodes together may use. */
 static const double WATCH_RATE_SHARE = 0.5;
-/** How much of one second's watches may follow one another without a pause. */
+/** The capacity of the watch's token bucket, in seconds of its refill rate. */
 static const double WATCH_BURST_S = 0.25;
 
 static void send_watch(struct replica *replica);
@@ -35,7 +35,7 @@
                           http_response_callback callback)
 {
     struct kv_request request = {
-        .lane = KV_LANE_WATCH,
+        .priority = KV_PRIORITY_WATCH,
         .method = "GET",
         .path = path,
         .response_timeout_ms = response_timeout_ms,
@@ -44,7 +44,7 @@
     kv_client_send(replica->kv, &request, callback, replica);
 }
 
-void replica_watch_retry(struct replica *replica)
+void replica_schedule_watch_retry(struct replica *replica)
 {
     timer_start(replica->loop, &replica->internal->watch.timer, RETRY_DELAY_MS);
 }
@@ -55,15 +55,15 @@
     replica->fresh_at = replica->internal->watch.requested_at;
 }
 
-/** How many revisions one response may hold, whatever their values are. */
-static uint64_t max_watch_backlog(const struct replica *replica)
+/** Returns how many revisions fit into one response even if all values have the maximum size. */
+static uint64_t max_watch_backlog_revisions(const struct replica *replica)
 {
     const struct kv_limits *limits = kv_client_limits(replica->kv);
     size_t revision_bytes = MAX_VALUES_PER_REVISION * MAX(limits->max_value_bytes, 1);
-    return MAX(limits->max_response_bytes / revision_bytes, MIN_WATCH_BACKLOG);
+    return MAX(limits->max_response_bytes / revision_bytes, MIN_WATCH_BACKLOG_REVISIONS);
 }
 
-static void gap_check_on_response(void *arg, const struct http_response *response)
+static void backlog_check_on_response(void *arg, const struct http_response *response)
 {
     struct replica *replica = arg;
     json_object *body = kv_parse_response(response);
@@ -71,8 +71,9 @@
     bool ok = kv_decode_revision(body, &newest);
     json_object_put(body);
     if (!ok) {
-        replica_watch_retry(replica);
-    } else if (newest.value > replica->applied_revision.value + max_watch_backlog(replica)) {
+        replica_schedule_watch_retry(replica);
+    } else if (newest.value >
+               replica->applied_revision.value + max_watch_backlog_revisions(replica)) {
         LOG_INFO("watch_behind", "revision=%" G_GUINT64_FORMAT " newest=%" G_GUINT64_FORMAT,
                  replica->applied_revision.value, newest.value);
         replica_reload(replica);
@@ -104,7 +105,7 @@
     revision at_revision;
     if (!kv_decode_watch(body, &changes, &at_revision)) {
         json_object_put(body);
-        replica_watch_retry(replica);
+        replica_schedule_watch_retry(replica);
         return;
     }
     apply_changes(replica, changes, at_revision);
@@ -115,9 +116,10 @@
 }
 
 /**
- * Takes a token of the watch's own rate limit, or returns false and runs replica_watch later. Every
- * response costs a request for the next watch; when there are many changes they gather a little, so
- * that the watches of all nodes leave most of the rate limit to the writes.
+ * Takes a token of the watch's own rate limit. If there is none, schedules replica_watch and
+ * returns false. Each response requires a request for the next watch. This limit makes a response
+ * collect several changes when there are many, so that the watches of all nodes leave most of the
+ * rate limit to the writes.
  */
 static bool take_watch_token(struct replica *replica)
 {
@@ -144,9 +146,9 @@
     }
     if (!take_watch_token(replica))
         return;
-    if (time_ms_since(loop_now(replica->loop), replica->fresh_at) > GAP_CHECK_AFTER_MS)
-        replica_send_request(replica, "/keys?Starts=" KEY_MAP "&Page=1", RESPONSE_TIMEOUT_MS,
-                             gap_check_on_response);
+    if (time_ms_since(loop_now(replica->loop), replica->fresh_at) > BACKLOG_CHECK_AFTER_MS)
+        replica_send_request(replica, "/keys?Starts=" KEY_SHARD_MAP "&Page=1", RESPONSE_TIMEOUT_MS,
+                             backlog_check_on_response);
     else
         send_watch(replica);
 }
@@ -156,6 +158,7 @@
     replica->internal->watch.requested_at = loop_now(replica->loop);
     char *path = g_strdup_printf("/watch?Starts=" KEY_ROOT "&From=%" G_GUINT64_FORMAT "&BlockMs=%d",
                                  replica->applied_revision.value, WATCH_BLOCK_MS);
-    replica_send_request(replica, path, WATCH_BLOCK_MS + WATCH_GRACE_MS, watch_on_response);
+    replica_send_request(replica, path, WATCH_BLOCK_MS + WATCH_RESPONSE_GRACE_MS,
+                         watch_on_response);
     g_free(path);
 }
--- a/src/shard/dispatch_queue.c
+++ b/src/shard/dispatch_queue.c
@@ -114,7 +114,7 @@
                                              bool is_active)
 {
     const struct job *job = replica_get_job(shard->replica, dispatch->job.text);
-    if (!is_active && job && job->is_known)
+    if (!is_active && job && job->is_loaded)
         return DISPATCH_FINISHED; /* the job is finished */
     if (time_ms_since(loop_now(shard->loop), dispatch->dispatched_at) < MAX_QUEUE_TIME_MS)
         return DISPATCH_WAITS;
--- a/src/shard/task_runs.c
+++ b/src/shard/task_runs.c
@@ -7,7 +7,7 @@
 struct job *shard_find_active_job(struct shard *shard, job_id id)
 {
     struct job *job = replica_get_job(shard->replica, id.text);
-    return job && job->is_known && job->state == JOB_ACTIVE && job->spec ? job : NULL;
+    return job && job->is_loaded && job->state == JOB_ACTIVE && job->spec ? job : NULL;
 }
 
 /* A possible cancellation counts only while this node has no lease: it can then neither start the
@@ -16,7 +16,7 @@
 bool shard_job_is_finished(struct shard *shard, job_id id)
 {
     struct job *job = replica_get_job(shard->replica, id.text);
-    if (job && job->is_known && job->state != JOB_ACTIVE)
+    if (job && job->is_loaded && job->state != JOB_ACTIVE)
         return true;
     enum cancel_status cancellation = cancel_broadcast_get_status(shard->cancel_broadcast, id);
     return cancellation == CANCEL_COMMITTED ||
