--- a/tests/support/role_scenario.c
+++ b/tests/support/role_scenario.c
@@ -13,7 +13,7 @@
 struct world_config role_scenario_config(void)
 {
     struct world_config config = world_default_config();
-    config.singleton_roles = config.pausable = true;
+    config.enable_roles = config.pausable = true;
     config.worker_count = CLOUD_MACHINES;
     config.cloud_rps = 10;
     return config;
--- a/tests/support/user_jobs.c
+++ b/tests/support/user_jobs.c
@@ -66,7 +66,7 @@
     if ((user_request->reported_before > REPORTED_ACCEPTED &&
          state != user_request->reported_before) ||
         (job->reported > REPORTED_ACCEPTED && state > REPORTED_ACCEPTED && state != job->reported))
-        fail_msg("%s was reported in state %d before, but node %d answers %s", job->id,
+        fail_msg("%s was reported in state %d before, but its answer is %s at node %d", job->id,
                  job->reported, body, user_request->node);
     if (state == REPORTED_DONE && job->completed_tasks != (1ULL << job->tasks) - 1)
         fail_msg("%s is reported as done before all its tasks have completed", job->id);
--- a/tests/support/world.c
+++ b/tests/support/world.c
@@ -139,8 +139,7 @@
     world->policy = policy_default();
     world->features = feature_set_default();
     /* The test suites run once with singleton roles and once without. */
-    world->features.singleton_roles.is_enabled =
-        config->singleton_roles || g_getenv("LL_TEST_DUTIES");
+    world->features.singleton_roles.is_enabled = config->enable_roles || g_getenv("LL_TEST_DUTIES");
     world->worker_isolated_node = -1;
     world->responder.respond = world_respond;
     for (int i = 0; i < config->worker_count; i++) {
--- a/tests/support/world.h
+++ b/tests/support/world.h
@@ -63,7 +63,7 @@
     /** boot_ms: time from the rental of a machine to its first heartbeat. */
     int txn_ops, fd_limit, boot_ms;
     /** Singleton roles are enabled. */
-    bool singleton_roles;
+    bool enable_roles;
     /** Each node has an event loop of its own, so that it can be paused. */
     bool pausable;
     /** Future limits of the state service that the settings announce; 0: none are announced. */
--- a/tests/support/world_gang.c
+++ b/tests/support/world_gang.c
@@ -152,15 +152,14 @@
     }
     if (!attempt->has_started || !attempt->active_tasks->len)
         return;
-    guint saving_count = 0, saved_count = 0;
+    guint saving = 0, saved = 0;
     for (guint i = 0; i < attempt->active_tasks->len; i++) {
         struct worker_task *task = attempt->active_tasks->pdata[i];
         bool is_saving = strcmp(task->stage, "flushing") == 0;
-        saving_count += is_saving;
-        saved_count +=
-            is_saving && (double)time_ms_since(now, task->stage_since) >= gang->save_s * 1000;
+        saving += is_saving;
+        saved += is_saving && (double)time_ms_since(now, task->stage_since) >= gang->save_s * 1000;
     }
-    if (is_complete && saved_count == gang->task_count) {
+    if (is_complete && saved == gang->task_count) {
         gang->save_count++;
         exit_attempt(attempt, "halted", true);
         return;
@@ -168,7 +167,7 @@
     if (!is_complete && !attempt->peer_lost_at.us)
         attempt->peer_lost_at = now;
     if ((attempt->peer_lost_at.us && time_ms_since(now, attempt->peer_lost_at) >= peer_ms - 1000) ||
-        (attempt->halt_requested_at.us && saving_count < gang->task_count &&
+        (attempt->halt_requested_at.us && saving < gang->task_count &&
          time_ms_since(now, attempt->halt_requested_at) >= peer_ms))
         exit_attempt(attempt, "peers", false);
 }
--- a/tests/test_stored_data.c
+++ b/tests/test_stored_data.c
@@ -94,7 +94,7 @@
 static struct world *open_stored_world(void)
 {
     struct world_config plan = world_default_config();
-    plan.singleton_roles = true;
+    plan.enable_roles = true;
     plan.txn_ops = 16;
     struct world *world = world_new_with_config(&plan);
     world->cloud_capacity = plan.worker_count - MACHINES;
