--- a/daemon/main.c
+++ b/daemon/main.c
@@ -117,11 +117,11 @@
 static struct http_client *new_http_client(struct loop *loop, const struct settings *settings)
 {
     struct http_client *http_client = http_client_new(loop, get_client_limits(settings));
-    http_client_exempt_address(http_client, settings->kv_address);
-    http_client_exempt_address(http_client, settings->cloud_address);
+    http_client_exempt_from_pool_limits(http_client, settings->kv_address);
+    http_client_exempt_from_pool_limits(http_client, settings->cloud_address);
     for (guint i = 0; i < settings->siblings->len; i++)
-        http_client_exempt_address(http_client,
-                                   g_array_index(settings->siblings, struct sibling, i).endpoint);
+        http_client_exempt_from_pool_limits(
+            http_client, g_array_index(settings->siblings, struct sibling, i).endpoint);
     return http_client;
 }
 
--- a/src/api/api.c
+++ b/src/api/api.c
@@ -128,7 +128,7 @@
     if (strcmp(request->path, JOBS_PATH) != 0 || !request->body_bytes)
         return false;
     json_object *object = json_parse(request->body, request->body_bytes);
-    bool has_any = job_spec_names_dependencies(object);
+    bool has_any = job_spec_has_dependencies_field(object);
     json_object_put(object);
     return has_any;
 }
--- a/src/api/api_response.c
+++ b/src/api/api_response.c
@@ -13,7 +13,7 @@
                      const char *error)
 {
     json_object *object = json_object_new_object();
-    json_put_text(object, "error", error);
+    json_put_string(object, "error", error);
     api_reply(responder, to, status,
               g_strdup(json_object_to_json_string_ext(object, JSON_C_TO_STRING_PLAIN)));
     json_object_put(object);
--- a/src/base/delay_histogram.c
+++ b/src/base/delay_histogram.c
@@ -2,10 +2,10 @@
 
 #include <gsl/gsl_histogram.h>
 
-enum { BINS = 60 };
+enum { BIN_COUNT = 60 };
 
 /* From 1 ms to some 20 minutes. */
-static const double FIRST_MS = 1, FACTOR = 1.27;
+static const double FIRST_BIN_MS = 1, BIN_GROWTH_FACTOR = 1.27;
 
 struct delay_histogram {
     gsl_histogram *bins;
@@ -15,11 +15,11 @@
 struct delay_histogram *delay_histogram_new(void)
 {
     struct delay_histogram *histogram = g_new0(struct delay_histogram, 1);
-    double edges[BINS + 1] = {0};
-    for (int i = 1; i <= BINS; i++)
-        edges[i] = i == 1 ? FIRST_MS : edges[i - 1] * FACTOR;
-    histogram->bins = gsl_histogram_alloc(BINS);
-    gsl_histogram_set_ranges(histogram->bins, edges, BINS + 1);
+    double edges[BIN_COUNT + 1] = {0};
+    for (int i = 1; i <= BIN_COUNT; i++)
+        edges[i] = i == 1 ? FIRST_BIN_MS : edges[i - 1] * BIN_GROWTH_FACTOR;
+    histogram->bins = gsl_histogram_alloc(BIN_COUNT);
+    gsl_histogram_set_ranges(histogram->bins, edges, BIN_COUNT + 1);
     return histogram;
 }
 
@@ -31,9 +31,10 @@
 
 void delay_histogram_add(struct delay_histogram *histogram, double ms)
 {
-    double last, end;
-    gsl_histogram_get_range(histogram->bins, BINS - 1, &last, &end);
-    gsl_histogram_increment(histogram->bins, CLAMP(ms, 0, last));
+    double last_bin_lower_edge, last_bin_upper_edge;
+    gsl_histogram_get_range(histogram->bins, BIN_COUNT - 1, &last_bin_lower_edge,
+                            &last_bin_upper_edge);
+    gsl_histogram_increment(histogram->bins, CLAMP(ms, 0, last_bin_lower_edge));
     histogram->count++;
 }
 
@@ -42,15 +43,15 @@
     return histogram->count;
 }
 
-double delay_histogram_quantile(const struct delay_histogram *histogram, double share)
+double delay_histogram_quantile(const struct delay_histogram *histogram, double quantile)
 {
-    double below = 0, wanted = share * (double)histogram->count;
-    for (size_t i = 0; histogram->count && i < BINS; i++) {
-        double lower, upper;
-        below += gsl_histogram_get(histogram->bins, i);
-        gsl_histogram_get_range(histogram->bins, i, &lower, &upper);
-        if (below >= wanted)
-            return upper;
+    double cumulative_count = 0, target_count = quantile * (double)histogram->count;
+    for (size_t i = 0; histogram->count && i < BIN_COUNT; i++) {
+        double lower_edge, upper_edge;
+        cumulative_count += gsl_histogram_get(histogram->bins, i);
+        gsl_histogram_get_range(histogram->bins, i, &lower_edge, &upper_edge);
+        if (cumulative_count >= target_count)
+            return upper_edge;
     }
     return 0;
 }
--- a/src/base/delay_histogram.h
+++ b/src/base/delay_histogram.h
@@ -13,7 +13,7 @@
 guint64 delay_histogram_count(const struct delay_histogram *histogram);
 /* The delay that a share (0 to 1) of them does not exceed: the upper edge of its bin; 0 if none
  * was counted. */
-double delay_histogram_quantile(const struct delay_histogram *histogram, double share);
+double delay_histogram_quantile(const struct delay_histogram *histogram, double quantile);
 void delay_histogram_clear(struct delay_histogram *histogram);
 
 #endif
--- a/src/base/event_loop.c
+++ b/src/base/event_loop.c
@@ -6,18 +6,18 @@
 #include <unistd.h>
 
 enum {
-    MAX_EVENTS_PER_TURN = 64,
+    MAX_EVENTS_PER_ITERATION = 64,
     /** So that sockets are not starved by timers that are due at once. */
-    MAX_TIMERS_PER_TURN = 64,
+    MAX_TIMERS_PER_ITERATION = 64,
     MAX_POLL_MS = 1000,
-    FAKE_START_S = 1000,
+    FAKE_CLOCK_START_S = 1000,
 };
 
 static const int64_t US_PER_S = 1000000;
-static const int64_t FAKE_WALL_START_MS = 1700000000000;
+static const int64_t FAKE_WALL_CLOCK_START_MS = 1700000000000;
 
 struct queued_message {
-    struct actor *to;
+    struct actor *recipient;
     struct message message;
 };
 
@@ -32,7 +32,7 @@
     /** Struct queued_message, for all actors. */
     GQueue mailbox;
     GPtrArray *deferred_frees;
-    uint64_t work_count;
+    uint64_t operation_count;
 };
 
 static mono_time read_monotonic_clock(void)
@@ -57,8 +57,8 @@
 {
     struct loop *loop = loop_new();
     loop->has_fake_clock = true;
-    loop->now.us = FAKE_START_S * US_PER_S;
-    loop->fake_wall_time.ms = FAKE_WALL_START_MS;
+    loop->now.us = FAKE_CLOCK_START_S * US_PER_S;
+    loop->fake_wall_time.ms = FAKE_WALL_CLOCK_START_MS;
     return loop;
 }
 
@@ -95,20 +95,20 @@
     return (wall_time){(int64_t)now.tv_sec * 1000 + now.tv_nsec / 1000000};
 }
 
-void loop_refresh(struct loop *loop)
+void loop_update_time(struct loop *loop)
 {
     if (!loop->has_fake_clock)
         loop->now = read_monotonic_clock();
 }
 
-void loop_add_work(struct loop *loop, uint64_t operations)
+void loop_count_operations(struct loop *loop, uint64_t operations)
 {
-    loop->work_count += operations;
+    loop->operation_count += operations;
 }
 
-uint64_t loop_work_count(const struct loop *loop)
+uint64_t loop_operation_count(const struct loop *loop)
 {
-    return loop->work_count;
+    return loop->operation_count;
 }
 
 static void epoll_update(struct loop *loop, int operation, struct loop_io *io, uint32_t events)
@@ -185,7 +185,7 @@
     guint pending = loop->mailbox.length;
     for (guint i = 0; i < pending; i++) {
         struct queued_message *queued = g_queue_pop_head(&loop->mailbox);
-        queued->to->receive(queued->to, &queued->message);
+        queued->recipient->receive(queued->recipient, &queued->message);
         if (queued->message.free_body)
             queued->message.free_body(queued->message.body);
         g_free(queued);
@@ -228,7 +228,7 @@
 
 void loop_run(struct loop *loop)
 {
-    struct epoll_event events[MAX_EVENTS_PER_TURN];
+    struct epoll_event events[MAX_EVENTS_PER_ITERATION];
     while (!loop->is_stopped) {
         int ready_count =
             epoll_wait(loop->epoll_fd, events, G_N_ELEMENTS(events), poll_timeout_ms(loop));
@@ -239,7 +239,7 @@
                 io->ready(io, events[i].events);
         }
         mono_time until = loop->now;
-        for (int i = 0; i < MAX_TIMERS_PER_TURN && fire_next_timer(loop, until); i++)
+        for (int i = 0; i < MAX_TIMERS_PER_ITERATION && fire_next_timer(loop, until); i++)
             ;
         deliver_messages(loop);
         g_ptr_array_set_size(loop->deferred_frees, 0);
--- a/src/base/event_loop.h
+++ b/src/base/event_loop.h
@@ -51,17 +51,17 @@
 /** Frees the loop and undelivered messages; timers and descriptors must be gone. */
 void loop_free(struct loop *loop);
 
-/** The moment at which the present turn of the loop began, or of the last loop_refresh. */
+/** The moment at which the present turn of the loop began, or of the last loop_update_time. */
 mono_time loop_now(const struct loop *loop);
 wall_time loop_wall_time(const struct loop *loop);
 /**
  * Reads the clock again. The process may be suspended for long in the middle of a turn, and what it
  * receives then may be newer than the turn; so call this after each receive.
  */
-void loop_refresh(struct loop *loop);
+void loop_update_time(struct loop *loop);
 /** Counts operations on machines and tasks, so that tests can measure how work grows. */
-void loop_add_work(struct loop *loop, uint64_t operations);
-uint64_t loop_work_count(const struct loop *loop);
+void loop_count_operations(struct loop *loop, uint64_t operations);
+uint64_t loop_operation_count(const struct loop *loop);
 
 void loop_add_io(struct loop *loop, struct loop_io *io, uint32_t events);
 void loop_modify_io(struct loop *loop, struct loop_io *io, uint32_t events);
--- a/src/base/json_fields.c
+++ b/src/base/json_fields.c
@@ -4,14 +4,14 @@
 #include <math.h>
 
 /** Nesting of a text. */
-enum { MAX_DEPTH = 16 };
+enum { MAX_NESTING_DEPTH = 16 };
 static const double MAX_AMOUNT = 1e9;
 static const double MILLI_PER_UNIT = 1000;
 /** What is less than that above a thousandth is a rounding error. */
 static const double AMOUNT_TOLERANCE_MILLI = 1e-6;
 
 /** json-c accepts 'single' quotes even when it is strict. */
-static bool has_single_quoted_text(const char *text, size_t length)
+static bool has_single_quoted_string(const char *text, size_t length)
 {
     bool in_string = false;
     for (size_t i = 0; i < length; i++) {
@@ -27,9 +27,9 @@
 
 json_object *json_parse(const char *text, size_t length)
 {
-    if (length > INT32_MAX || has_single_quoted_text(text, length))
+    if (length > INT32_MAX || has_single_quoted_string(text, length))
         return NULL;
-    struct json_tokener *tokener = json_tokener_new_ex(MAX_DEPTH);
+    struct json_tokener *tokener = json_tokener_new_ex(MAX_NESTING_DEPTH);
     json_tokener_set_flags(tokener, JSON_TOKENER_STRICT | JSON_TOKENER_VALIDATE_UTF8);
     json_object *object = json_tokener_parse_ex(tokener, text, (int)length);
     if (json_tokener_get_error(tokener) == json_tokener_continue) /* a number at the very end */
@@ -54,7 +54,7 @@
     return value;
 }
 
-bool json_get_text(json_object *object, const char *field, const char **out)
+bool json_get_string(json_object *object, const char *field, const char **out)
 {
     json_object *value = get_field(object, field);
     if (!json_object_is_type(value, json_type_string))
@@ -92,14 +92,14 @@
     return true;
 }
 
-bool json_get_word(json_object *object, const char *field, const char *const *words, int word_count,
+bool json_get_enum(json_object *object, const char *field, const char *const *names, int name_count,
                    int *index)
 {
-    const char *text;
-    if (!json_get_text(object, field, &text))
+    const char *string;
+    if (!json_get_string(object, field, &string))
         return false;
-    for (int i = 0; i < word_count; i++)
-        if (strcmp(words[i], text) == 0) {
+    for (int i = 0; i < name_count; i++)
+        if (strcmp(names[i], string) == 0) {
             *index = i;
             return true;
         }
@@ -112,7 +112,7 @@
     return json_object_is_type(value, json_type_array) ? value : NULL;
 }
 
-void json_put_text(json_object *object, const char *field, const char *value)
+void json_put_string(json_object *object, const char *field, const char *value)
 {
     json_object_object_add(object, field, json_object_new_string(value));
 }
@@ -137,11 +137,11 @@
     json_put_number(object, field, (double)value.milli / MILLI_PER_UNIT);
 }
 
-void json_put_texts(json_object *object, const char *field, char *const *texts)
+void json_put_strings(json_object *object, const char *field, char *const *strings)
 {
     json_object *list = json_object_new_array();
-    for (; *texts; texts++)
-        json_object_array_add(list, json_object_new_string(*texts));
+    for (; *strings; strings++)
+        json_object_array_add(list, json_object_new_string(*strings));
     json_object_object_add(object, field, list);
 }
 
@@ -150,12 +150,12 @@
     return get_field(object, field) == NULL;
 }
 
-bool json_copy_text(json_object *object, const char *field, char *out, size_t size)
+bool json_copy_string(json_object *object, const char *field, char *out, size_t size)
 {
-    const char *text;
-    if (!json_get_text(object, field, &text) || strlen(text) >= size)
+    const char *string;
+    if (!json_get_string(object, field, &string) || strlen(string) >= size)
         return false;
-    g_strlcpy(out, text, size);
+    g_strlcpy(out, string, size);
     return true;
 }
 
@@ -168,9 +168,9 @@
     return true;
 }
 
-char *json_to_text_and_free(json_object *object)
+char *json_to_string_and_free(json_object *object)
 {
-    char *text = g_strdup(json_object_to_json_string_ext(object, JSON_C_TO_STRING_PLAIN));
+    char *string = g_strdup(json_object_to_json_string_ext(object, JSON_C_TO_STRING_PLAIN));
     json_object_put(object);
-    return text;
+    return string;
 }
--- a/src/base/log.c
+++ b/src/base/log.c
@@ -24,10 +24,10 @@
                                    gpointer unused)
 {
     (void)unused;
-    const char *event = "", *text = "";
+    const char *event = "", *message = "";
     for (gsize i = 0; i < field_count; i++) {
         if (strcmp(fields[i].key, FIELD_MESSAGE) == 0)
-            text = fields[i].value;
+            message = fields[i].value;
         else if (strcmp(fields[i].key, FIELD_EVENT) == 0)
             event = fields[i].value;
     }
@@ -36,7 +36,7 @@
                                                             : "debug";
     char line[MAX_LINE_CHARS];
     int length = snprintf(line, sizeof line, "%s node=%s epoch=%" G_GUINT64_FORMAT " event=%s %s\n",
-                          level_name, log_node, log_epoch, event, text);
+                          level_name, log_node, log_epoch, event, message);
     if (length >= (int)sizeof line) {
         length = sizeof line;
         line[length - 1] = '\n';
@@ -78,11 +78,11 @@
 {
     if (level > log_threshold)
         return;
-    char text[MAX_FIELDS_CHARS];
+    char message[MAX_FIELDS_CHARS];
     va_list arguments;
     va_start(arguments, format);
-    g_vsnprintf(text, sizeof text, format, arguments);
+    g_vsnprintf(message, sizeof message, format, arguments);
     va_end(arguments);
-    const GLogField fields[] = {{FIELD_MESSAGE, text, -1}, {FIELD_EVENT, event, -1}};
+    const GLogField fields[] = {{FIELD_MESSAGE, message, -1}, {FIELD_EVENT, event, -1}};
     g_log_structured_array(level, fields, G_N_ELEMENTS(fields));
 }
--- a/src/cluster/leader_election.c
+++ b/src/cluster/leader_election.c
@@ -96,7 +96,7 @@
 static json_object *encode_process(const char *label, lease_id incarnation)
 {
     json_object *process = json_object_new_object();
-    json_put_text(process, PROCESS_FIELD_LABEL, label);
+    json_put_string(process, PROCESS_FIELD_LABEL, label);
     json_put_u64(process, PROCESS_FIELD_INCARNATION, incarnation.value);
     return process;
 }
--- a/src/cluster/membership.c
+++ b/src/cluster/membership.c
@@ -202,7 +202,7 @@
 {
     json_object *record = json_object_new_object();
     json_put_u64(record, NODE_FIELD_INCARNATION, node_lease_get_id(membership->lease).value);
-    json_put_text(record, NODE_FIELD_RPC_ADDRESS, membership->settings->rpc_address);
+    json_put_string(record, NODE_FIELD_RPC_ADDRESS, membership->settings->rpc_address);
     json_put_u64(record, NODE_FIELD_VERSION, NODE_VERSION_CURRENT);
     if (membership->wants_singleton_roles)
         json_put_bool(record, NODE_FIELD_SINGLETON_ROLES, true);
--- a/src/cluster/peer_messages.c
+++ b/src/cluster/peer_messages.c
@@ -47,7 +47,7 @@
 
 bool cancel_notice_decode(const cJSON *message, struct cancel_notice *notice)
 {
-    const char *job_text = node_rpc_get_text(message, FIELD_JOB);
+    const char *job_text = node_rpc_get_string(message, FIELD_JOB);
     return job_text && job_id_parse(&notice->job, job_text) &&
            node_rpc_get_u64(message, FIELD_REVISION, &notice->committed_at.value);
 }
@@ -68,7 +68,7 @@
     const cJSON *job_item = cJSON_GetArrayItem(pair, CANCEL_ELEMENT_JOB);
     const cJSON *revision_item = cJSON_GetArrayItem(pair, CANCEL_ELEMENT_REVISION);
     return cJSON_IsString(job_item) && job_id_parse(&notice->job, job_item->valuestring) &&
-           node_rpc_item_u64(revision_item, &notice->committed_at.value);
+           node_rpc_parse_u64(revision_item, &notice->committed_at.value);
 }
 
 cJSON *health_report_encode(const struct health_report *report)
--- a/src/kv/kv_codec.c
+++ b/src/kv/kv_codec.c
@@ -51,7 +51,7 @@
     for (size_t i = 0; i < json_object_array_length(list); i++) {
         json_object *entry = json_object_array_get_idx(list, i);
         struct kv_item item = {0};
-        if (json_get_text(entry, FIELD_KEY, &item.key) &&
+        if (json_get_string(entry, FIELD_KEY, &item.key) &&
             kv_decode_value(entry, &item.value, &item.mod_revision))
             g_array_append_val(*items, item);
     }
@@ -62,8 +62,8 @@
 {
     if (!json_get_u64(event, FIELD_MOD_REVISION, &item->mod_revision.value))
         return false;
-    if (!json_get_text(event, FIELD_PUT, &item->key))
-        return json_get_text(event, FIELD_DELETE, &item->key);
+    if (!json_get_string(event, FIELD_PUT, &item->key))
+        return json_get_string(event, FIELD_DELETE, &item->key);
     return json_object_object_get_ex(event, FIELD_VALUE, &item->value) && item->value;
 }
 
@@ -103,13 +103,13 @@
 bool kv_is_lease_expired(json_object *body)
 {
     const char *error = "";
-    return json_get_text(body, FIELD_ERROR, &error) && strcmp(error, ERROR_LEASE_EXPIRED) == 0;
+    return json_get_string(body, FIELD_ERROR, &error) && strcmp(error, ERROR_LEASE_EXPIRED) == 0;
 }
 
 json_object *kv_encode_compare(const char *key, revision mod_revision)
 {
     json_object *object = json_object_new_object();
-    json_put_text(object, FIELD_KEY, key);
+    json_put_string(object, FIELD_KEY, key);
     json_put_u64(object, FIELD_MOD_REVISION, mod_revision.value);
     return object;
 }
@@ -117,7 +117,7 @@
 json_object *kv_encode_put(const char *key, json_object *value, lease_id lease)
 {
     json_object *object = json_object_new_object();
-    json_put_text(object, FIELD_PUT, key);
+    json_put_string(object, FIELD_PUT, key);
     json_object_object_add(object, FIELD_VALUE, value);
     if (lease.value)
         json_put_u64(object, FIELD_LEASE, lease.value);
@@ -127,7 +127,7 @@
 json_object *kv_encode_delete(const char *key)
 {
     json_object *object = json_object_new_object();
-    json_put_text(object, FIELD_DELETE, key);
+    json_put_string(object, FIELD_DELETE, key);
     return object;
 }
 
--- a/src/net/client_connection.c
+++ b/src/net/client_connection.c
@@ -16,7 +16,7 @@
 {
     struct connection_pool *pool = connection->pool;
     idle_list_update(&connection->pool->idle_connections, &connection->idle_entry, false);
-    http_pool_schedule_starved(pool);
+    http_pool_schedule_starved_endpoints(pool);
     timer_stop(pool->loop, &connection->timer);
     loop_remove_io(pool->loop, &connection->io);
     close(connection->io.fd);
@@ -65,7 +65,8 @@
     }
 }
 
-void client_connection_start(struct client_connection *connection, struct http_exchange *exchange)
+void client_connection_start_exchange(struct client_connection *connection,
+                                      struct http_exchange *exchange)
 {
     idle_list_update(&connection->pool->idle_connections, &connection->idle_entry, false);
     connection->exchange = exchange;
@@ -80,8 +81,8 @@
 static void connection_become_idle(struct client_connection *connection)
 {
     idle_list_update(&connection->pool->idle_connections, &connection->idle_entry,
-                     !connection->endpoint->is_exempt);
-    http_pool_schedule_starved(connection->pool);
+                     !connection->endpoint->is_exempt_from_pool_limits);
+    http_pool_schedule_starved_endpoints(connection->pool);
     timer_start(connection->pool->loop, &connection->timer,
                 connection->pool->limits.idle_timeout_ms);
 }
@@ -113,7 +114,7 @@
 {
     struct http_head head;
     const char *data = (const char *)connection->input->data;
-    size_t limit = connection->pool->limits.max_response_bytes;
+    size_t max_body_bytes = connection->pool->limits.max_response_bytes;
     enum http_parse_result result = http_parse_head(data, connection->input->len, true, &head);
     if (result == HTTP_PARSE_INCOMPLETE)
         return;
@@ -127,7 +128,7 @@
             return; /* not whole: a long body is not parsed again for each part of it */
         GString *decoded_body = g_string_new(NULL);
         size_t consumed_bytes;
-        result = http_parse_chunks(body, connection->input->len - head.head_bytes, limit,
+        result = http_parse_chunks(body, connection->input->len - head.head_bytes, max_body_bytes,
                                    decoded_body, &consumed_bytes);
         if (result == HTTP_PARSE_DONE)
             connection_finish_exchange(connection, &head, decoded_body->str, decoded_body->len,
@@ -138,7 +139,7 @@
         return;
     }
     size_t body_bytes = head.content_length < 0 ? 0 : (size_t)head.content_length;
-    if (body_bytes > limit) {
+    if (body_bytes > max_body_bytes) {
         LOG_ERROR("response_too_large", "address=%s bytes=%zu", connection->endpoint->address,
                   body_bytes);
         client_connection_fail(connection);
@@ -177,7 +178,7 @@
         return;
     char buffer[READ_BYTES];
     ssize_t size = recv(io->fd, buffer, sizeof buffer, 0);
-    loop_refresh(connection->pool->loop);
+    loop_update_time(connection->pool->loop);
     if (size < 0 && (errno == EAGAIN || errno == EINTR))
         return;
     if (size <= 0 || !connection->exchange) {
@@ -223,6 +224,6 @@
     g_ptr_array_add(endpoint->connections, connection);
     pool->connection_count++;
     loop_add_io(pool->loop, &connection->io, EPOLLOUT);
-    client_connection_start(connection, exchange);
+    client_connection_start_exchange(connection, exchange);
     return true;
 }
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -50,7 +50,7 @@
                                        struct http_head *head);
 /** Parses a chunked body into `out`. `consumed_bytes` is set once the body is whole.
  * @param limit the largest body, in bytes */
-enum http_parse_result http_parse_chunks(const char *data, size_t length, size_t limit,
+enum http_parse_result http_parse_chunks(const char *data, size_t length, size_t max_body_bytes,
                                          GString *out, size_t *consumed_bytes);
 
 /* ---- server ---- */
@@ -73,9 +73,10 @@
 
 /** Where responses go. The server is one; tests have their own. */
 struct http_responder {
-    /** Sends the response to a request, now or later. `fields` are whole header lines, or NULL. */
-    void (*respond)(struct http_responder *self, connection_ref to, int status, const char *fields,
-                    const char *body, size_t body_bytes);
+    /** Sends the response to a request, now or later. `header_lines` are whole header lines, or
+     * NULL. */
+    void (*respond)(struct http_responder *self, connection_ref to, int status,
+                    const char *header_lines, const char *body, size_t body_bytes);
 };
 
 /** Handles a request; the response goes to the responder, within the call or later. */
@@ -143,6 +144,6 @@
 void http_client_free(struct http_client *http_client);
 /** Lifts the limit on connections for one address: connections to many machines that do not respond
  * must not block those to the key-value store. */
-void http_client_exempt_address(struct http_client *http_client, const char *address);
+void http_client_exempt_from_pool_limits(struct http_client *http_client, const char *address);
 
 #endif
--- a/src/net/http_client.c
+++ b/src/net/http_client.c
@@ -18,7 +18,7 @@
     callback(callback_arg, response);
 }
 
-void http_pool_schedule_starved(struct connection_pool *pool)
+void http_pool_schedule_starved_endpoints(struct connection_pool *pool)
 {
     if (pool->starved_endpoints.head && !pool->starved_timer.queue_position)
         timer_start(pool->loop, &pool->starved_timer, 0);
@@ -41,8 +41,8 @@
     struct http_endpoint *endpoint;
     g_hash_table_iter_init(&it, pool->endpoints);
     while (g_hash_table_iter_next(&it, NULL, (gpointer *)&endpoint)) {
-        if (endpoint->connections->len || endpoint->queued_exchanges.head || endpoint->is_exempt ||
-            endpoint->is_starved)
+        if (endpoint->connections->len || endpoint->queued_exchanges.head ||
+            endpoint->is_exempt_from_pool_limits || endpoint->is_starved)
             continue;
         g_hash_table_iter_remove(&it);
         endpoint_free(endpoint);
@@ -79,7 +79,7 @@
         if (!connection &&
             (int)endpoint->connections->len >= pool->limits.max_connections_per_address)
             return;
-        if (!connection && !endpoint->is_exempt &&
+        if (!connection && !endpoint->is_exempt_from_pool_limits &&
             pool->connection_count >= pool->limits.max_connections &&
             !close_longest_idle_connection(pool)) {
             if (!endpoint->is_starved)
@@ -90,7 +90,7 @@
         struct http_exchange *exchange = g_queue_pop_head(&endpoint->queued_exchanges);
         pool->queued_count--;
         if (connection) {
-            client_connection_start(connection, exchange);
+            client_connection_start_exchange(connection, exchange);
         } else if (!client_connection_open(pool, endpoint, exchange)) {
             exchange->connection = NULL;
             http_exchange_finish(pool, exchange, &(struct http_response){.status = HTTP_NOT_SENT});
@@ -136,9 +136,10 @@
     return endpoint;
 }
 
-void http_client_exempt_address(struct http_client *http_client, const char *address)
+void http_client_exempt_from_pool_limits(struct http_client *http_client, const char *address)
 {
-    endpoint_get_or_create((struct connection_pool *)http_client, address)->is_exempt = true;
+    endpoint_get_or_create((struct connection_pool *)http_client, address)
+        ->is_exempt_from_pool_limits = true;
 }
 
 static void pool_request(struct http_client *http_client, const struct http_client_request *request,
@@ -146,7 +147,8 @@
 {
     struct connection_pool *pool = (struct connection_pool *)http_client;
     struct http_endpoint *endpoint = endpoint_get_or_create(pool, request->address);
-    if (pool->queued_count >= pool->limits.max_queued_requests && !endpoint->is_exempt) {
+    if (pool->queued_count >= pool->limits.max_queued_requests &&
+        !endpoint->is_exempt_from_pool_limits) {
         callback(callback_arg, &(struct http_response){.status = HTTP_NOT_SENT});
         return;
     }
--- a/src/net/http_client_internal.h
+++ b/src/net/http_client_internal.h
@@ -41,10 +41,10 @@
 /** An address, with the requests and connections to it. */
 struct http_endpoint {
     char *address;
-    GQueue queued_exchanges; /**< struct http_exchange */
-    GPtrArray *connections;  /**< struct client_connection */
-    bool is_exempt;          /**< see http_client_exempt_address */
-    bool is_starved;         /**< listed in the pool's starved_endpoints */
+    GQueue queued_exchanges;         /**< struct http_exchange */
+    GPtrArray *connections;          /**< struct client_connection */
+    bool is_exempt_from_pool_limits; /**< see http_client_exempt_from_pool_limits */
+    bool is_starved;                 /**< listed in the pool's starved_endpoints */
 };
 
 /** The client itself; callers know it as its interface. */
@@ -69,7 +69,7 @@
                           const struct http_response *response);
 /** Serves the endpoints that wait for a connection of others to end, once the present event has
  * been handled. */
-void http_pool_schedule_starved(struct connection_pool *pool);
+void http_pool_schedule_starved_endpoints(struct connection_pool *pool);
 /** Sends what waits at the endpoint, as far as connections may be used or opened. */
 void http_endpoint_send_queued(struct connection_pool *pool, struct http_endpoint *endpoint);
 
@@ -79,7 +79,8 @@
 bool client_connection_open(struct connection_pool *pool, struct http_endpoint *endpoint,
                             struct http_exchange *exchange);
 /** Sends an exchange on a connection that carries none. */
-void client_connection_start(struct client_connection *connection, struct http_exchange *exchange);
+void client_connection_start_exchange(struct client_connection *connection,
+                                      struct http_exchange *exchange);
 /** Closes and frees a connection that carries no exchange any more. */
 void client_connection_close(struct client_connection *connection);
 /** Closes the connection and finishes its exchange without a response. */
--- a/src/net/http_parser.c
+++ b/src/net/http_parser.c
@@ -70,16 +70,17 @@
     return HTTP_PARSE_DONE;
 }
 
-static bool is_field_name(const char *text, const char *end, const char *name)
+static bool equals_ignore_case(const char *text, const char *end, const char *expected)
 {
-    return (size_t)(end - text) == strlen(name) && g_ascii_strncasecmp(text, name, end - text) == 0;
+    return (size_t)(end - text) == strlen(expected) &&
+           g_ascii_strncasecmp(text, expected, end - text) == 0;
 }
 
-static bool contains_word(const char *text, const char *end, const char *word)
+static bool contains_ignore_case(const char *text, const char *end, const char *substring)
 {
-    size_t word_length = strlen(word);
-    for (; text + word_length <= end; text++)
-        if (g_ascii_strncasecmp(text, word, word_length) == 0)
+    size_t substring_length = strlen(substring);
+    for (; text + substring_length <= end; text++)
+        if (g_ascii_strncasecmp(text, substring, substring_length) == 0)
             return true;
     return false;
 }
@@ -100,22 +101,22 @@
                                const char *value, const char *end)
 {
     int64_t number;
-    if (is_field_name(name, name_end, "content-length")) {
+    if (equals_ignore_case(name, name_end, "content-length")) {
         /* Two lengths that differ are how requests get smuggled past one another. */
         if (!parse_decimal(value, end, &number) ||
             (head->content_length >= 0 && head->content_length != number))
             return false;
         head->content_length = number;
-    } else if (is_field_name(name, name_end, "transfer-encoding")) {
-        if (!is_field_name(value, end, "chunked"))
+    } else if (equals_ignore_case(name, name_end, "transfer-encoding")) {
+        if (!equals_ignore_case(value, end, "chunked"))
             return false;
         head->is_chunked = true;
-    } else if (is_field_name(name, name_end, "connection")) {
-        if (contains_word(value, end, "close"))
+    } else if (equals_ignore_case(name, name_end, "connection")) {
+        if (contains_ignore_case(value, end, "close"))
             head->closes_connection = true;
-        else if (contains_word(value, end, "keep-alive"))
+        else if (contains_ignore_case(value, end, "keep-alive"))
             head->closes_connection = false;
-    } else if (is_field_name(name, name_end, "retry-after")) {
+    } else if (equals_ignore_case(name, name_end, "retry-after")) {
         if (parse_decimal(value, end, &number) && number < MAX_RETRY_AFTER_S)
             head->retry_after_s = (int)number;
     }
@@ -164,7 +165,7 @@
     return HTTP_PARSE_DONE;
 }
 
-enum http_parse_result http_parse_chunks(const char *data, size_t length, size_t limit,
+enum http_parse_result http_parse_chunks(const char *data, size_t length, size_t max_body_bytes,
                                          GString *out, size_t *consumed_bytes)
 {
     size_t offset = 0;
@@ -178,7 +179,7 @@
             return HTTP_PARSE_MALFORMED;
         uint64_t size = g_ascii_strtoull(data + offset, NULL, 16);
         offset = line_end + 2 - data;
-        if (out->len + size > limit)
+        if (out->len + size > max_body_bytes)
             return HTTP_PARSE_TOO_LARGE;
         if (size == 0)
             break;
@@ -194,9 +195,9 @@
         const char *line_end = g_strstr_len(data + offset, length - offset, "\r\n");
         if (!line_end)
             return length - offset > MAX_HEAD_BYTES ? HTTP_PARSE_MALFORMED : HTTP_PARSE_INCOMPLETE;
-        bool blank = line_end == data + offset;
+        bool is_blank_line = line_end == data + offset;
         offset = line_end + 2 - data;
-        if (blank) {
+        if (is_blank_line) {
             *consumed_bytes = offset;
             return HTTP_PARSE_DONE;
         }
--- a/src/net/http_server.c
+++ b/src/net/http_server.c
@@ -108,14 +108,14 @@
         connection_process_input(connection);
 }
 
-static void connection_respond(struct server_connection *connection, int status, const char *fields,
-                               const char *body, size_t body_bytes)
+static void connection_respond(struct server_connection *connection, int status,
+                               const char *header_lines, const char *body, size_t body_bytes)
 {
     g_string_printf(connection->output,
                     "HTTP/1.1 %d %s\r\nContent-Type: application/json\r\nContent-Length: %zu\r\n",
                     status, http_status_text(status), body_bytes);
-    if (fields)
-        g_string_append(connection->output, fields);
+    if (header_lines)
+        g_string_append(connection->output, header_lines);
     if (connection->closes_after_response)
         g_string_append(connection->output, "Connection: close\r\n");
     g_string_append(connection->output, "\r\n");
@@ -135,7 +135,7 @@
 /* The body of a request; `text` points into the input or into `decoded`. */
 struct request_body {
     GString *decoded; /* of a chunked body; owned, NULL: none */
-    const char *text;
+    const char *data;
     size_t length_bytes;
     size_t consumed_bytes; /* of the input, behind the head */
 };
@@ -147,14 +147,14 @@
     size_t max_bytes = connection->server->limits.max_body_bytes;
     size_t received_bytes = connection->input->len - head->head_bytes;
     body->decoded = g_string_new(NULL);
-    enum http_parse_result result = http_parse_chunks(body->text, received_bytes, max_bytes,
+    enum http_parse_result result = http_parse_chunks(body->data, received_bytes, max_bytes,
                                                       body->decoded, &body->consumed_bytes);
     if (result != HTTP_PARSE_DONE) {
         /* Chunk sizes and extensions may take as many bytes as the body itself. */
         bool is_too_large = received_bytes > max_bytes * 2;
         return is_too_large ? HTTP_PARSE_TOO_LARGE : result;
     }
-    body->text = body->decoded->str;
+    body->data = body->decoded->str;
     body->length_bytes = body->decoded->len;
     return HTTP_PARSE_DONE;
 }
@@ -162,7 +162,7 @@
 static enum http_parse_result read_body(const struct server_connection *connection,
                                         const struct http_head *head, struct request_body *body)
 {
-    body->text = (const char *)connection->input->data + head->head_bytes;
+    body->data = (const char *)connection->input->data + head->head_bytes;
     if (head->is_chunked)
         return read_chunked_body(connection, head, body);
     if (head->content_length <= 0)
@@ -181,7 +181,7 @@
                                       const struct request_body *body)
 {
     struct http_server *server = connection->server;
-    g_autofree char *text = g_strndup(body->text, body->length_bytes);
+    g_autofree char *body_copy = g_strndup(body->data, body->length_bytes);
     g_byte_array_remove_range(connection->input, 0, head->head_bytes + body->consumed_bytes);
     connection->closes_after_response = head->closes_connection;
     connection->state = CONNECTION_HANDLING;
@@ -193,7 +193,7 @@
     struct http_request request = {.method = head->method,
                                    .path = head->target,
                                    .query = query ? query : "",
-                                   .body = text,
+                                   .body = body_copy,
                                    .body_bytes = body->length_bytes};
     server->handler(server->context, &server->responder, connection->ref, &request);
 }
@@ -238,7 +238,7 @@
     }
     char buffer[READ_BYTES];
     ssize_t received_bytes = recv(io->fd, buffer, sizeof buffer, 0);
-    loop_refresh(connection->server->loop);
+    loop_update_time(connection->server->loop);
     if (received_bytes < 0 && (errno == EAGAIN || errno == EINTR))
         return;
     if (received_bytes <= 0) {
@@ -272,12 +272,12 @@
 }
 
 static void server_respond(struct http_responder *responder, connection_ref to, int status,
-                           const char *fields, const char *body, size_t body_bytes)
+                           const char *header_lines, const char *body, size_t body_bytes)
 {
     struct http_server *server = (struct http_server *)responder;
     struct server_connection *connection = g_hash_table_lookup(server->connections, &to.value);
     if (connection && connection->state == CONNECTION_HANDLING)
-        connection_respond(connection, status, fields, body, body_bytes);
+        connection_respond(connection, status, header_lines, body, body_bytes);
 }
 
 static void server_on_accept(struct loop_io *io, uint32_t events)
--- a/src/net/node_rpc.c
+++ b/src/net/node_rpc.c
@@ -51,22 +51,22 @@
 }
 
 static int handle_message(struct node_rpc *rpc, const char *kind, const char *from,
-                          const cJSON *message, cJSON **answer)
+                          const cJSON *message, cJSON **response)
 {
     const struct registered_handler *registered = g_hash_table_lookup(rpc->handlers, kind);
     if (!registered)
         return HTTP_STATUS_NOT_FOUND;
-    return registered->handler(registered->context, from, message, answer);
+    return registered->handler(registered->context, from, message, response);
 }
 
-static void on_local_call(struct actor *self, const struct message *mail)
+static void on_local_call(struct actor *self, const struct message *actor_message)
 {
     struct node_rpc *rpc = (struct node_rpc *)self;
-    struct local_call *call = mail->body;
-    cJSON *answer = NULL;
-    int status = handle_message(rpc, call->kind, rpc->settings->label, call->message, &answer);
-    call->callback(call->callback_arg, status, answer);
-    cJSON_Delete(answer);
+    struct local_call *call = actor_message->body;
+    cJSON *response = NULL;
+    int status = handle_message(rpc, call->kind, rpc->settings->label, call->message, &response);
+    call->callback(call->callback_arg, status, response);
+    cJSON_Delete(response);
 }
 
 struct node_rpc *node_rpc_new(struct loop *loop, struct http_client *http_client,
@@ -111,11 +111,11 @@
 static void on_response(void *arg, const struct http_response *response)
 {
     struct remote_call *call = arg;
-    cJSON *answer = NULL;
+    cJSON *response_message = NULL;
     if (response->status > 0)
-        answer = cJSON_ParseWithLength(response->body, response->body_bytes);
-    call->callback(call->callback_arg, response->status, answer);
-    cJSON_Delete(answer);
+        response_message = cJSON_ParseWithLength(response->body, response->body_bytes);
+    call->callback(call->callback_arg, response->status, response_message);
+    cJSON_Delete(response_message);
     g_free(call);
 }
 
@@ -135,8 +135,8 @@
     free(body);
 }
 
-static void call_own_node(struct node_rpc *rpc, const char *kind, cJSON *message,
-                          node_rpc_callback callback, void *callback_arg)
+static void call_local_node(struct node_rpc *rpc, const char *kind, cJSON *message,
+                            node_rpc_callback callback, void *callback_arg)
 {
     struct local_call *call = g_new(struct local_call, 1);
     *call = (struct local_call){g_strdup(kind), message, callback, callback_arg};
@@ -147,7 +147,7 @@
                    int timeout_ms, node_rpc_callback callback, void *callback_arg)
 {
     if (strcmp(to, rpc->settings->label) == 0) {
-        call_own_node(rpc, kind, message, callback, callback_arg);
+        call_local_node(rpc, kind, message, callback, callback_arg);
         return;
     }
     const char *address = find_address(rpc, to);
@@ -198,9 +198,9 @@
 static void serve_forwarded(struct node_rpc *rpc, struct http_responder *responder,
                             connection_ref from, const char *sender, const cJSON *message)
 {
-    const char *method = node_rpc_get_text(message, FIELD_METHOD);
-    const char *path = node_rpc_get_text(message, FIELD_PATH);
-    const char *body = node_rpc_get_text(message, FIELD_BODY);
+    const char *method = node_rpc_get_string(message, FIELD_METHOD);
+    const char *path = node_rpc_get_string(message, FIELD_PATH);
+    const char *body = node_rpc_get_string(message, FIELD_BODY);
     if (!rpc->forward_handler || !method || !path || !body) {
         respond_empty(responder, from, HTTP_STATUS_BAD_REQUEST);
         return;
@@ -217,16 +217,16 @@
 static void serve_call(struct node_rpc *rpc, struct http_responder *responder, connection_ref from,
                        const char *kind, const char *sender, const cJSON *message)
 {
-    cJSON *answer = NULL;
-    int status = handle_message(rpc, kind, sender, message, &answer);
-    if (answer) {
-        char *text = cJSON_PrintUnformatted(answer);
-        responder->respond(responder, from, status, NULL, text, strlen(text));
-        free(text);
+    cJSON *response = NULL;
+    int status = handle_message(rpc, kind, sender, message, &response);
+    if (response) {
+        char *response_body = cJSON_PrintUnformatted(response);
+        responder->respond(responder, from, status, NULL, response_body, strlen(response_body));
+        free(response_body);
     } else {
         respond_empty(responder, from, status);
     }
-    cJSON_Delete(answer);
+    cJSON_Delete(response);
 }
 
 void node_rpc_serve(void *context, struct http_responder *responder, connection_ref from,
@@ -238,7 +238,7 @@
         return;
     }
     cJSON *message = cJSON_ParseWithLength(request->body, request->body_bytes);
-    const char *sender = node_rpc_get_text(message, FIELD_SENDER);
+    const char *sender = node_rpc_get_string(message, FIELD_SENDER);
     if (!sender || !find_address(rpc, sender)) {
         LOG_ERROR("node_message_malformed", "path=%s bytes=%zu", request->path,
                   request->body_bytes);
@@ -256,12 +256,12 @@
 
 void node_rpc_put_u64(cJSON *object, const char *field, uint64_t value)
 {
-    char text[24];
-    g_snprintf(text, sizeof text, "%" G_GUINT64_FORMAT, value);
-    cJSON_AddStringToObject(object, field, text);
+    char string[24];
+    g_snprintf(string, sizeof string, "%" G_GUINT64_FORMAT, value);
+    cJSON_AddStringToObject(object, field, string);
 }
 
-bool node_rpc_item_u64(const cJSON *item, uint64_t *out)
+bool node_rpc_parse_u64(const cJSON *item, uint64_t *out)
 {
     if (!cJSON_IsString(item) || !g_ascii_isdigit(item->valuestring[0]))
         return false;
@@ -273,16 +273,16 @@
 
 bool node_rpc_get_u64(const cJSON *object, const char *field, uint64_t *out)
 {
-    return node_rpc_item_u64(cJSON_GetObjectItemCaseSensitive(object, field), out);
+    return node_rpc_parse_u64(cJSON_GetObjectItemCaseSensitive(object, field), out);
 }
 
-const char *node_rpc_get_text(const cJSON *object, const char *field)
+const char *node_rpc_get_string(const cJSON *object, const char *field)
 {
     const cJSON *item = cJSON_GetObjectItemCaseSensitive(object, field);
     return cJSON_IsString(item) ? item->valuestring : NULL;
 }
 
-cJSON *node_rpc_encode_task(job_id job, uint32_t index, attempt_no attempt)
+cJSON *node_rpc_encode_task_attempt(job_id job, uint32_t index, attempt_no attempt)
 {
     cJSON *object = cJSON_CreateObject();
     cJSON_AddStringToObject(object, "j", job.text);
@@ -291,11 +291,12 @@
     return object;
 }
 
-bool node_rpc_decode_task(const cJSON *object, job_id *job, uint32_t *index, attempt_no *attempt)
+bool node_rpc_decode_task_attempt(const cJSON *object, job_id *job, uint32_t *index,
+                                  attempt_no *attempt)
 {
-    const char *job_text = node_rpc_get_text(object, "j");
+    const char *job_id_string = node_rpc_get_string(object, "j");
     const cJSON *index_item = cJSON_GetObjectItemCaseSensitive(object, "i");
-    if (!job_text || !job_id_parse(job, job_text) || !cJSON_IsNumber(index_item) ||
+    if (!job_id_string || !job_id_parse(job, job_id_string) || !cJSON_IsNumber(index_item) ||
         index_item->valuedouble < 0 || index_item->valuedouble > UINT32_MAX ||
         !node_rpc_get_u64(object, "a", &attempt->value))
         return false;
--- a/src/net/node_rpc.h
+++ b/src/net/node_rpc.h
@@ -16,11 +16,11 @@
 
 /** The response to a call. `status` is HTTP_STATUS_OK with an answer, which may be NULL and is
  * valid for the call only; or another status; or HTTP_NO_RESPONSE, HTTP_NOT_SENT. */
-typedef void (*node_rpc_callback)(void *arg, int status, const cJSON *answer);
+typedef void (*node_rpc_callback)(void *arg, int status, const cJSON *response);
 /** Handles a message from the node with the label `from`, and returns the status. `*answer`, if it
  * is set, goes back with it and is then freed. */
 typedef int (*node_rpc_handler)(void *context, const char *from, const cJSON *message,
-                                cJSON **answer);
+                                cJSON **response);
 
 struct node_rpc *node_rpc_new(struct loop *loop, struct http_client *http_client,
                               const struct settings *settings);
@@ -46,13 +46,14 @@
 /** False: the field is missing, or no such number. */
 bool node_rpc_get_u64(const cJSON *object, const char *field, uint64_t *out);
 /** The same for an array's item. */
-bool node_rpc_item_u64(const cJSON *item, uint64_t *out);
+bool node_rpc_parse_u64(const cJSON *item, uint64_t *out);
 /** NULL: the field is missing, or no text. The message owns the text. */
-const char *node_rpc_get_text(const cJSON *object, const char *field);
+const char *node_rpc_get_string(const cJSON *object, const char *field);
 
 /** One attempt of a task, as messages name it; more fields may be added. */
-cJSON *node_rpc_encode_task(job_id job, uint32_t index, attempt_no attempt);
+cJSON *node_rpc_encode_task_attempt(job_id job, uint32_t index, attempt_no attempt);
 /** False: malformed. */
-bool node_rpc_decode_task(const cJSON *object, job_id *job, uint32_t *index, attempt_no *attempt);
+bool node_rpc_decode_task_attempt(const cJSON *object, job_id *job, uint32_t *index,
+                                  attempt_no *attempt);
 
 #endif
--- a/src/replica/cluster_records.c
+++ b/src/replica/cluster_records.c
@@ -62,7 +62,7 @@
     g_clear_pointer(&replica->leader_label, g_free);
     replica->leader_incarnation.value = 0;
     replica->leader_mod_revision = update->value ? update->mod_revision : (revision){0};
-    if (json_get_text(update->value, PROCESS_FIELD_LABEL, &label)) {
+    if (json_get_string(update->value, PROCESS_FIELD_LABEL, &label)) {
         replica->leader_label = g_strdup(label);
         json_get_u64(update->value, PROCESS_FIELD_INCARNATION, &replica->leader_incarnation.value);
     }
@@ -83,7 +83,7 @@
         json_object *node = json_object_array_get_idx(nodes, i);
         const char *label;
         struct shard_map_entry entry = {0};
-        if (!json_get_text(node, PROCESS_FIELD_LABEL, &label) ||
+        if (!json_get_string(node, PROCESS_FIELD_LABEL, &label) ||
             !json_get_u64(node, PROCESS_FIELD_INCARNATION, &entry.incarnation.value))
             continue;
         entry.label = g_strdup(label);
--- a/src/replica/inventories.c
+++ b/src/replica/inventories.c
@@ -64,7 +64,7 @@
         machine->inventory = NULL;
     }
     const char *text = "";
-    json_get_text(update->value, INVENTORY_FIELD_MACHINES, &text);
+    json_get_string(update->value, INVENTORY_FIELD_MACHINES, &text);
     inventory_decode(text, add_machine, &(struct inventory_reader){replica, inventory});
     for (guint i = 0; i < previous_machines->len; i++)
         replica_remove_unused_machine(replica, previous_machines->pdata[i]);
--- a/src/replica/jobs.c
+++ b/src/replica/jobs.c
@@ -126,7 +126,7 @@
 {
     const char *final_state;
     uint64_t task_count = 0, ended_ms = 0;
-    if (!json_get_text(value, JOB_FIELD_FINAL_STATE, &final_state))
+    if (!json_get_string(value, JOB_FIELD_FINAL_STATE, &final_state))
         return false;
     json_get_u64(value, JOB_FIELD_TASK_COUNT, &task_count);
     json_get_u64(value, JOB_FIELD_ENDED_MS, &ended_ms);
@@ -140,8 +140,8 @@
 json_object *job_encode_final(enum job_state final_state, uint32_t task_count, wall_time ended_at)
 {
     json_object *object = json_object_new_object();
-    json_put_text(object, JOB_FIELD_FINAL_STATE,
-                  final_state == JOB_DONE ? JOB_FINAL_STATE_DONE : JOB_FINAL_STATE_CANCELLED);
+    json_put_string(object, JOB_FIELD_FINAL_STATE,
+                    final_state == JOB_DONE ? JOB_FINAL_STATE_DONE : JOB_FINAL_STATE_CANCELLED);
     json_put_u64(object, JOB_FIELD_TASK_COUNT, task_count);
     json_put_u64(object, JOB_FIELD_ENDED_MS, (uint64_t)ended_at.ms);
     return object;
--- a/src/replica/replica.c
+++ b/src/replica/replica.c
@@ -109,7 +109,7 @@
 void replica_copy_text(json_object *value, const char *field, char *out, size_t size)
 {
     const char *text;
-    if (json_get_text(value, field, &text))
+    if (json_get_string(value, field, &text))
         g_strlcpy(out, text, size);
 }
 
--- a/src/replica/run_records.c
+++ b/src/replica/run_records.c
@@ -176,8 +176,8 @@
     const char *run_records = "", *completions = "";
     if (!page)
         return;
-    json_get_text(update->value, PAGE_FIELD_RUN_RECORDS, &run_records);
-    json_get_text(update->value, PAGE_FIELD_COMPLETIONS, &completions);
+    json_get_string(update->value, PAGE_FIELD_RUN_RECORDS, &run_records);
+    json_get_string(update->value, PAGE_FIELD_COMPLETIONS, &completions);
     page->mod_revision = update->mod_revision;
     page->generation++;
     page->size_bytes = strlen(run_records) + strlen(completions);
--- a/src/scheduler/gang_scheduler.c
+++ b/src/scheduler/gang_scheduler.c
@@ -198,7 +198,7 @@
 {
     const GPtrArray *machines = leader->pass.schedulable_machines;
     int64_t task_count = 0;
-    loop_add_work(leader->loop, machines->len);
+    loop_count_operations(leader->loop, machines->len);
     for (guint i = 0; i < machines->len; i++) {
         const struct ledger_machine *machine = machines->pdata[i];
         if (placement_is_machine_allowed(leader, job, spec, machine) &&
@@ -234,7 +234,7 @@
 {
     const GPtrArray *machines = leader->pass.schedulable_machines;
     GArray *drainable = g_array_new(FALSE, FALSE, sizeof(struct placement_candidate));
-    loop_add_work(leader->loop, machines->len);
+    loop_count_operations(leader->loop, machines->len);
     placement_count_zone_tasks(leader, job, spec);
     for (guint i = 0; i < machines->len; i++) {
         struct ledger_machine *machine = machines->pdata[i];
--- a/src/scheduler/leader.c
+++ b/src/scheduler/leader.c
@@ -69,7 +69,8 @@
     leader->pass.zone_cpus = g_new0(double, zone_count);
     leader->pass.zone_task_counts = g_new0(uint32_t, zone_count);
     leader->pass.schedulable_machines = g_ptr_array_new();
-    leader->pass.unschedulable_requests = g_array_new(FALSE, FALSE, sizeof(struct unschedulable));
+    leader->pass.unschedulable_requests =
+        g_array_new(FALSE, FALSE, sizeof(struct unschedulable_request));
     leader->relocation_backoffs = g_new0(struct relocation_backoff, zone_count);
 }
 
--- a/src/scheduler/placement.c
+++ b/src/scheduler/placement.c
@@ -113,7 +113,7 @@
     g_ptr_array_set_size(pass->schedulable_machines, 0);
     g_array_set_size(pass->unschedulable_requests, 0);
     pass->reserving_gang_count = 0;
-    loop_add_work(leader->loop, g_hash_table_size(leader->ledger.machines));
+    loop_count_operations(leader->loop, g_hash_table_size(leader->ledger.machines));
     GHashTableIter it;
     struct ledger_machine *machine;
     g_hash_table_iter_init(&it, leader->ledger.machines);
@@ -165,7 +165,7 @@
 {
     const GPtrArray *machines = leader->pass.schedulable_machines;
     GArray *candidates = g_array_new(FALSE, FALSE, sizeof(struct placement_candidate));
-    loop_add_work(leader->loop, machines->len);
+    loop_count_operations(leader->loop, machines->len);
     for (guint i = 0; i < machines->len; i++) {
         struct ledger_machine *machine = machines->pdata[i];
         if (!resources_fit(placement_free_resources(machine), job->task_resources) ||
@@ -181,13 +181,13 @@
 
 bool placement_is_unschedulable(struct leader *leader, const struct job_spec *spec)
 {
-    struct unschedulable request = unschedulable_of_job_spec(spec, "");
+    struct unschedulable_request request = unschedulable_request_of_job_spec(spec, "");
     return unschedulable_list_covers(leader->pass.unschedulable_requests, &request);
 }
 
 void placement_add_unschedulable(struct leader *leader, const struct job_spec *spec)
 {
-    struct unschedulable request = unschedulable_of_job_spec(spec, "");
+    struct unschedulable_request request = unschedulable_request_of_job_spec(spec, "");
     if (!placement_has_zone_rule(spec) && !spec->machine_type_names && !spec->zone)
         g_array_append_val(leader->pass.unschedulable_requests, request);
 }
--- a/src/scheduler/preemption_victims.c
+++ b/src/scheduler/preemption_victims.c
@@ -91,7 +91,7 @@
     const struct machine_record *record = replica_get_machine(leader->replica, machine->id.text);
     if (!record)
         return victims;
-    loop_add_work(leader->loop, record->run_records->len);
+    loop_count_operations(leader->loop, record->run_records->len);
     for (guint i = 0; i < record->run_records->len; i++) {
         struct preemption_victim victim;
         if (read_victim(leader, machine, record->run_records->pdata[i], preemptor, &victim))
@@ -138,7 +138,7 @@
     const struct job_spec *spec = preemptor->job_record->spec;
     const GPtrArray *machines = leader->pass.schedulable_machines;
     GArray *candidates = g_array_new(FALSE, FALSE, sizeof(struct preemption_candidate));
-    loop_add_work(leader->loop, machines->len);
+    loop_count_operations(leader->loop, machines->len);
     for (guint i = 0; i < machines->len; i++) {
         struct ledger_machine *machine = machines->pdata[i];
         if (!resources_fit(placement_capacity_without_services(machine),
--- a/src/scheduler/service_relocation.c
+++ b/src/scheduler/service_relocation.c
@@ -19,7 +19,7 @@
 {
     const GPtrArray *machines = leader->pass.schedulable_machines;
     placement_count_zone_tasks(leader, service, spec);
-    loop_add_work(leader->loop, machines->len);
+    loop_count_operations(leader->loop, machines->len);
     for (guint i = 0; i < machines->len; i++) {
         const struct ledger_machine *machine = machines->pdata[i];
         if (machine->zone_index != zone_index &&
@@ -58,7 +58,7 @@
     const struct machine_record *record = replica_get_machine(leader->replica, machine->id.text);
     for (guint i = 0; record && i < record->run_records->len; i++) {
         const struct run_record *run_record = record->run_records->pdata[i];
-        loop_add_work(leader->loop, 1);
+        loop_count_operations(leader->loop, 1);
         if (g_hash_table_contains(immovable_jobs, run_record->job))
             continue;
         const struct ledger_job *service = quota_ledger_find_job(leader, run_record->job->id.text);
--- a/src/shard/dispatch_queue.c
+++ b/src/shard/dispatch_queue.c
@@ -94,7 +94,7 @@
 {
     if (shard->placement.blocked_attempt_searches++ >= MAX_BLOCKED_ATTEMPT_SEARCHES)
         return; /* looked for when it is dispatched again */
-    loop_add_work(shard->loop, g_hash_table_size(shard->machines));
+    loop_count_operations(shard->loop, g_hash_table_size(shard->machines));
     GHashTableIter iter;
     struct machine *machine;
     g_hash_table_iter_init(&iter, shard->machines);
@@ -198,7 +198,7 @@
     GHashTableIter iter;
     struct machine *machine;
     g_ptr_array_set_size(available, 0);
-    loop_add_work(shard->loop, g_hash_table_size(shard->machines));
+    loop_count_operations(shard->loop, g_hash_table_size(shard->machines));
     g_hash_table_iter_init(&iter, shard->machines);
     while (g_hash_table_iter_next(&iter, NULL, (gpointer *)&machine))
         if (machine->allocated.cpus.milli < machine->capacity.cpus.milli &&
--- a/src/shard/record_batch_machine.c
+++ b/src/shard/record_batch_machine.c
@@ -37,9 +37,9 @@
 static json_object *encode_machine_value(const struct machine *machine, gsize max_bytes)
 {
     json_object *object = json_object_new_object(), *images = json_object_new_array();
-    json_put_text(object, MACHINE_FIELD_ADDRESS, machine->address);
-    json_put_text(object, MACHINE_FIELD_TYPE, machine->type_name);
-    json_put_text(object, MACHINE_FIELD_ZONE, machine->zone);
+    json_put_string(object, MACHINE_FIELD_ADDRESS, machine->address);
+    json_put_string(object, MACHINE_FIELD_TYPE, machine->type_name);
+    json_put_string(object, MACHINE_FIELD_ZONE, machine->zone);
     json_object_object_add(object, MACHINE_FIELD_IS_SPOT,
                            json_object_new_boolean(machine->is_spot));
     guint first_image = first_image_that_fits(machine, kv_value_size_bytes(object), max_bytes);
--- a/src/shard/record_txn.c
+++ b/src/shard/record_txn.c
@@ -27,8 +27,8 @@
 static json_object *encode_page_value(const char *run_records, const char *completions)
 {
     json_object *object = json_object_new_object();
-    json_put_text(object, PAGE_FIELD_RUN_RECORDS, run_records);
-    json_put_text(object, PAGE_FIELD_COMPLETIONS, completions);
+    json_put_string(object, PAGE_FIELD_RUN_RECORDS, run_records);
+    json_put_string(object, PAGE_FIELD_COMPLETIONS, completions);
     return object;
 }
 
@@ -71,7 +71,7 @@
                               const char *text)
 {
     json_object *value = json_object_new_object();
-    json_put_text(value, INVENTORY_FIELD_MACHINES, text);
+    json_put_string(value, INVENTORY_FIELD_MACHINES, text);
     txn_compare(txn, key, mod_revision);
     txn_put(txn, key, value, (lease_id){0});
 }
--- a/src/shard/shard.c
+++ b/src/shard/shard.c
@@ -202,7 +202,8 @@
     for (int i = 0; i <= ARQ_CLASSES; i++)
         g_queue_init(&shard->placement.queues[i]);
     shard->placement.available_machines = g_ptr_array_new();
-    shard->placement.unschedulable = g_array_new(FALSE, FALSE, sizeof(struct unschedulable));
+    shard->placement.unschedulable =
+        g_array_new(FALSE, FALSE, sizeof(struct unschedulable_request));
     timer_init(&shard->placement.timer, shard_place_tasks, shard);
 }
 
--- a/src/shard/shard_messages.c
+++ b/src/shard/shard_messages.c
@@ -43,12 +43,12 @@
 
 static cJSON *encode_task(const struct message_task *task)
 {
-    return node_rpc_encode_task(task->job, task->index, task->attempt);
+    return node_rpc_encode_task_attempt(task->job, task->index, task->attempt);
 }
 
 static bool decode_task(const cJSON *json, struct message_task *out)
 {
-    return node_rpc_decode_task(json, &out->job, &out->index, &out->attempt);
+    return node_rpc_decode_task_attempt(json, &out->job, &out->index, &out->attempt);
 }
 
 /** The strings of a list; NULL when it is missing. */
@@ -112,8 +112,8 @@
 static void dispatch_item_decode(const cJSON *json, GArray *dispatches)
 {
     struct dispatch_item item = {
-        .zone = node_rpc_get_text(json, FIELD_ZONE),
-        .bound_machine = node_rpc_get_text(json, FIELD_MACHINE),
+        .zone = node_rpc_get_string(json, FIELD_ZONE),
+        .bound_machine = node_rpc_get_string(json, FIELD_MACHINE),
     };
     node_rpc_get_u64(json, FIELD_NUMBER, &item.number);
     if (decode_task(json, &item.task))
@@ -133,7 +133,7 @@
 static void stop_item_decode(const cJSON *json, GArray *stops)
 {
     const cJSON *grace_s = get(json, FIELD_GRACE_S);
-    struct stop_item item = {.machine = node_rpc_get_text(json, FIELD_MACHINE)};
+    struct stop_item item = {.machine = node_rpc_get_string(json, FIELD_MACHINE)};
     item.grace_s = cJSON_IsNumber(grace_s) ? grace_s->valuedouble : 0;
     if (item.machine && decode_task(json, &item.task))
         g_array_append_val(stops, item);
@@ -251,8 +251,8 @@
 /** One item may tell both how long a task took and why one failed: these are two events. */
 static void task_event_decode(const cJSON *json, GArray *events)
 {
-    const char *machine = node_rpc_get_text(json, FIELD_MACHINE);
-    const char *job = node_rpc_get_text(json, FIELD_JOB);
+    const char *machine = node_rpc_get_string(json, FIELD_MACHINE);
+    const char *job = node_rpc_get_string(json, FIELD_JOB);
     const cJSON *run_time_s = get(json, FIELD_RUN_TIME_S);
     const cJSON *cause = get(json, FIELD_CAUSE);
     struct task_event event = {.kind = TASK_EVENT_COMPLETED};
--- a/src/shard/task_placement.c
+++ b/src/shard/task_placement.c
@@ -112,7 +112,7 @@
 {
     const GPtrArray *machines = shard->placement.available_machines;
     *candidates = (struct candidate_set){.is_empty = true};
-    loop_add_work(shard->loop, machines->len);
+    loop_count_operations(shard->loop, machines->len);
     for (guint i = 0; i < machines->len; i++)
         if (machine_fits(shard, machines->pdata[i], dispatch, spec))
             add_candidate(candidates, machines->pdata[i], spec);
@@ -163,7 +163,7 @@
 static bool is_known_unschedulable(const struct shard *shard, const struct dispatch *dispatch,
                                    const struct job_spec *spec)
 {
-    struct unschedulable request = unschedulable_of_job_spec(spec, dispatch->zone);
+    struct unschedulable_request request = unschedulable_request_of_job_spec(spec, dispatch->zone);
     return unschedulable_list_covers(shard->placement.unschedulable, &request);
 }
 
@@ -171,7 +171,7 @@
                                   const struct job_spec *spec)
 {
     GArray *unschedulable = shard->placement.unschedulable;
-    struct unschedulable request = unschedulable_of_job_spec(spec, dispatch->zone);
+    struct unschedulable_request request = unschedulable_request_of_job_spec(spec, dispatch->zone);
     bool is_restricted = dispatch->bound_machine[0] || spec->machine_type_names || spec->zone;
     if (!is_restricted && !unschedulable_list_covers(unschedulable, &request))
         g_array_append_val(unschedulable, request);
--- a/src/singleton/role_codec.c
+++ b/src/singleton/role_codec.c
@@ -79,14 +79,14 @@
 json_object *role_holder_encode(const struct role_holder *holder)
 {
     json_object *value = json_object_new_object();
-    json_put_text(value, FIELD_LABEL, holder->label);
+    json_put_string(value, FIELD_LABEL, holder->label);
     json_put_u64(value, FIELD_INCARNATION, holder->incarnation.value);
     return value;
 }
 
 bool role_holder_decode(json_object *value, struct role_holder *holder)
 {
-    return json_copy_text(value, FIELD_LABEL, holder->label, sizeof holder->label) &&
+    return json_copy_string(value, FIELD_LABEL, holder->label, sizeof holder->label) &&
            json_get_u64(value, FIELD_INCARNATION, &holder->incarnation.value);
 }
 
--- a/src/singleton/role_manager.c
+++ b/src/singleton/role_manager.c
@@ -299,7 +299,7 @@
 
 bool role_manager_may_act(struct role_manager *manager, enum singleton_role role)
 {
-    loop_refresh(manager->config.loop);
+    loop_update_time(manager->config.loop);
     return role_manager_holds(manager, role) && manager->config.lease_is_valid(manager->config.ctx);
 }
 
--- a/src/wire/agent_codec.c
+++ b/src/wire/agent_codec.c
@@ -4,10 +4,10 @@
 #include "protocol_words.h"
 
 /* In the order of the enumerations. */
-static const char *const state_words[] = {"fetching", "gathering", "running", "flushing", "exited"};
-static const char *const cause_words[] = {"done",  "halted",  "peers", "incomplete",
-                                          "error", "no_room", "busy",  "no_such"};
-static const char *const verb_words[] = {"run", "halt", "clear"};
+static const char *const state_names[] = {"fetching", "gathering", "running", "flushing", "exited"};
+static const char *const exit_cause_names[] = {"done",  "halted",  "peers", "incomplete",
+                                               "error", "no_room", "busy",  "no_such"};
+static const char *const verb_names[] = {"run", "halt", "clear"};
 
 void heartbeat_clear(struct heartbeat *heartbeat)
 {
@@ -20,14 +20,14 @@
 {
     const char *name;
     int state, cause;
-    if (!json_get_text(object, FIELD_TASK, &name) ||
+    if (!json_get_string(object, FIELD_TASK, &name) ||
         !task_name_parse(name, &task->job, &task->task_index) ||
         !json_get_u64(object, FIELD_ATTEMPT, &task->attempt.value) ||
-        !JSON_GET_WORD(object, FIELD_STAGE, state_words, &state))
+        !JSON_GET_ENUM(object, FIELD_STAGE, state_names, &state))
         return false;
     task->state = state;
     task->cause = CAUSE_UNKNOWN;
-    if (state == TASK_EXITED && JSON_GET_WORD(object, FIELD_EXIT_CAUSE, cause_words, &cause))
+    if (state == TASK_EXITED && JSON_GET_ENUM(object, FIELD_EXIT_CAUSE, exit_cause_names, &cause))
         task->cause = cause;
     task->has_saved_state = false;
     json_get_bool(object, FIELD_HAS_SAVED_STATE, &task->has_saved_state);
@@ -39,12 +39,12 @@
 {
     char machine_name[sizeof heartbeat->machine.text];
     heartbeat->reclaim_notice_s = -1;
-    return json_copy_text(object, FIELD_MACHINE, machine_name, sizeof machine_name) &&
+    return json_copy_string(object, FIELD_MACHINE, machine_name, sizeof machine_name) &&
            machine_id_parse(&heartbeat->machine, machine_name) &&
-           json_copy_text(object, FIELD_ADDRESS, heartbeat->address, sizeof heartbeat->address) &&
-           json_copy_text(object, FIELD_MACHINE_TYPE, heartbeat->machine_type_name,
-                          sizeof heartbeat->machine_type_name) &&
-           json_copy_text(object, FIELD_ZONE, heartbeat->zone, sizeof heartbeat->zone) &&
+           json_copy_string(object, FIELD_ADDRESS, heartbeat->address, sizeof heartbeat->address) &&
+           json_copy_string(object, FIELD_MACHINE_TYPE, heartbeat->machine_type_name,
+                            sizeof heartbeat->machine_type_name) &&
+           json_copy_string(object, FIELD_ZONE, heartbeat->zone, sizeof heartbeat->zone) &&
            json_get_bool(object, FIELD_SPOT, &heartbeat->is_spot) &&
            json_get_u64(object, FIELD_AGENT_EPOCH, &heartbeat->agent_epoch) &&
            json_get_u64(object, FIELD_SEQUENCE, &heartbeat->sequence) &&
@@ -78,8 +78,8 @@
     json_object *object = json_object_new_object();
     char name[64];
     g_snprintf(name, sizeof name, "%s/%u", command->job.text, command->task_index);
-    json_put_text(object, FIELD_VERB, verb_words[command->verb]);
-    json_put_text(object, FIELD_TASK, name);
+    json_put_string(object, FIELD_VERB, verb_names[command->verb]);
+    json_put_string(object, FIELD_TASK, name);
     json_put_u64(object, FIELD_ATTEMPT, command->attempt.value);
     if (command->verb == COMMAND_STOP)
         json_put_number(object, FIELD_GRACE_PERIOD_S, command->grace_period_s);
@@ -96,13 +96,13 @@
     for (guint i = 0; i < command_count; i++)
         json_object_array_add(list, command_encode(&commands[i]));
     json_object_object_add(object, FIELD_COMMANDS, list);
-    return json_to_text_and_free(object);
+    return json_to_string_and_free(object);
 }
 
-char *agent_redirect_encode(const char *label)
+char *agent_redirect_encode(const char *owner_label)
 {
     json_object *object = json_object_new_object();
-    if (label)
-        json_put_text(object, FIELD_OWNER, label);
-    return json_to_text_and_free(object);
+    if (owner_label)
+        json_put_string(object, FIELD_OWNER, owner_label);
+    return json_to_string_and_free(object);
 }
--- a/src/wire/agent_codec.h
+++ b/src/wire/agent_codec.h
@@ -78,6 +78,6 @@
 char *agent_commands_encode(epoch_no fencing_token, uint64_t agent_epoch,
                             const struct agent_command *commands, guint command_count);
 /** Sends an agent to the node that owns its machine; NULL: the owner is not known. A new text. */
-char *agent_redirect_encode(const char *label);
+char *agent_redirect_encode(const char *owner_label);
 
 #endif
--- a/src/wire/cloud_codec.c
+++ b/src/wire/cloud_codec.c
@@ -3,18 +3,18 @@
 #include "protocol_words.h"
 
 /** In the order of enum cloud_machine_stage. */
-static const char *const stage_words[] = {"booting", "running", "failed"};
+static const char *const stage_names[] = {"booting", "running", "failed"};
 
-static void clear_machine_type(gpointer p)
+static void clear_machine_type(gpointer machine_type)
 {
-    g_strfreev(((struct machine_type *)p)->zones);
+    g_strfreev(((struct machine_type *)machine_type)->zones);
 }
 
 static bool machine_type_decode(json_object *object, struct machine_type *type)
 {
     memset(type, 0, sizeof *type);
     json_object *zones = json_get_array(object, FIELD_ZONES);
-    if (!json_copy_text(object, FIELD_TYPE_NAME, type->name, sizeof type->name) ||
+    if (!json_copy_string(object, FIELD_TYPE_NAME, type->name, sizeof type->name) ||
         !json_get_amount(object, FIELD_CPUS, &type->cpus) ||
         !json_get_amount(object, FIELD_GPUS, &type->gpus) ||
         !json_get_amount(object, FIELD_MEMORY_GB, &type->memory) ||
@@ -52,7 +52,7 @@
 static json_object *machine_type_encode(const struct machine_type *type)
 {
     json_object *object = json_object_new_object();
-    json_put_text(object, FIELD_TYPE_NAME, type->name);
+    json_put_string(object, FIELD_TYPE_NAME, type->name);
     json_put_amount(object, FIELD_CPUS, type->cpus);
     json_put_amount(object, FIELD_GPUS, type->gpus);
     json_put_amount(object, FIELD_MEMORY_GB, type->memory);
@@ -61,7 +61,7 @@
     json_put_number(object, FIELD_PRICE, type->price);
     json_put_number(object, FIELD_SPOT_PRICE, type->spot_price);
     json_put_number(object, FIELD_BOOT_TIME_S, type->boot_time_s);
-    json_put_texts(object, FIELD_ZONES, type->zones);
+    json_put_strings(object, FIELD_ZONES, type->zones);
     return object;
 }
 
@@ -80,15 +80,15 @@
     int stage;
     char id[sizeof machine->id.text];
     memset(machine, 0, sizeof *machine);
-    if (!json_copy_text(object, FIELD_ID, id, sizeof id) || !machine_id_parse(&machine->id, id) ||
-        !json_copy_text(object, FIELD_MACHINE_TYPE, machine->machine_type_name,
-                        sizeof machine->machine_type_name) ||
-        !json_copy_text(object, FIELD_ZONE, machine->zone, sizeof machine->zone) ||
+    if (!json_copy_string(object, FIELD_ID, id, sizeof id) || !machine_id_parse(&machine->id, id) ||
+        !json_copy_string(object, FIELD_MACHINE_TYPE, machine->machine_type_name,
+                          sizeof machine->machine_type_name) ||
+        !json_copy_string(object, FIELD_ZONE, machine->zone, sizeof machine->zone) ||
         !json_get_bool(object, FIELD_SPOT, &machine->is_spot) ||
-        !JSON_GET_WORD(object, FIELD_STAGE, stage_words, &stage))
+        !JSON_GET_ENUM(object, FIELD_STAGE, stage_names, &stage))
         return false;
     machine->stage = stage;
-    json_copy_text(object, FIELD_ADDRESS, machine->address, sizeof machine->address);
+    json_copy_string(object, FIELD_ADDRESS, machine->address, sizeof machine->address);
     json_get_number(object, FIELD_AGE_S, &machine->age_s);
     return true;
 }
@@ -101,10 +101,10 @@
                            after_id, max_machines);
 }
 
-GArray *cloud_machines_decode(json_object *object, bool *more)
+GArray *cloud_machines_decode(json_object *object, bool *has_more)
 {
     json_object *list = json_get_array(object, FIELD_MACHINES);
-    if (!list || !json_get_bool(object, FIELD_MORE, more))
+    if (!list || !json_get_bool(object, FIELD_MORE, has_more))
         return NULL;
     GArray *machines = g_array_new(FALSE, TRUE, sizeof(struct listed_machine));
     for (size_t i = 0; i < json_object_array_length(list); i++) {
@@ -122,12 +122,12 @@
                                bool is_spot, int machine_count)
 {
     json_object *object = json_object_new_object();
-    json_put_text(object, FIELD_REQUEST_ID, request_id);
-    json_put_text(object, FIELD_MACHINE_TYPE, type_name);
-    json_put_text(object, FIELD_ZONE, zone);
+    json_put_string(object, FIELD_REQUEST_ID, request_id);
+    json_put_string(object, FIELD_MACHINE_TYPE, type_name);
+    json_put_string(object, FIELD_ZONE, zone);
     json_put_bool(object, FIELD_SPOT, is_spot);
     json_object_object_add(object, FIELD_MACHINE_COUNT, json_object_new_int(machine_count));
-    return json_to_text_and_free(object);
+    return json_to_string_and_free(object);
 }
 
 GArray *scale_out_response_decode(json_object *object)
@@ -149,7 +149,7 @@
 bool scale_out_response_is_no_capacity(json_object *object)
 {
     const char *error = "";
-    json_get_text(object, FIELD_ERROR, &error);
+    json_get_string(object, FIELD_ERROR, &error);
     return strcmp(error, ERROR_NO_CAPACITY) == 0;
 }
 
@@ -159,5 +159,5 @@
     for (guint i = 0; i < machine_count; i++)
         json_object_array_add(list, json_object_new_string(machines[i].text));
     json_object_object_add(object, FIELD_MACHINES, list);
-    return json_to_text_and_free(object);
+    return json_to_string_and_free(object);
 }
--- a/src/wire/cloud_codec.h
+++ b/src/wire/cloud_codec.h
@@ -43,7 +43,7 @@
  * NULL. */
 char *cloud_machines_path(const char *after_id, int max_machines);
 /** Decodes a page of the list: a new array of struct listed_machine; NULL: malformed. */
-GArray *cloud_machines_decode(json_object *object, bool *more);
+GArray *cloud_machines_decode(json_object *object, bool *has_more);
 
 /** Encodes a scale-out, a new text. request_id is its idempotency key: it may be sent again. */
 char *scale_out_request_encode(const char *request_id, const char *type_name, const char *zone,
--- a/src/wire/job_codec.c
+++ b/src/wire/job_codec.c
@@ -15,12 +15,12 @@
 static const double MAX_NUMBER = 1e9;
 
 /** In the order of enum job_form and of enum job_priority. */
-static const char *const form_words[] = {"sweep", "gang", "daemon"};
-static const char *const priority_words[] = {"prod", "high", "normal", "best_effort"};
+static const char *const form_names[] = {"sweep", "gang", "daemon"};
+static const char *const priority_names[] = {"prod", "high", "normal", "best_effort"};
 
 const char *job_priority_name(enum job_priority priority)
 {
-    return priority_words[priority];
+    return priority_names[priority];
 }
 
 void job_spec_clear(struct job_spec *spec)
@@ -38,7 +38,7 @@
 static bool decode_name(json_object *object, const char *field, char **out)
 {
     const char *text;
-    if (!json_get_text(object, field, &text) || !*text || strlen(text) > MAX_NAME_CHARS)
+    if (!json_get_string(object, field, &text) || !*text || strlen(text) > MAX_NAME_CHARS)
         return false;
     *out = g_strdup(text);
     return true;
@@ -89,7 +89,7 @@
 bool job_spec_decode_id(json_object *object, job_id *out)
 {
     const char *text;
-    return json_get_text(object, FIELD_ID, &text) && decode_user_job_id(out, text);
+    return json_get_string(object, FIELD_ID, &text) && decode_user_job_id(out, text);
 }
 
 /** Who submits what, and how many tasks. */
@@ -101,8 +101,8 @@
               decode_name(object, FIELD_JOB_CLASS, &spec->job_class) &&
               decode_name(object, FIELD_TEAM, &spec->team_name) &&
               decode_image(object, &spec->image) &&
-              JSON_GET_WORD(object, FIELD_FORM, form_words, &form) &&
-              JSON_GET_WORD(object, FIELD_PRIORITY, priority_words, &priority) &&
+              JSON_GET_ENUM(object, FIELD_FORM, form_names, &form) &&
+              JSON_GET_ENUM(object, FIELD_PRIORITY, priority_names, &priority) &&
               json_get_u64(object, FIELD_TASK_COUNT, &task_count) && task_count >= 1 &&
               task_count <= MAX_TASKS;
     spec->form = form;
@@ -153,7 +153,7 @@
     return false;
 }
 
-bool job_spec_names_dependencies(json_object *object)
+bool job_spec_has_dependencies_field(json_object *object)
 {
     return !json_is_absent(object, FIELD_DEPENDENCIES);
 }
@@ -200,21 +200,21 @@
 json_object *job_spec_encode(const struct job_spec *spec)
 {
     json_object *object = json_object_new_object();
-    json_put_text(object, FIELD_ID, spec->id.text);
-    json_put_text(object, FIELD_JOB_CLASS, spec->job_class);
-    json_put_text(object, FIELD_TEAM, spec->team_name);
-    json_put_text(object, FIELD_IMAGE, spec->image);
-    json_put_text(object, FIELD_FORM, form_words[spec->form]);
-    json_put_text(object, FIELD_PRIORITY, priority_words[spec->priority]);
+    json_put_string(object, FIELD_ID, spec->id.text);
+    json_put_string(object, FIELD_JOB_CLASS, spec->job_class);
+    json_put_string(object, FIELD_TEAM, spec->team_name);
+    json_put_string(object, FIELD_IMAGE, spec->image);
+    json_put_string(object, FIELD_FORM, form_names[spec->form]);
+    json_put_string(object, FIELD_PRIORITY, priority_names[spec->priority]);
     json_put_u64(object, FIELD_TASK_COUNT, spec->task_count);
     json_put_amount(object, FIELD_CPUS, spec->cpus);
     json_put_amount(object, FIELD_GPUS, spec->gpus);
     json_put_amount(object, FIELD_MEMORY_GB, spec->memory);
     json_put_number(object, FIELD_IMAGE_GB, spec->image_gb);
     if (spec->machine_type_names)
-        json_put_texts(object, FIELD_MACHINE_TYPES, spec->machine_type_names);
+        json_put_strings(object, FIELD_MACHINE_TYPES, spec->machine_type_names);
     if (spec->zone)
-        json_put_text(object, FIELD_ZONE, spec->zone);
+        json_put_string(object, FIELD_ZONE, spec->zone);
     json_put_bool(object, FIELD_SINGLE_ZONE, spec->needs_single_zone);
     json_put_bool(object, FIELD_SEPARATE_ZONES, spec->needs_separate_zones);
     json_put_bool(object, FIELD_SPOT, spec->may_use_spot);
@@ -230,15 +230,15 @@
 
 char *job_status_encode(job_id id, enum job_stage stage, long completed, long running)
 {
-    static const char *const stage_words[] = {"queued", "running", "done", "cancelled"};
+    static const char *const stage_names[] = {"queued", "running", "done", "cancelled"};
     json_object *object = json_object_new_object();
-    json_put_text(object, FIELD_ID, id.text);
-    json_put_text(object, FIELD_STAGE, stage_words[stage]);
+    json_put_string(object, FIELD_ID, id.text);
+    json_put_string(object, FIELD_STAGE, stage_names[stage]);
     if (completed >= 0) {
         json_object_object_add(object, FIELD_DONE_COUNT, json_object_new_int64(completed));
         json_object_object_add(object, FIELD_RUNNING_COUNT, json_object_new_int64(running));
     }
-    return json_to_text_and_free(object);
+    return json_to_string_and_free(object);
 }
 
 bool task_name_parse(const char *text, job_id *job, uint32_t *index)
--- a/src/wire/job_codec.h
+++ b/src/wire/job_codec.h
@@ -63,7 +63,7 @@
 /** Encodes a spec in the form of a submission; the caller owns the object. */
 json_object *job_spec_encode(const struct job_spec *spec);
 /** Whether a submission, which may be malformed, names dependencies at all. */
-bool job_spec_names_dependencies(json_object *object);
+bool job_spec_has_dependencies_field(json_object *object);
 /**
  * Replaces the dependencies in an encoded specification. Takes ownership of the array of job ids;
  * an empty one leaves the field out.
--- a/src/wire/placement_score.c
+++ b/src/wire/placement_score.c
@@ -4,11 +4,11 @@
 enum {
     SERVICE_IMAGE_WEIGHT = 4,
     SERVICE_ZONE_SIZE_WEIGHT = 8,
-    SERVICE_SERVICE_SHARE_WEIGHT = 2,
+    SERVICE_COLOCATION_WEIGHT = 2,
     URGENT_IMAGE_WEIGHT = 8,
     IMAGE_WEIGHT = 2,
     SPOT_WEIGHT = 4,
-    ORDINARY_MACHINE_PENALTY = 6,
+    ON_DEMAND_PENALTY = 6,
 };
 
 /**
@@ -19,7 +19,7 @@
 {
     return SERVICE_IMAGE_WEIGHT * facts->has_image +
            SERVICE_ZONE_SIZE_WEIGHT * facts->relative_zone_size +
-           SERVICE_SERVICE_SHARE_WEIGHT * facts->service_share + facts->allocated_share;
+           SERVICE_COLOCATION_WEIGHT * facts->service_share + facts->allocated_share;
 }
 
 double placement_score(const struct job_spec *spec, const struct placement_facts *facts)
@@ -31,7 +31,7 @@
     double image_weight = spec->priority <= PRIORITY_HIGH ? URGENT_IMAGE_WEIGHT : IMAGE_WEIGHT;
     /* An ordinary machine without services was rented for a backlog, and should be drained. */
     bool should_drain = !facts->is_spot && facts->service_share <= 0;
-    double penalty = should_drain ? ORDINARY_MACHINE_PENALTY : 0;
+    double penalty = should_drain ? ON_DEMAND_PENALTY : 0;
     return image_weight * facts->has_image + SPOT_WEIGHT * facts->is_spot + facts->service_share +
            facts->allocated_share - penalty;
 }
--- a/src/wire/resources.c
+++ b/src/wire/resources.c
@@ -34,11 +34,11 @@
 }
 
 bool unschedulable_list_covers(const GArray *unschedulable_list,
-                               const struct unschedulable *request)
+                               const struct unschedulable_request *request)
 {
     for (guint i = 0; i < unschedulable_list->len; i++) {
-        const struct unschedulable *known =
-            &g_array_index(unschedulable_list, struct unschedulable, i);
+        const struct unschedulable_request *known =
+            &g_array_index(unschedulable_list, struct unschedulable_request, i);
         if (resources_fit(request->resources, known->resources) &&
             (known->may_use_spot || !request->may_use_spot) &&
             (!known->zone[0] || strcmp(known->zone, request->zone) == 0))
--- a/src/wire/resources.h
+++ b/src/wire/resources.h
@@ -67,23 +67,23 @@
  * A request for which no machine was found, in one zone or ("") in any. As long as free resources
  * only shrink, no machine is found for any larger request either, so these need not be tried.
  */
-struct unschedulable {
+struct unschedulable_request {
     struct resources resources;
     bool may_use_spot;
     char zone[48];
 };
 
-static inline struct unschedulable unschedulable_of_job_spec(const struct job_spec *spec,
-                                                             const char *zone)
+static inline struct unschedulable_request
+unschedulable_request_of_job_spec(const struct job_spec *spec, const char *zone)
 {
-    struct unschedulable unschedulable = {resources_of_job_spec(spec), spec->may_use_spot, ""};
-    g_strlcpy(unschedulable.zone, zone, sizeof unschedulable.zone);
-    return unschedulable;
+    struct unschedulable_request request = {resources_of_job_spec(spec), spec->may_use_spot, ""};
+    g_strlcpy(request.zone, zone, sizeof request.zone);
+    return request;
 }
 
 /** Whether a request is at least as large as one in an array of struct unschedulable. */
 bool unschedulable_list_covers(const GArray *unschedulable_list,
-                               const struct unschedulable *request);
+                               const struct unschedulable_request *request);
 
 /** The machine type of that name in an array, which may be NULL; NULL: there is none. */
 const struct machine_type *machine_type_find(const GArray *types, const char *name);
--- a/tests/support/duty_history.c
+++ b/tests/support/duty_history.c
@@ -98,7 +98,7 @@
 {
     json_object *value = json_parse(text, strlen(text));
     const char *records;
-    if (json_get_text(value, "t", &records))
+    if (json_get_string(value, "t", &records))
         record_page_decode(records, record_seen, history);
     json_object_put(value);
 }
--- a/tests/support/role_scenario.c
+++ b/tests/support/role_scenario.c
@@ -69,7 +69,7 @@
     const struct node *node = node_with_map(world);
     json_object *leader = parse_key(world, "ll/leader");
     const char *label = "", *owner = node ? shard_map_get_owner(node->replica, machine) : NULL;
-    json_get_text(leader, "n", &label);
+    json_get_string(leader, "n", &label);
     bool own = !owner || strcmp(owner, label) == 0;
     json_object_put(leader);
     return own;
--- a/tests/support/stored_fixtures.c
+++ b/tests/support/stored_fixtures.c
@@ -25,7 +25,7 @@
 {
     json_object *object = json_tokener_parse(value);
     const char *text;
-    assert_true(json_get_text(object, "t", &text));
+    assert_true(json_get_string(object, "t", &text));
     record_page_decode(text, run_task, world);
     json_object_put(object);
     world_put(world, key, value);
--- a/tests/support/world_cloud.c
+++ b/tests/support/world_cloud.c
@@ -31,10 +31,10 @@
     const char *charter, *type_name, *zone;
     bool spot;
     uint64_t number = 0;
-    assert_true(json_get_text(body, "Charter", &charter) &&
-                json_get_text(body, "Build", &type_name) && json_get_text(body, "Yard", &zone) &&
-                json_get_bool(body, "Loaners", &spot) && json_get_u64(body, "Number", &number) &&
-                number <= 50);
+    assert_true(json_get_string(body, "Charter", &charter) &&
+                json_get_string(body, "Build", &type_name) &&
+                json_get_string(body, "Yard", &zone) && json_get_bool(body, "Loaners", &spot) &&
+                json_get_u64(body, "Number", &number) && number <= 50);
     for (guint i = 0; i < world->charters->len; i += 2)
         if (strcmp(world->charters->pdata[i], charter) == 0)
             return json_tokener_parse(world->charters->pdata[i + 1]);
@@ -80,12 +80,12 @@
     for (guint i = 0; i < up->len && i < most; i++) {
         struct worker *worker = up->pdata[i];
         json_object *x = json_object_new_object();
-        json_put_text(x, "Id", worker->id);
-        json_put_text(x, "Address", worker->addr);
-        json_put_text(x, "Build", worker->type_name);
-        json_put_text(x, "Yard", worker->zone);
+        json_put_string(x, "Id", worker->id);
+        json_put_string(x, "Address", worker->addr);
+        json_put_string(x, "Build", worker->type_name);
+        json_put_string(x, "Yard", worker->zone);
         json_object_object_add(x, "Loaners", json_object_new_boolean(worker->spot));
-        json_put_text(x, "Stage", "running");
+        json_put_string(x, "Stage", "running");
         json_object_object_add(x, "HeldS", json_object_new_double(1));
         json_object_array_add(list, x);
     }
--- a/tests/support/world_gang.c
+++ b/tests/support/world_gang.c
@@ -47,7 +47,7 @@
     json_object *object = json_parse(body, strlen(body));
     const char *id, *form;
     uint64_t tasks;
-    if (object && json_get_text(object, "Id", &id) && json_get_text(object, "Form", &form) &&
+    if (object && json_get_string(object, "Id", &id) && json_get_string(object, "Form", &form) &&
         strcmp(form, "gang") == 0 && json_get_u64(object, "Pieces", &tasks) &&
         !g_hash_table_contains(world->gangs, id)) {
         struct wgang *wgang = g_new0(struct wgang, 1);
--- a/tests/support/world_state.c
+++ b/tests/support/world_state.c
@@ -87,7 +87,7 @@
         json_object *x = json_object_array_get_idx(when, i);
         const char *key;
         uint64_t stamp = 0;
-        assert_true(json_get_text(x, "K", &key) && json_get_u64(x, "Stamp", &stamp));
+        assert_true(json_get_string(x, "K", &key) && json_get_u64(x, "Stamp", &stamp));
         if (stamp_of(world, key) != stamp)
             json_object_array_add(failed, json_object_new_string(key));
     }
@@ -136,9 +136,9 @@
     for (size_t i = 0; i < n; i++) {
         json_object *x = json_object_array_get_idx(writes, i);
         const char *key;
-        if (json_get_text(x, "Set", &key)) {
+        if (json_get_string(x, "Set", &key)) {
             txn_set(flight, x, key);
-        } else if (json_get_text(x, "Remove", &key) && g_tree_lookup(world->keys, key)) {
+        } else if (json_get_string(x, "Remove", &key) && g_tree_lookup(world->keys, key)) {
             event(world, key, NULL);
             g_tree_remove(world->keys, key);
         }
@@ -158,7 +158,7 @@
     if (!leases_exist(world, writes)) {
         json_object_put(failed);
         json_object *o = json_object_new_object();
-        json_put_text(o, "error", "no such lease");
+        json_put_string(o, "error", "no such lease");
         flight_result(flight, 400, o);
         return;
     }
@@ -229,7 +229,7 @@
     if (listing->more)
         return TRUE;
     json_object *x = json_object_new_object();
-    json_put_text(x, "K", key);
+    json_put_string(x, "K", key);
     json_object_object_add(x, "V", json_tokener_parse(wkey->text));
     json_put_u64(x, "Stamp", wkey->stamp);
     json_object_array_add(listing->items, x);
--- a/tests/support/world_worker.c
+++ b/tests/support/world_worker.c
@@ -19,10 +19,10 @@
 {
     json_object *o = json_object_new_object(), *list = json_object_new_array();
     worker->sequence++;
-    json_put_text(o, "Mast", worker->id);
-    json_put_text(o, "Address", worker->addr);
-    json_put_text(o, "Build", worker->type_name);
-    json_put_text(o, "Yard", worker->zone);
+    json_put_string(o, "Mast", worker->id);
+    json_put_string(o, "Address", worker->addr);
+    json_put_string(o, "Build", worker->type_name);
+    json_put_string(o, "Yard", worker->zone);
     json_object_object_add(o, "Loaners", json_object_new_boolean(worker->spot));
     json_put_u64(o, "Shift", worker->session);
     json_put_u64(o, "Tally", worker->sequence);
@@ -34,11 +34,11 @@
         json_object *x = json_object_new_object();
         char name[64];
         g_snprintf(name, sizeof name, "%s/%u", wtask->job.text, wtask->index);
-        json_put_text(x, "Piece", name);
+        json_put_string(x, "Piece", name);
         json_put_u64(x, "Try", wtask->attempt);
-        json_put_text(x, "Stage", wtask->stage);
+        json_put_string(x, "Stage", wtask->stage);
         if (*wtask->cause)
-            json_put_text(x, "Cause", wtask->cause);
+            json_put_string(x, "Cause", wtask->cause);
         if (wtask->stored)
             json_object_object_add(x, "Stored", json_object_new_boolean(true));
         json_object_array_add(list, x);
@@ -73,7 +73,7 @@
     job_id job;
     uint32_t index = 0;
     uint64_t attempt = 0;
-    assert_true(json_get_text(object, "Verb", &verb) && json_get_text(object, "Piece", &name) &&
+    assert_true(json_get_string(object, "Verb", &verb) && json_get_string(object, "Piece", &name) &&
                 task_name_parse(name, &job, &index) && json_get_u64(object, "Try", &attempt));
     struct wtask *t = worker_task(worker, job.text, index);
     if (strcmp(verb, "run") == 0) {
@@ -267,7 +267,7 @@
     json_object *object = json_parse(body, len);
     const char *to = NULL;
     uint64_t token = 0;
-    if (status == 421 && json_get_text(object, "Harbour", &to)) {
+    if (status == 421 && json_get_string(object, "Harbour", &to)) {
         worker->node = to[strlen(to) - 1] - '0';
     } else if (status != 200) {
         worker->node = (worker->node + 1) % worker->world->plan.nodes;
--- a/tests/test_fleet.c
+++ b/tests/test_fleet.c
@@ -178,7 +178,7 @@
 static void expect_little_work(const struct load *load)
 {
     struct world *world = play(load, no_trouble);
-    uint64_t looks = loop_work_count(world->loop) / (uint64_t)world_starts(world);
+    uint64_t looks = loop_operation_count(world->loop) / (uint64_t)world_starts(world);
     if (looks > load->most_looks || starts_while_jobs_come < load->least_starts)
         fail_msg("%" G_GUINT64_FORMAT " looks for each start, %d starts", looks,
                  starts_while_jobs_come);
@@ -231,9 +231,10 @@
     const struct load load = {machines, machines, 100, 2, UINT64_MAX, 0};
     struct world *world = play(&load, no_trouble);
     int starts = world_starts(world);
-    printf(
-        "%d machines: %d starts while jobs came, %d in all, %" G_GUINT64_FORMAT " looks for each\n",
-        machines, starts_while_jobs_come, starts, loop_work_count(world->loop) / (uint64_t)starts);
+    printf("%d machines: %d starts while jobs came, %d in all, %" G_GUINT64_FORMAT
+           " looks for each\n",
+           machines, starts_while_jobs_come, starts,
+           loop_operation_count(world->loop) / (uint64_t)starts);
     world_end(world);
     return 0;
 }
--- a/tests/test_http.c
+++ b/tests/test_http.c
@@ -409,7 +409,7 @@
     struct http_client_request request = {silent, "GET", "/status", NULL, 0, 30000};
     for (int i = 0; i < 4; i++)
         talk.net->request(talk.net, &request, given_up, NULL);
-    http_client_exempt_address(talk.net, talk.addr);
+    http_client_exempt_from_pool_limits(talk.net, talk.addr);
     ask_on(&talk);
     loop_run(talk.loop);
     assert_int_equal(talk.good, 1);
