--- a/src/base/address.c
+++ b/src/base/address.c
@@ -1,4 +1,4 @@
-/** Parsing of IPv4 addresses with a port. */
+/** Parsing of server addresses: see address.h. */
 #include "address.h"
 
 #include <arpa/inet.h>
@@ -10,7 +10,7 @@
 
 static bool parse_port(const char *text, uint16_t *port)
 {
-    /* strtoul would accept blanks and a sign. */
+    /* strtoul alone would accept leading white space and a sign. */
     if (!g_ascii_isdigit(*text))
         return false;
     char *end = NULL;
--- a/src/base/delay_histogram.c
+++ b/src/base/delay_histogram.c
@@ -1,10 +1,11 @@
+/** Histogram of delays: see delay_histogram.h. */
 #include "delay_histogram.h"
 
 #include <gsl/gsl_histogram.h>
 
 enum { BIN_COUNT = 60 };
 
-/* From 1 ms to some 20 minutes. */
+/* The bins range from 1 ms to about 20 minutes. */
 static const double FIRST_BIN_MS = 1, BIN_GROWTH_FACTOR = 1.27;
 
 struct delay_histogram {
--- a/src/base/delay_histogram.h
+++ b/src/base/delay_histogram.h
@@ -1,4 +1,5 @@
-/* A histogram of delays (GSL), with bins that grow by a fixed factor. */
+/** A histogram of delays in milliseconds, over GSL. Each bin is wider than the one before by a
+ * fixed factor. */
 #ifndef LL_DELAY_HISTOGRAM_H
 #define LL_DELAY_HISTOGRAM_H
 
@@ -6,14 +7,18 @@
 
 struct delay_histogram;
 
+/** Creates an empty histogram. */
 struct delay_histogram *delay_histogram_new(void);
 void delay_histogram_free(struct delay_histogram *histogram);
-/* Longer ones than the last bin holds count as its upper edge. */
+/** Adds a delay. A delay beyond the last bin is counted in the last bin, so quantiles report
+ * the upper edge of that bin. */
 void delay_histogram_add(struct delay_histogram *histogram, double ms);
+/** Returns the number of delays added since the histogram was created or cleared. */
 guint64 delay_histogram_count(const struct delay_histogram *histogram);
-/* The delay that a share (0 to 1) of them does not exceed: the upper edge of its bin; 0 if none
- * was counted. */
+/** Returns the upper edge of the bin that contains a quantile (0 to 1) of the delays, or 0 if the
+ * histogram is empty. */
 double delay_histogram_quantile(const struct delay_histogram *histogram, double quantile);
+/** Removes all delays. */
 void delay_histogram_clear(struct delay_histogram *histogram);
 
 #endif
--- a/src/base/event_loop.c
+++ b/src/base/event_loop.c
@@ -7,7 +7,7 @@
 
 enum {
     MAX_EVENTS_PER_ITERATION = 64,
-    /** So that sockets are not starved by timers that are due at once. */
+    /** Keeps many timers that expire together from starving the sockets. */
     MAX_TIMERS_PER_ITERATION = 64,
     MAX_POLL_MS = 1000,
     FAKE_CLOCK_START_S = 1000,
@@ -26,11 +26,12 @@
     bool has_fake_clock, is_stopped;
     mono_time now;
     wall_time fake_wall_time;
-    /** Struct timer, the one that fires first at the front. */
+    /** Running struct timer, ordered by the time at which they fire. */
     GSequence *timers;
     uint64_t next_timer_sequence;
-    /** Struct queued_message, for all actors. */
+    /** Undelivered struct queued_message of all actors, oldest first. */
     GQueue mailbox;
+    /** Memory that is freed at the end of the iteration; see loop_defer_free. */
     GPtrArray *deferred_frees;
     uint64_t operation_count;
 };
@@ -177,8 +178,9 @@
 }
 
 /**
- * Delivers the messages that are queued now. What they cause to be sent waits for the next turn, so
- * that messages cannot starve the sockets. False: there were none.
+ * Delivers the messages that are queued at the time of the call. Messages that the receivers send
+ * wait for the next iteration, so that messages cannot starve the sockets. Returns false if the
+ * queue was empty.
  */
 static bool deliver_messages(struct loop *loop)
 {
@@ -193,7 +195,8 @@
     return pending > 0;
 }
 
-/** Fires the first timer that is due by a moment; false: there is none. */
+/** Fires the earliest timer if it is due by `until`; a fake clock then moves to its time. Returns
+ * whether a timer was fired. */
 static bool fire_next_timer(struct loop *loop, mono_time until)
 {
     GSequenceIter *first = g_sequence_get_begin_iter(loop->timers);
@@ -211,7 +214,8 @@
     return true;
 }
 
-/** How long to wait for sockets: until the next timer, rounded up. */
+/** Returns how long epoll may wait: until the next timer, rounded up, and not at all while messages
+ * are queued. */
 static int poll_timeout_ms(struct loop *loop)
 {
     if (loop->mailbox.length)
--- a/src/base/event_loop.h
+++ b/src/base/event_loop.h
@@ -1,9 +1,9 @@
 /**
- * The event loop: epoll, timers, and the mailbox of the actors. Single-threaded.
+ * A single-threaded event loop: epoll, timers, and messages between actors.
  *
- * An actor owns its state. Others reach it by messages, which it receives later, from the loop,
- * never within the sender's call. Time is the loop's: with a fake clock it moves by loop_advance
- * only, so that everything on top of the loop is tested without waiting.
+ * An actor owns its state. Other code communicates with it by messages, which the loop delivers
+ * later, never within the sender's call. All code takes the time from the loop. A loop with a fake
+ * clock advances it only on request, so that tests of code on top of the loop need not wait.
  */
 #ifndef LL_EVENT_LOOP_H
 #define LL_EVENT_LOOP_H
@@ -12,79 +12,96 @@
 
 struct loop;
 
-/** A message in an actor's mailbox. */
+/** A message to an actor. */
 struct message {
-    /** One of the MSG_... constants of the sender's header. */
+    /** One of the MSG_... constants that the header of the sender declares. */
     int kind;
     void *body;
-    /** Called after the message was received; NULL: the body is not freed. */
+    /** Frees the body after delivery; if NULL, the body is not freed. */
     GDestroyNotify free_body;
 };
 
-/** The first member of what receives messages. */
+/** A receiver of messages. It is the first member of the struct that it belongs to. */
 struct actor {
     const char *name;
     void (*receive)(struct actor *self, const struct message *message);
 };
 
-/** A file descriptor with the function that is called when it is ready; events are EPOLL... bits.
- */
+/** A file descriptor that the loop watches, and the function that it calls when the descriptor is
+ * ready. `events` are EPOLL... bits. */
 struct loop_io {
     int fd;
     void (*ready)(struct loop_io *io, uint32_t events);
 };
 
-/** A callback at a time; embed it in what it belongs to. */
+/** A one-shot timer, to be embedded in the struct that it belongs to. */
 struct timer {
     void (*callback)(void *arg);
     void *arg;
     mono_time fires_at;
-    /** NULL: not running. */
+    /** The position in the loop's queue of timers; NULL while the timer is not running. */
     GSequenceIter *queue_position;
-    /** Timers for the same moment fire in the order in which they were started. */
+    /** Orders timers with the same time: they fire in the order in which they were started. */
     uint64_t sequence;
 };
 
+/** Creates a loop that uses the system clocks. */
 struct loop *loop_new(void);
-/** A loop with a fake clock, which moves by loop_advance and loop_stall only. */
+/** Creates a loop with a fake clock, which only loop_advance and loop_stall move. */
 struct loop *loop_new_fake(void);
-/** Frees the loop and undelivered messages; timers and descriptors must be gone. */
+/** Frees the loop and its undelivered messages. All timers must be stopped and all descriptors
+ * removed before. */
 void loop_free(struct loop *loop);
 
-/** The moment at which the present turn of the loop began, or of the last loop_update_time. */
+/** Returns the monotonic time at which the current iteration read the clock, or at which
+ * loop_update_time last did. */
 mono_time loop_now(const struct loop *loop);
+/** Returns the present wall-clock time. */
 wall_time loop_wall_time(const struct loop *loop);
 /**
- * Reads the clock again. The process may be suspended for long in the middle of a turn, and what it
- * receives then may be newer than the turn; so call this after each receive.
+ * Reads the monotonic clock again. Call it after each receive: the process may have been suspended
+ * for a long time in the middle of an iteration, so the received data may be much newer than the
+ * time at which the iteration began.
  */
 void loop_update_time(struct loop *loop);
-/** Counts operations on machines and tasks, so that tests can measure how work grows. */
+/** Adds to the count of operations on machines and tasks, by which tests measure how the cost of an
+ * algorithm grows. */
 void loop_count_operations(struct loop *loop, uint64_t operations);
+/** Returns the number of operations counted so far. */
 uint64_t loop_operation_count(const struct loop *loop);
 
+/** Starts to watch a descriptor for the given EPOLL... events. */
 void loop_add_io(struct loop *loop, struct loop_io *io, uint32_t events);
+/** Replaces the events for which a descriptor is watched. */
 void loop_modify_io(struct loop *loop, struct loop_io *io, uint32_t events);
-/** io->ready is NULL afterwards. */
+/** Stops watching a descriptor and sets io->ready to NULL, so that events that were already polled
+ * are ignored. */
 void loop_remove_io(struct loop *loop, struct loop_io *io);
-/** Frees memory at the end of the turn: an event that is not handled yet may point to it. */
+/** Frees memory at the end of the iteration, because events that were polled but not yet handled
+ * may still point to it. */
 void loop_defer_free(struct loop *loop, void *memory);
 
+/** Initializes a timer that is not running. */
 void timer_init(struct timer *timer, void (*callback)(void *arg), void *arg);
-/** Starts a timer that fires once, or restarts it. */
+/** Starts a timer that fires once after `ms` milliseconds; a running timer is restarted. */
 void timer_start(struct loop *loop, struct timer *timer, int64_t ms);
+/** Stops a timer; it may already be stopped. */
 void timer_stop(struct loop *loop, struct timer *timer);
 
-/** Queues a message, and takes ownership of the body if there is a function to free it. */
+/** Queues a message for an actor. The loop takes ownership of the body if `free_body` is not NULL.
+ */
 void actor_send(struct loop *loop, struct actor *actor, int kind, void *body,
                 GDestroyNotify free_body);
 
-/** Runs until loop_stop. */
+/** Handles events until loop_stop is called. */
 void loop_run(struct loop *loop);
+/** Makes loop_run return after the current iteration. */
 void loop_stop(struct loop *loop);
-/** Fake clock: advances the time, fires timers and delivers messages in their order. */
+/** Advances a fake clock by `ms` milliseconds, and meanwhile fires the timers that become due and
+ * delivers messages, in order. */
 void loop_advance(struct loop *loop, int64_t ms);
-/** Fake clock: the process is suspended for that time; what is due meanwhile fires afterwards. */
+/** Advances a fake clock as if the process had been suspended for `ms` milliseconds: timers that
+ * become due meanwhile fire later. */
 void loop_stall(struct loop *loop, int64_t ms);
 
 #endif
--- a/src/base/json_fields.c
+++ b/src/base/json_fields.c
@@ -3,14 +3,13 @@
 
 #include <math.h>
 
-/** Nesting of a text. */
 enum { MAX_NESTING_DEPTH = 16 };
 static const double MAX_AMOUNT = 1e9;
 static const double MILLI_PER_UNIT = 1000;
-/** What is less than that above a thousandth is a rounding error. */
+/** An excess over a whole thousandth that is smaller than this is a rounding error. */
 static const double AMOUNT_TOLERANCE_MILLI = 1e-6;
 
-/** json-c accepts 'single' quotes even when it is strict. */
+/** Detects 'single' quoted strings, which json-c accepts even in strict mode. */
 static bool has_single_quoted_string(const char *text, size_t length)
 {
     bool in_string = false;
@@ -32,7 +31,7 @@
     struct json_tokener *tokener = json_tokener_new_ex(MAX_NESTING_DEPTH);
     json_tokener_set_flags(tokener, JSON_TOKENER_STRICT | JSON_TOKENER_VALIDATE_UTF8);
     json_object *object = json_tokener_parse_ex(tokener, text, (int)length);
-    if (json_tokener_get_error(tokener) == json_tokener_continue) /* a number at the very end */
+    if (json_tokener_get_error(tokener) == json_tokener_continue) /* may end in a number */
         object = json_tokener_parse_ex(tokener, "", 1);
     bool is_complete = json_tokener_get_error(tokener) == json_tokener_success;
     size_t parsed_bytes = json_tokener_get_parse_end(tokener);
--- a/src/base/log.c
+++ b/src/base/log.c
@@ -7,11 +7,11 @@
 
 enum {
     MAX_LINE_CHARS = 1024,
-    /** Of an event's fields. */
+    /** Limit for the formatted fields of one event. */
     MAX_FIELDS_CHARS = 800,
 };
 
-/** Names of fields of GLib's structured log. */
+/** Names of the fields that events have in GLib's structured log. */
 #define FIELD_MESSAGE "MESSAGE"
 #define FIELD_EVENT "LL_EVENT"
 
@@ -19,7 +19,8 @@
 static char log_node[64];
 static guint64 log_epoch;
 
-/** GLogWriterFunc: longer lines are cut. */
+/** A GLogWriterFunc that writes an event as one line; lines of MAX_LINE_CHARS or more are
+ * truncated. */
 static GLogWriterOutput write_line(GLogLevelFlags level, const GLogField *fields, gsize field_count,
                                    gpointer unused)
 {
@@ -42,7 +43,7 @@
         line[length - 1] = '\n';
     }
     if (write(STDERR_FILENO, line, length) < 0)
-        return G_LOG_WRITER_UNHANDLED; /* standard error is closed: nothing can be done */
+        return G_LOG_WRITER_UNHANDLED; /* standard error is closed, and there is no other output */
     return G_LOG_WRITER_HANDLED;
 }
 
--- a/src/base/types.h
+++ b/src/base/types.h
@@ -1,6 +1,6 @@
 /**
- * Types for ids, revisions, times and amounts. Each is a struct of its own, so that the compiler
- * refuses one in place of another.
+ * Types for ids, revisions, times and amounts. Each is a distinct struct, so that the compiler
+ * rejects the use of one in place of another.
  */
 #ifndef LL_TYPES_H
 #define LL_TYPES_H
@@ -11,73 +11,77 @@
 #include <string.h>
 
 /**
- * How many machines tables hold that keep facts about them: the largest fleet is 4,000 machines,
- * and half as many again may come and go. A full table forgets; it never refuses.
+ * Capacity of the tables that hold per-machine state. The largest fleet has 4,000 machines; the
+ * other 2,000 entries are for machines that join and leave. A full table evicts entries instead of
+ * rejecting new ones.
  */
 enum { MAX_TRACKED_MACHINES = 6000 };
 
-/** A moment on this machine's monotonic clock, in microseconds. */
+/** A time on the monotonic clock of this host, in microseconds. */
 typedef struct {
     int64_t us;
 } mono_time;
 
-/** A moment of the wall clock, in milliseconds since 1970. */
+/** A wall-clock time, in milliseconds since the Unix epoch. */
 typedef struct {
     int64_t ms;
 } wall_time;
 
 /**
- * A revision of the key-value store. A key's mod_revision is that of its last write; 0: there is no
- * such key.
+ * A revision of the key-value store. The mod_revision of a key is the revision of its last write; 0
+ * means that the key does not exist.
  */
 typedef struct {
     uint64_t value;
 } revision;
 
-/** An epoch of the shard map. It only rises, and is the fencing token that agents compare. */
+/** An epoch of the shard map. It never decreases, and agents compare it as the fencing token. */
 typedef struct {
     uint64_t value;
 } epoch_no;
 
-/** The number of one start of a task; never used twice. See quota_ledger_next_attempt. */
+/** Identifies one attempt to run a task. Numbers are never reused; see quota_ledger_next_attempt.
+ */
 typedef struct {
     uint64_t value;
 } attempt_no;
 
-/** A lease of the key-value store; 0: none. */
+/** A lease of the key-value store; 0 means no lease. */
 typedef struct {
     uint64_t value;
 } lease_id;
 
-/** A job's id, as its user chose it. */
+/** The id of a job, which its user chooses. */
 typedef struct {
     char text[48];
 } job_id;
 
-/** A machine's id, as the cloud gave it. */
+/** The id of a machine, which the cloud assigns. */
 typedef struct {
     char text[48];
 } machine_id;
 
 /**
- * CPUs, GPUs or gigabytes of memory, in thousandths: sums are exact, so that rounding errors never
- * pass a limit.
+ * A number of CPUs, GPUs or gigabytes of memory, as an integer in thousandths. Sums are exact, so
+ * that rounding errors cannot exceed a limit.
  */
 typedef struct {
     int64_t milli;
 } amount;
 
+/** Returns the time `ms` milliseconds after `t`. */
 static inline mono_time time_add_ms(mono_time t, int64_t ms)
 {
     return (mono_time){t.us + ms * 1000};
 }
 
-/** Milliseconds from then to now, rounded towards zero. */
+/** Returns the milliseconds from `then` to `now`, rounded towards zero. */
 static inline int64_t time_ms_since(mono_time now, mono_time then)
 {
     return (now.us - then.us) / 1000;
 }
 
+/** Returns whether `a` is earlier than `b`. */
 static inline bool time_before(mono_time a, mono_time b)
 {
     return a.us < b.us;
@@ -93,8 +97,10 @@
     return strcmp(a.text, b.text) == 0;
 }
 
-/** Parses an id; false: empty, too long, or with a character that is not allowed in keys. */
+/** Copies a job id. Returns false if it is empty, too long, or contains a character that is not
+ * allowed in keys of the key-value store. */
 bool job_id_parse(job_id *out, const char *text);
+/** Copies a machine id, under the conditions of job_id_parse. */
 bool machine_id_parse(machine_id *out, const char *text);
 
 #endif
--- a/src/net/client_connection.c
+++ b/src/net/client_connection.c
@@ -1,4 +1,5 @@
-/** A connection of the HTTP client: it carries one exchange at a time, and is kept alive. */
+/** A connection of the HTTP client. It carries one exchange at a time and is kept alive between
+ * exchanges. */
 #include "address.h"
 #include "http_client_internal.h"
 #include "log.h"
@@ -125,7 +126,7 @@
     const char *body = data + head.head_bytes;
     if (head.is_chunked) {
         if (memcmp(data + connection->input->len - 4, "\r\n\r\n", 4) != 0)
-            return; /* not whole: a long body is not parsed again for each part of it */
+            return; /* incomplete; parsing a long body again after each read would be costly */
         GString *decoded_body = g_string_new(NULL);
         size_t consumed_bytes;
         result = http_parse_chunks(body, connection->input->len - head.head_bytes, max_body_bytes,
@@ -162,7 +163,7 @@
             return;
         }
         connection->is_connecting = false;
-        connection->is_watching_writable = true; /* as client_connection_open asked for it */
+        connection->is_watching_writable = true; /* set by client_connection_open */
         timer_stop(connection->pool->loop, &connection->timer);
         if (!connection->exchange)
             connection_become_idle(connection);
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -1,10 +1,10 @@
-/** HTTP/1.1: a parser, a server and a client with a pool of connections. */
+/** HTTP/1.1: a parser, a server, and a client with a connection pool. */
 #ifndef LL_HTTP_H
 #define LL_HTTP_H
 
 #include "event_loop.h"
 
-/** The statuses that this service sends, and those that it tells apart. */
+/** The status codes that this service sends or handles specially. */
 enum http_status {
     HTTP_STATUS_OK = 200,
     HTTP_STATUS_CREATED = 201,
@@ -22,11 +22,13 @@
     HTTP_STATUS_UNAVAILABLE = 503,
 };
 
-/** The reason phrase of a status; "Status" for one that this service does not send. */
+/** Returns the reason phrase of a status code, or "Status" for a code that this service does not
+ * send. */
 const char *http_status_text(int status);
 
 /* ---- parser ---- */
 
+/** The result of parsing the input that has arrived so far. */
 enum http_parse_result {
     HTTP_PARSE_INCOMPLETE, /**< more input is needed */
     HTTP_PARSE_DONE,
@@ -34,56 +36,57 @@
     HTTP_PARSE_TOO_LARGE,
 };
 
-/** The start line and those header fields that matter here. */
+/** The start line, and the header fields that this service uses. */
 struct http_head {
-    char method[12];        /**< of a request */
-    char target[1024];      /**< of a request: path and query */
-    int status;             /**< of a response */
-    int64_t content_length; /**< in bytes; -1: not given */
+    char method[12];        /**< only of a request */
+    char target[1024];      /**< only of a request: path and query */
+    int status;             /**< only of a response */
+    int64_t content_length; /**< in bytes; -1 if the field is absent */
     bool is_chunked, closes_connection;
     int retry_after_s;
-    size_t head_bytes; /**< up to and with the blank line */
+    size_t head_bytes; /**< includes the blank line */
 };
 
-/** Parses the head of a request or a response. `head` is set once the head is whole. */
+/** Parses the head of a request or a response. `head` is set when the head is complete. */
 enum http_parse_result http_parse_head(const char *data, size_t length, bool is_response,
                                        struct http_head *head);
-/** Parses a chunked body into `out`. `consumed_bytes` is set once the body is whole.
- * @param limit the largest body, in bytes */
+/** Decodes a chunked body into `out`. `consumed_bytes` is set when the body is complete.
+ * @param max_body_bytes the maximum size of the decoded body */
 enum http_parse_result http_parse_chunks(const char *data, size_t length, size_t max_body_bytes,
                                          GString *out, size_t *consumed_bytes);
 
 /* ---- server ---- */
 
-/** Identifies a connection that waits for its response. The connection may have been closed by
- * then; the response is dropped in that case. */
+/** Identifies a server connection that waits for a response. If the connection has been closed
+ * before the response is sent, the response is dropped. */
 typedef struct {
     uint64_t value;
 } connection_ref;
 
-/** A request. Its texts are valid for the call of the handler only. */
+/** A received request. Its strings are valid only during the call of the handler. */
 struct http_request {
     const char *method;
     const char *path;  /**< without the query */
-    const char *query; /**< "" when there is none */
+    const char *query; /**< "" if there is none */
     const char *body;
     size_t body_bytes;
-    const char *forwarded_by; /**< the node that has forwarded it; NULL: it came directly */
+    const char *forwarded_by; /**< label of the node that forwarded it; NULL if none did */
 };
 
-/** Where responses go. The server is one; tests have their own. */
+/** The interface that takes responses. The server implements it, and tests have implementations of
+ * their own. */
 struct http_responder {
-    /** Sends the response to a request, now or later. `header_lines` are whole header lines, or
-     * NULL. */
+    /** Sends the response to a request; it may be called during the handler or later.
+     * `header_lines` are complete header lines with their line ends, or NULL. */
     void (*respond)(struct http_responder *self, connection_ref to, int status,
                     const char *header_lines, const char *body, size_t body_bytes);
 };
 
-/** Handles a request; the response goes to the responder, within the call or later. */
+/** Handles a request. It passes the response to the responder, during the call or later. */
 typedef void (*http_handler)(void *context, struct http_responder *responder, connection_ref from,
                              const struct http_request *request);
 
-/** What a server takes, and for how long it waits. */
+/** Resource limits and timeouts of a server. */
 struct http_server_limits {
     int max_connections;
     size_t max_body_bytes;
@@ -92,21 +95,23 @@
 
 struct http_server;
 
-/** Listens on an address. NULL if that is not possible, with a message that the caller frees. */
+/** Creates a server that listens on an address. On failure it returns NULL and sets `error` to a
+ * message that the caller frees. */
 struct http_server *http_server_new(struct loop *loop, const char *address,
                                     struct http_server_limits limits, http_handler handler,
                                     void *context, char **error);
+/** Closes all connections and frees the server. */
 void http_server_free(struct http_server *server);
 
 /* ---- client ---- */
 
-/** In place of a status. */
+/** Values that http_response.status has instead of an HTTP status code. */
 enum {
-    HTTP_NO_RESPONSE = 0, /**< the request may have been carried out, or may be later */
-    HTTP_NOT_SENT = -1,   /**< the request was surely not carried out */
+    HTTP_NO_RESPONSE = 0, /**< the request may have been executed, or may still be */
+    HTTP_NOT_SENT = -1,   /**< the request was certainly not executed */
 };
 
-/** A response. Its body is valid for the call only. */
+/** The outcome of a request. The body is valid only during the callback. */
 struct http_response {
     int status; /**< or HTTP_NO_RESPONSE, HTTP_NOT_SENT */
     const char *body;
@@ -114,36 +119,40 @@
     int retry_after_s;
 };
 
+/** Receives the outcome of a request. */
 typedef void (*http_response_callback)(void *arg, const struct http_response *response);
 
-/** A request to send; it is copied. */
+/** A request to send. The client copies it. */
 struct http_client_request {
     const char *address, *method, *path;
-    const char *body; /**< NULL: none */
+    const char *body; /**< NULL if the request has no body */
     size_t body_bytes;
     int timeout_ms;
 };
 
-/** The way out of this process. Tests script the other side. */
+/** The interface for outgoing requests. Tests replace it by scripted peers. */
 struct http_client {
-    /** Sends a request. The callback is called once, with HTTP_NOT_SENT also within this call. */
+    /** Sends a request. The callback is called exactly once; with HTTP_NOT_SENT, it may be called
+     * before this function returns. */
     void (*request)(struct http_client *self, const struct http_client_request *request,
                     http_response_callback callback, void *callback_arg);
 };
 
-/** What a client may use, and for how long it waits. */
+/** Resource limits and timeouts of a client. */
 struct http_client_limits {
-    int max_connections;             /**< in all */
-    int max_connections_per_address; /**< at once to one address */
-    int max_queued_requests;         /**< that wait for a connection, in all */
-    size_t max_response_bytes;       /**< of one response */
+    int max_connections;             /**< in total */
+    int max_connections_per_address; /**< to one address at the same time */
+    int max_queued_requests;         /**< waiting for a connection, in total */
+    size_t max_response_bytes;       /**< of the body of one response */
     int connect_timeout_ms, idle_timeout_ms;
 };
 
+/** Creates a client with a pool of connections. */
 struct http_client *http_client_new(struct loop *loop, struct http_client_limits limits);
+/** Frees a client of http_client_new. Outstanding requests are dropped without a callback. */
 void http_client_free(struct http_client *http_client);
-/** Lifts the limit on connections for one address: connections to many machines that do not respond
- * must not block those to the key-value store. */
+/** Exempts one address from the limits on all connections and on all queued requests. Otherwise
+ * connections to many unreachable machines could block those to the key-value store. */
 void http_client_exempt_from_pool_limits(struct http_client *http_client, const char *address);
 
 #endif
--- a/src/net/http_client.c
+++ b/src/net/http_client.c
@@ -1,8 +1,9 @@
-/** The HTTP client: requests wait at their endpoint for a connection, within limits on connections
- * in all and for each address. client_connection.c carries them. */
+/** The HTTP client. Requests are queued by endpoint until a connection is available; the number of
+ * connections is limited in total and for each address. client_connection.c implements the
+ * connections. */
 #include "http_client_internal.h"
 
-/* Endpoints are looked through for unused ones only beyond so many. */
+/* Minimum number of endpoints at which unused ones are removed. */
 enum { MIN_ENDPOINT_SWEEP_THRESHOLD = 2000 };
 
 void http_exchange_finish(struct connection_pool *pool, struct http_exchange *exchange,
@@ -31,8 +32,8 @@
     g_free(endpoint);
 }
 
-/* Machines come and go: endpoints that are not used any more are removed each time the number of
- * all has doubled. */
+/* Removes unused endpoints each time the number of endpoints has doubled, because the machines that
+ * they belong to come and go. */
 static void sweep_unused_endpoints(struct connection_pool *pool)
 {
     if (g_hash_table_size(pool->endpoints) < pool->endpoint_sweep_threshold)
@@ -61,7 +62,8 @@
     return NULL;
 }
 
-/* Closes the connection that has been idle longest, to any address. False: none is idle. */
+/* Closes the connection that has been idle for the longest time, to whichever address. Returns
+ * false if none is idle. */
 static bool close_longest_idle_connection(struct connection_pool *pool)
 {
     if (!pool->idle_connections.head)
@@ -73,8 +75,8 @@
 void http_endpoint_send_queued(struct connection_pool *pool, struct http_endpoint *endpoint)
 {
     while (endpoint->queued_exchanges.head) {
-        /* An idle connection to this endpoint comes first: the one that is closed to
-         * make way for a new one could be that very one. */
+        /* Look for an idle connection to this endpoint first: closing the longest idle connection
+         * to make room for a new one could close exactly that one. */
         struct client_connection *connection = find_idle_connection(endpoint);
         if (!connection &&
             (int)endpoint->connections->len >= pool->limits.max_connections_per_address)
@@ -98,7 +100,7 @@
     }
 }
 
-/* Timer callback: there may be connections for the endpoints that could open none. */
+/* Timer callback: retries the endpoints that could not open a connection. */
 static void serve_starved_endpoints(void *arg)
 {
     struct connection_pool *pool = arg;
--- a/src/net/http_parser.c
+++ b/src/net/http_parser.c
@@ -1,12 +1,12 @@
-/** The parser of HTTP/1.1 heads and chunked bodies. It takes what this service's peers send, and
- * refuses what two parsers could read differently. */
+/** A parser of HTTP/1.1 heads and chunked bodies. It accepts what the peers of this service send,
+ * and rejects input that two parsers could interpret differently. */
 #include "http.h"
 
 #include <stdlib.h>
 
 enum {
     MAX_HEAD_BYTES = 8192,
-    MAX_CHUNK_LINE_BYTES = 64, /* of a chunk's size and extensions */
+    MAX_CHUNK_LINE_BYTES = 64, /* the line with the size and extensions of a chunk */
     MAX_CHUNK_SIZE_DIGITS = 12,
     MAX_RETRY_AFTER_S = 86400,
 };
@@ -85,7 +85,7 @@
     return false;
 }
 
-/* Whether a field name is a non-empty token. */
+/* Returns whether the input is non-empty and has only printable ASCII characters except spaces. */
 static bool is_token(const char *text, const char *end)
 {
     if (text == end)
@@ -96,13 +96,14 @@
     return true;
 }
 
-/* Takes the value of a field; false: malformed. Unknown fields are skipped. */
+/* Stores the value of a header field in `head`; unknown fields are ignored. Returns false if the
+ * value is malformed. */
 static bool apply_header_field(struct http_head *head, const char *name, const char *name_end,
                                const char *value, const char *end)
 {
     int64_t number;
     if (equals_ignore_case(name, name_end, "content-length")) {
-        /* Two lengths that differ are how requests get smuggled past one another. */
+        /* Conflicting lengths are rejected because they allow request smuggling. */
         if (!parse_decimal(value, end, &number) ||
             (head->content_length >= 0 && head->content_length != number))
             return false;
@@ -141,7 +142,7 @@
 {
     const char *head_end = g_strstr_len(data, MIN(length, (size_t)MAX_HEAD_BYTES), "\r\n\r\n");
     if (!head_end) {
-        /* A peer that does not speak HTTP is refused before it has sent 8 KiB. */
+        /* Rejects a peer that does not speak HTTP before it has sent MAX_HEAD_BYTES (8 KiB). */
         if (length > 0 && !g_ascii_isupper(data[0]))
             return HTTP_PARSE_MALFORMED;
         return length >= MAX_HEAD_BYTES ? HTTP_PARSE_TOO_LARGE : HTTP_PARSE_INCOMPLETE;
@@ -190,7 +191,7 @@
         g_string_append_len(out, data + offset, size);
         offset += size + 2;
     }
-    /* Trailing fields, if any, end with a blank line. */
+    /* Skip the trailer fields, if any; a blank line ends them. */
     for (;;) {
         const char *line_end = g_strstr_len(data + offset, length - offset, "\r\n");
         if (!line_end)
--- a/src/net/http_server.c
+++ b/src/net/http_server.c
@@ -1,4 +1,4 @@
-/** The HTTP server: connections are kept alive, with one request at a time each. */
+/** The HTTP server. Connections are kept alive, and each handles one request at a time. */
 #define _GNU_SOURCE /* accept4 */
 #include "address.h"
 #include "http.h"
@@ -13,18 +13,24 @@
 #include <unistd.h>
 
 enum {
-    /* Read at once, and kept of what comes before the response is sent. */
+    /* Size of one read, and limit for input that arrives before the response is sent. */
     READ_BYTES = 16384,
-    /* Other events get their turn after so many new connections. */
+    /* Keeps many new connections from starving other events. */
     MAX_ACCEPTS_PER_WAKEUP = 16,
 };
 
-/* READING: a request, or idle; HANDLING: the handler owes the response; WRITING: the response is
- * being sent. The states follow one another in this order, and READING again. */
-enum connection_state { CONNECTION_READING, CONNECTION_HANDLING, CONNECTION_WRITING };
+/* A connection goes through the states in this order, for each request again. */
+enum connection_state {
+    /* Reading a request, or idle. */
+    CONNECTION_READING,
+    /* Waiting for the response from the handler. */
+    CONNECTION_HANDLING,
+    /* Sending the response. */
+    CONNECTION_WRITING
+};
 
 struct server_connection {
-    struct loop_io io; /* first, so that its callback finds the connection */
+    struct loop_io io; /* must be first: its callback casts it to the connection */
     struct http_server *server;
     connection_ref ref;
     enum connection_state state;
@@ -32,7 +38,7 @@
     GString *output;
     size_t output_sent_bytes;
     bool closes_after_response, is_watching_writable;
-    struct timer timer;
+    struct timer timer; /* limits the time of being idle, reading a request, and writing */
     struct idle_entry idle_entry;
 };
 
@@ -42,7 +48,7 @@
     struct loop_io io;
     struct http_server_limits limits;
     http_handler handler;
-    void *context;           /* of the handler */
+    void *context;           /* argument of the handler */
     GHashTable *connections; /* ref -> struct server_connection */
     GQueue idle_connections;
     uint64_t next_ref;
@@ -63,7 +69,7 @@
     loop_defer_free(server->loop, connection);
 }
 
-/* Reads a new request, or the rest of one. */
+/* Waits for a new request, or for the rest of one that has been received in part. */
 static void connection_await_request(struct server_connection *connection)
 {
     connection->state = CONNECTION_READING;
@@ -132,12 +138,12 @@
     connection_respond(connection, status, NULL, "{}", 2);
 }
 
-/* The body of a request; `text` points into the input or into `decoded`. */
+/* The body of a request. `data` points into the input of the connection or into `decoded`. */
 struct request_body {
-    GString *decoded; /* of a chunked body; owned, NULL: none */
+    GString *decoded; /* the decoded body if it was chunked, otherwise NULL; owned */
     const char *data;
     size_t length_bytes;
-    size_t consumed_bytes; /* of the input, behind the head */
+    size_t consumed_bytes; /* size of the encoded body in the input */
 };
 
 static enum http_parse_result read_chunked_body(const struct server_connection *connection,
@@ -150,7 +156,7 @@
     enum http_parse_result result = http_parse_chunks(body->data, received_bytes, max_bytes,
                                                       body->decoded, &body->consumed_bytes);
     if (result != HTTP_PARSE_DONE) {
-        /* Chunk sizes and extensions may take as many bytes as the body itself. */
+        /* Chunk sizes and extensions may take up to as many bytes as the body itself. */
         bool is_too_large = received_bytes > max_bytes * 2;
         return is_too_large ? HTTP_PARSE_TOO_LARGE : result;
     }
@@ -176,7 +182,7 @@
     return HTTP_PARSE_DONE;
 }
 
-/* Removes a whole request from the input and gives it to the handler. */
+/* Removes a complete request from the input and passes it to the handler. */
 static void connection_handle_request(struct server_connection *connection, struct http_head *head,
                                       const struct request_body *body)
 {
@@ -198,7 +204,7 @@
     server->handler(server->context, &server->responder, connection->ref, &request);
 }
 
-/* Handles the request at the front of the input, once it is whole. */
+/* Handles the request at the start of the input if it is complete or malformed. */
 static void connection_parse_request(struct server_connection *connection)
 {
     struct http_head head;
@@ -245,7 +251,8 @@
         connection_close(connection);
         return;
     }
-    /* Pipelining is not supported: a peer that sends more before the response is cut off. */
+    /* Pipelining is not supported: a connection is closed if its peer sends more than READ_BYTES
+     * before the response. */
     if (connection->state != CONNECTION_READING &&
         connection->input->len + received_bytes > READ_BYTES) {
         connection_close(connection);
@@ -288,7 +295,8 @@
     for (int i = 0; i < MAX_ACCEPTS_PER_WAKEUP; i++) {
         int fd = accept4(io->fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
         if (fd < 0) {
-            /* No file descriptor is left: close the connection that has been idle longest. */
+            /* No file descriptor is left: close the connection that has been idle for the longest
+             * time. */
             if ((errno == EMFILE || errno == ENFILE) && server->idle_connections.head)
                 connection_close(server->idle_connections.head->data);
             return;
--- a/src/net/node_rpc.c
+++ b/src/net/node_rpc.c
@@ -1,3 +1,4 @@
+/** RPC between nodes: see node_rpc.h. */
 #include "node_rpc.h"
 
 #include "log.h"
@@ -5,7 +6,7 @@
 #include <errno.h>
 #include <stdlib.h>
 
-/* Words of the messages that all nodes have in common. */
+/* Request paths and field names that all messages have in common. */
 static const char PATH_PREFIX[] = "/bus/";
 static const char FORWARD_PATH[] = "/bus/relay";
 static const char FIELD_SENDER[] = "from";
@@ -28,7 +29,7 @@
     void *forward_context;
 };
 
-/* A call to the own node, which waits in the mailbox. */
+/* A call to the local node, queued as a message to the actor. */
 struct local_call {
     char *kind;
     cJSON *message;
@@ -36,7 +37,7 @@
     void *callback_arg;
 };
 
-/* A call to another node that has had no response yet. */
+/* A call to another node for which no response has been received yet. */
 struct remote_call {
     node_rpc_callback callback;
     void *callback_arg;
@@ -95,7 +96,7 @@
     g_hash_table_replace(rpc->handlers, g_strdup(kind), registered);
 }
 
-/* The address of another node; NULL: the settings name none of that label. */
+/* Returns the address of another node, or NULL if the settings contain no node with that label. */
 static const char *find_address(const struct node_rpc *rpc, const char *label)
 {
     for (guint i = 0; i < rpc->settings->siblings->len; i++) {
@@ -119,7 +120,7 @@
     g_free(call);
 }
 
-/* Sends a message, which it does not take, to an address. */
+/* Sends a message to an address. The caller keeps ownership of the message. */
 static void post_message(struct node_rpc *rpc, const char *address, const char *path,
                          const cJSON *message, int timeout_ms, http_response_callback callback,
                          void *callback_arg)
@@ -182,7 +183,7 @@
     cJSON_Delete(message);
 }
 
-/* ---- other nodes' calls ---- */
+/* ---- calls from other nodes ---- */
 
 void node_rpc_set_forward_handler(struct node_rpc *rpc, http_handler handler, void *context)
 {
--- a/src/wire/agent_codec.c
+++ b/src/wire/agent_codec.c
@@ -1,9 +1,9 @@
-/** Codec of the messages of agents: see agent_codec.h. */
+/** Codec of the agent protocol: see agent_codec.h. */
 #include "agent_codec.h"
 #include "job_codec.h"
 #include "protocol_words.h"
 
-/* In the order of the enumerations. */
+/* Names in the protocol, indexed by the enumerations. */
 static const char *const state_names[] = {"fetching", "gathering", "running", "flushing", "exited"};
 static const char *const exit_cause_names[] = {"done",  "halted",  "peers", "incomplete",
                                                "error", "no_room", "busy",  "no_such"};
@@ -34,7 +34,7 @@
     return true;
 }
 
-/** The machine, and where the agent stands. */
+/** Decodes the fields that describe the machine and the state of its agent. */
 static bool decode_machine(json_object *object, struct heartbeat *heartbeat)
 {
     char machine_name[sizeof heartbeat->machine.text];
--- a/src/wire/agent_codec.h
+++ b/src/wire/agent_codec.h
@@ -1,9 +1,10 @@
-/** Codec of the messages of the agents on machines: heartbeats and commands. */
+/** Codec of the protocol of the agents, which run on the machines: heartbeats and commands. */
 #ifndef LL_AGENT_CODEC_H
 #define LL_AGENT_CODEC_H
 
 #include "json_fields.h"
 
+/** The state of a task on its machine. */
 enum task_state { TASK_FETCHING, TASK_WAITING_FOR_GANG, TASK_RUNNING, TASK_SAVING, TASK_EXITED };
 
 /** Why a task has exited. */
@@ -16,7 +17,7 @@
     CAUSE_INSUFFICIENT_RESOURCES,
     CAUSE_BUSY,
     CAUSE_NO_SUCH_TASK,
-    /** A word that is not known, or none. */
+    /** The heartbeat has an unknown cause, or none. */
     CAUSE_UNKNOWN
 };
 
@@ -26,38 +27,40 @@
     uint32_t task_index;
     attempt_no attempt;
     enum task_state state;
-    /** Of an exited task. */
+    /** CAUSE_UNKNOWN unless the task has exited. */
     enum exit_cause cause;
     bool has_saved_state;
 };
 
-/** An agent's report of its machine, its epoch and its tasks. */
+/** The periodic report of an agent about its machine, its own state and its tasks. */
 struct heartbeat {
     machine_id machine;
     char address[24], machine_type_name[48], zone[48];
     bool is_spot;
-    /** Counts starts of the agent. */
+    /** Number of starts of the agent. */
     uint64_t agent_epoch;
-    /** Counts heartbeats within the agent's epoch. */
+    /** Sequence number of the heartbeat within the agent epoch. */
     uint64_t sequence;
-    /** The highest that the agent has seen. */
+    /** The highest fencing token that the agent has received. */
     uint64_t fencing_token;
-    /** Seconds until the cloud reclaims the machine; negative: no notice. */
+    /** Seconds until the cloud reclaims the machine; negative without a reclaim notice. */
     double reclaim_notice_s;
     /** Array of struct heartbeat_task. */
     GArray *tasks;
 };
 
-/** Frees what it holds. */
+/** Frees the contents of a heartbeat. */
 void heartbeat_clear(struct heartbeat *heartbeat);
-/** Decodes a heartbeat; false: malformed, and there is nothing to clear. */
+/** Decodes a heartbeat. Returns false if it is malformed; then it needs no heartbeat_clear. */
 bool heartbeat_decode(json_object *object, struct heartbeat *heartbeat);
 
+/** What a command tells an agent to do. */
 enum agent_command_verb {
+    /** Start a task. */
     COMMAND_RUN,
-    /** Stop, with a grace period in which the task may save its state. */
+    /** Stop a task, with a grace period in which it may save its state. */
     COMMAND_STOP,
-    /** Forget a task that has exited. */
+    /** Delete the record of a task that has exited. */
     COMMAND_CLEAR,
 };
 
@@ -67,17 +70,18 @@
     job_id job;
     uint32_t task_index;
     attempt_no attempt;
-    /** Of COMMAND_STOP. */
+    /** Only used by COMMAND_STOP. */
     double grace_period_s;
 };
 
 /**
- * Encodes commands, a new text. agent_epoch 0: they are the response to a heartbeat, which carries
- * no epoch.
+ * Encodes commands into a new string. An agent_epoch of 0 leaves the agent epoch out, as in the
+ * response to a heartbeat.
  */
 char *agent_commands_encode(epoch_no fencing_token, uint64_t agent_epoch,
                             const struct agent_command *commands, guint command_count);
-/** Sends an agent to the node that owns its machine; NULL: the owner is not known. A new text. */
+/** Encodes into a new string the response that redirects an agent to the node that owns its
+ * machine. `owner_label` is NULL if the owner is unknown. */
 char *agent_redirect_encode(const char *owner_label);
 
 #endif
--- a/src/wire/cloud_codec.c
+++ b/src/wire/cloud_codec.c
@@ -1,8 +1,8 @@
-/** Codec of the cloud's messages: see cloud_codec.h. */
+/** Codec of the cloud protocol: see cloud_codec.h. */
 #include "cloud_codec.h"
 #include "protocol_words.h"
 
-/** In the order of enum cloud_machine_stage. */
+/** Names in the protocol, indexed by enum cloud_machine_stage. */
 static const char *const stage_names[] = {"booting", "running", "failed"};
 
 static void clear_machine_type(gpointer machine_type)
--- a/src/wire/codec.h
+++ b/src/wire/codec.h
@@ -1,4 +1,4 @@
-/** The codecs of all protocols with the outside: users, agents and the cloud. */
+/** Includes the codecs of all external protocols: users, agents and the cloud. */
 #ifndef LL_CODEC_H
 #define LL_CODEC_H
 
--- a/src/wire/image_cache.c
+++ b/src/wire/image_cache.c
@@ -1,4 +1,4 @@
-/** Cached images of a machine: see image_cache.h. */
+/** The images in the cache of a machine: see image_cache.h. */
 #include "image_cache.h"
 
 static void release_image(gpointer image)
--- a/src/wire/image_cache.h
+++ b/src/wire/image_cache.h
@@ -1,6 +1,6 @@
 /**
- * The names of the images that a machine has fetched. They are interned and so compared by address,
- * as they are looked up for every machine that a task might be placed on.
+ * The names of the images in the cache of a machine. The names are interned, so that they are
+ * compared by address, because placing a task looks its image up on every candidate machine.
  */
 #ifndef LL_IMAGE_CACHE_H
 #define LL_IMAGE_CACHE_H
@@ -8,11 +8,11 @@
 #include <glib.h>
 #include <stdbool.h>
 
-/** An empty list; free it with g_ptr_array_unref. */
+/** Creates an empty list, to be freed by g_ptr_array_unref. */
 GPtrArray *image_cache_new(void);
-/** Whether an interned name is in the list. */
+/** Returns whether the list contains an interned name. */
 bool image_cache_contains(const GPtrArray *images, const char *image);
-/** Appends a name, which need not be interned, unless it is in the list. */
+/** Appends a name unless the list already contains it. The name need not be interned. */
 void image_cache_add(GPtrArray *images, const char *name);
 
 #endif
--- a/src/wire/job_codec.c
+++ b/src/wire/job_codec.c
@@ -1,4 +1,4 @@
-/** Codec of the messages of users: see job_codec.h. */
+/** Codec of the user protocol: see job_codec.h. */
 #include "job_codec.h"
 #include "protocol_words.h"
 
@@ -14,7 +14,7 @@
 
 static const double MAX_NUMBER = 1e9;
 
-/** In the order of enum job_form and of enum job_priority. */
+/** Names in the protocol, indexed by enum job_form and by enum job_priority. */
 static const char *const form_names[] = {"sweep", "gang", "daemon"};
 static const char *const priority_names[] = {"prod", "high", "normal", "best_effort"};
 
@@ -44,7 +44,8 @@
     return true;
 }
 
-/** Interns the name: images are looked up for every machine that might be chosen. */
+/** Decodes and interns an image name: placing a task looks its image up on every candidate machine.
+ */
 static bool decode_image(json_object *object, char **out)
 {
     char *name = NULL;
@@ -92,7 +93,8 @@
     return json_get_string(object, FIELD_ID, &text) && decode_user_job_id(out, text);
 }
 
-/** Who submits what, and how many tasks. */
+/** Decodes the fields that identify the job, its team and its image, and its form, priority and
+ * size. */
 static bool decode_identity(json_object *object, struct job_spec *spec)
 {
     int form = 0, priority = 0;
@@ -111,7 +113,7 @@
     return ok;
 }
 
-/** What each task takes, and where it may run. */
+/** Decodes the resources that each task needs, and the placement constraints. */
 static bool decode_requirements(json_object *object, struct job_spec *spec)
 {
     return json_get_amount(object, FIELD_CPUS, &spec->cpus) &&
--- a/src/wire/job_codec.h
+++ b/src/wire/job_codec.h
@@ -1,23 +1,23 @@
-/** Codec of the messages of users: submissions and the status of jobs. */
+/** Codec of the protocol of users: job submissions and job status. */
 #ifndef LL_JOB_CODEC_H
 #define LL_JOB_CODEC_H
 
 #include "json_fields.h"
 
-/** How a job's tasks belong together. */
+/** How the tasks of a job relate to each other. */
 enum job_form {
-    /** Tasks run independently. */
+    /** The tasks run independently. */
     FORM_ARRAY,
-    /** Tasks run at the same time or not at all. */
+    /** The tasks run all at the same time or not at all. */
     FORM_GANG,
-    /** Tasks are replicas that run until the job is cancelled. */
+    /** The tasks are replicas that run until the job is cancelled. */
     FORM_SERVICE,
 };
 
-/** The highest first. */
+/** Job priorities, highest first. */
 enum job_priority { PRIORITY_PROD, PRIORITY_HIGH, PRIORITY_NORMAL, PRIORITY_BEST_EFFORT };
 
-/** What was submitted. */
+/** The specification of a job, as submitted. */
 struct job_spec {
     job_id id;
     char *job_class, *team_name;
@@ -26,57 +26,61 @@
     enum job_form form;
     enum job_priority priority;
     uint32_t task_count;
-    /** What each task takes. */
+    /** Resources of each task. */
     amount cpus, gpus, memory;
     double image_gb;
-    /** Machine types that its tasks may use, NULL-terminated; NULL: any. */
+    /** Names of the machine types that the tasks may use, NULL-terminated; NULL if any type will
+     * do. */
     char **machine_type_names;
-    /** The zone its tasks may use; NULL: any. */
+    /** The zone that the tasks must use; NULL if any zone will do. */
     char *zone;
-    /** All tasks must be in one zone; in as many zones as there are. */
+    /** Whether all tasks must be in one zone; whether they must be spread over as many
+     * zones as there are. */
     bool needs_single_zone, needs_separate_zones;
     bool may_use_spot;
     double expected_run_s;
-    /** How often a task saves a checkpoint, and how long that takes. */
+    /** Time between checkpoints of a task, and the time that saving one takes. */
     double checkpoint_interval_s, checkpoint_save_s;
-    /** From its submission; negative: none. */
+    /** Seconds from submission to the deadline; negative if there is none. */
     double deadline_s;
-    /** Jobs that must be done before. */
+    /** Jobs that must be done before this job may start. */
     job_id *dependencies;
     guint dependency_count;
 };
 
-/** Frees what it holds, and leaves it empty. */
+/** Frees the contents of a specification and resets it to zero. */
 void job_spec_clear(struct job_spec *spec);
-/** The protocol's word for a priority. */
+/** Returns the name of a priority in the protocol. */
 const char *job_priority_name(enum job_priority priority);
 
-/** Decodes the id of a submission, whatever else is wrong with it. */
+/** Decodes the job id of a submission whose other fields may be malformed. */
 bool job_spec_decode_id(json_object *object, job_id *out);
-/** Decodes a submission without its dependencies. False: malformed, and the spec is empty. */
+/** Decodes a submission except its dependencies. If it is malformed, returns false and leaves the
+ * specification empty. */
 bool job_spec_decode(json_object *object, struct job_spec *spec);
 /**
- * Decodes the dependencies into a spec, each job once. False: malformed, too many, or the job
- * itself is among them.
+ * Decodes the dependencies of a submission into its specification, without duplicates. Returns
+ * false if they are malformed or too many, or if the job depends on itself.
  */
 bool job_spec_decode_dependencies(json_object *object, struct job_spec *spec);
-/** Encodes a spec in the form of a submission; the caller owns the object. */
+/** Encodes a specification in the format of a submission. The caller owns the object. */
 json_object *job_spec_encode(const struct job_spec *spec);
-/** Whether a submission, which may be malformed, names dependencies at all. */
+/** Returns whether a submission has a dependencies field, which may be malformed. */
 bool job_spec_has_dependencies_field(json_object *object);
 /**
- * Replaces the dependencies in an encoded specification. Takes ownership of the array of job ids;
- * an empty one leaves the field out.
+ * Replaces the dependencies in an encoded specification, and takes ownership of the array of job
+ * ids. An empty array removes the field.
  */
 void job_spec_put_dependencies(json_object *object, json_object *job_ids);
 
-/** Where a job stands, as its user sees it. */
+/** The stage of a job, as reported to its user. */
 enum job_stage { JOB_STAGE_QUEUED, JOB_STAGE_RUNNING, JOB_STAGE_DONE, JOB_STAGE_CANCELLED };
 
-/** Encodes the answer to a user, a new text. completed < 0: without numbers of tasks. */
+/** Encodes the status of a job into a new string. If `completed` is negative, the numbers of
+ * completed and running tasks are left out. */
 char *job_status_encode(job_id id, enum job_stage stage, long completed, long running);
 
-/** Reads JOB/INDEX. */
+/** Parses a task name of the form JOB/INDEX. */
 bool task_name_parse(const char *text, job_id *job, uint32_t *index);
 
 #endif
--- a/src/wire/placement_score.c
+++ b/src/wire/placement_score.c
@@ -1,4 +1,4 @@
-/** Ranking of machines: see placement_score.h. The weights were found by trials; docs/design.md. */
+/** Ranking of machines: see placement_score.h. docs/design.md describes the weights. */
 #include "placement_score.h"
 
 enum {
@@ -12,8 +12,9 @@
 };
 
 /**
- * Services stay for long: they are packed together, so that the other machines can be drained and
- * returned. Those that may be in any zone leave small zones to those that need separate zones.
+ * Scores a machine for a service. Services run for a long time, so they are packed onto the same
+ * machines; the other machines can then be drained and returned. Services that may run in any zone
+ * prefer large zones, to leave small zones to services that need separate zones.
  */
 static double service_score(const struct placement_facts *facts)
 {
@@ -26,10 +27,10 @@
 {
     if (spec->form == FORM_SERVICE)
         return service_score(facts);
-    /* Urgent tasks should not wait for an image; for the others, fetching it costs less than an
-     * ordinary machine. */
+    /* Urgent tasks should not wait for an image. For other tasks, fetching the image costs less
+     * than using an on-demand machine. */
     double image_weight = spec->priority <= PRIORITY_HIGH ? URGENT_IMAGE_WEIGHT : IMAGE_WEIGHT;
-    /* An ordinary machine without services was rented for a backlog, and should be drained. */
+    /* An on-demand machine without services was rented for a backlog and should be drained. */
     bool should_drain = !facts->is_spot && facts->service_share <= 0;
     double penalty = should_drain ? ON_DEMAND_PENALTY : 0;
     return image_weight * facts->has_image + SPOT_WEIGHT * facts->is_spot + facts->service_share +
--- a/src/wire/placement_score.h
+++ b/src/wire/placement_score.h
@@ -1,27 +1,28 @@
 /**
- * The ranking of machines on which a task fits. The leader uses it to dispatch a task to the shard
- * where it expects it to be placed, and the shard to place it, so both prefer the same machine.
+ * The ranking of the machines on which a task fits. The leader uses it to choose the shard to which
+ * it dispatches a task, and the shard uses it to place the task, so that both prefer the same
+ * machine.
  */
 #ifndef LL_PLACEMENT_SCORE_H
 #define LL_PLACEMENT_SCORE_H
 
 #include "job_codec.h"
 
-/** What counts of a machine; shares are between 0 and 1. */
+/** The attributes of a machine that determine its score. Shares are between 0 and 1. */
 struct placement_facts {
-    /** It has fetched the task's image. */
+    /** Whether the machine has fetched the image of the task. */
     bool has_image;
     bool is_spot;
-    /** Share of its resources that is allocated. */
+    /** Share of the resources of the machine that is allocated. */
     double allocated_share;
-    /** Share of its resources that services hold. */
+    /** Share of the resources of the machine that is allocated to services. */
     double service_share;
-    /** Resources of the ordinary machines of its zone, as a share of the largest zone's; 1:
+    /** Resources of the on-demand machines in its zone, relative to those in the largest zone; 1 if
      * unknown. */
     double relative_zone_size;
 };
 
-/** The higher, the better. */
+/** Returns the score of a machine for a task of a job. A higher score is better. */
 double placement_score(const struct job_spec *spec, const struct placement_facts *facts);
 
 #endif
--- a/src/wire/protocol_words.h
+++ b/src/wire/protocol_words.h
@@ -1,22 +1,23 @@
 /**
- * The words of the protocols of users, agents and the cloud; for the codecs in src/wire only. The
- * rest of the code uses the field's terms (docs/architecture.md).
+ * Field names and values in the protocols of users, agents and the cloud. Only the codecs in
+ * src/wire include this file; all other code uses the terms of the field (see
+ * docs/architecture.md).
  */
 #ifndef LL_PROTOCOL_WORDS_H
 #define LL_PROTOCOL_WORDS_H
 
-/* ---- of several protocols ---- */
+/* ---- several protocols ---- */
 
 #define FIELD_ID "Id"
 #define FIELD_STAGE "Stage"
 #define FIELD_ADDRESS "Address"
-/** A machine type's name. */
+/** The name of a machine type. */
 #define FIELD_MACHINE_TYPE "Build"
-/** Names of machine types in a job, the types themselves in the cloud's list. */
+/** In a job, the names of machine types; in the list of the cloud, the machine types themselves. */
 #define FIELD_MACHINE_TYPES "Builds"
 #define FIELD_ZONE "Yard"
 #define FIELD_ZONES "Yards"
-/** Whether a machine is a spot machine, and whether a job may use these. */
+/** Whether a machine is a spot machine, or whether a job may use spot machines. */
 #define FIELD_SPOT "Loaners"
 #define FIELD_CPUS "Vcpus"
 #define FIELD_GPUS "Cards"
@@ -41,7 +42,7 @@
 #define FIELD_DEPENDENCIES "Awaits"
 #define FIELD_DONE_COUNT "done"
 #define FIELD_RUNNING_COUNT "running"
-/** What every job id begins with. */
+/** The prefix of every job id. */
 #define JOB_ID_PREFIX "wk-"
 
 /* ---- agents ---- */
@@ -52,7 +53,7 @@
 #define FIELD_FENCING_TOKEN "Helm"
 #define FIELD_RECLAIM_NOTICE_S "RecallS"
 #define FIELD_TASKS "Pieces"
-/** JOB/INDEX. */
+/** A task name, JOB/INDEX. */
 #define FIELD_TASK "Piece"
 #define FIELD_ATTEMPT "Try"
 #define FIELD_EXIT_CAUSE "Cause"
@@ -75,9 +76,9 @@
 #define FIELD_REQUEST_ID "Charter"
 #define FIELD_MACHINE_COUNT "Number"
 #define FIELD_ERROR "error"
-/** The error when no machine of the type is left in the zone. */
+/** The value of FIELD_ERROR when no machine of the requested type is left in the zone. */
 #define ERROR_NO_CAPACITY "no capacity"
-/** In the query of the list of machines. */
+/** Query parameters of the list of machines. */
 #define QUERY_AFTER_ID "From"
 #define QUERY_PAGE_LENGTH "Page"
 
--- a/src/wire/resources.c
+++ b/src/wire/resources.c
@@ -1,8 +1,8 @@
-/** Resources: see resources.h. */
+/** Arithmetic on resources, and choice of machine types: see resources.h. */
 #include "resources.h"
 
 enum { MAX_FIT_COUNT = 1000000 };
-/** The share of a resource that there is none of. */
+/** The share that is reported for a request of a resource whose total is zero. */
 static const double UNAVAILABLE_SHARE = 1e9;
 
 static double share_of_total(int64_t requested, int64_t total)
@@ -68,7 +68,7 @@
            g_strv_contains((const char *const *)spec->machine_type_names, type_name);
 }
 
-/** Whether a job may use machines of a type at all, in some zone. */
+/** Returns whether the constraints of a job allow machines of a type in any zone. */
 static bool job_spec_allows_type(const struct job_spec *spec, const struct machine_type *type)
 {
     const char *const *names = (const char *const *)spec->machine_type_names;
--- a/src/wire/resources.h
+++ b/src/wire/resources.h
@@ -1,6 +1,6 @@
 /**
- * Resources of machines and tasks: arithmetic, fit, and which machine types a job may use. Amounts
- * are exact, in thousandths.
+ * Resources of machines and tasks: arithmetic, whether requests fit, and which machine types a job
+ * may use. Amounts are exact, in thousandths.
  */
 #ifndef LL_RESOURCES_H
 #define LL_RESOURCES_H
@@ -8,16 +8,18 @@
 #include "cloud_codec.h"
 #include "job_codec.h"
 
-/** Resources that a task requests or a machine has. */
+/** The resources that a task requests or that a machine has. */
 struct resources {
     amount cpus, gpus, memory;
 };
 
+/** Returns the resources that each task of a job requests. */
 static inline struct resources resources_of_job_spec(const struct job_spec *spec)
 {
     return (struct resources){spec->cpus, spec->gpus, spec->memory};
 }
 
+/** Returns the resources of a machine of a type. */
 static inline struct resources resources_of_machine_type(const struct machine_type *type)
 {
     return (struct resources){type->cpus, type->gpus, type->memory};
@@ -37,35 +39,36 @@
     remaining->memory.milli -= subtracted.memory.milli;
 }
 
-/** What is left of a total. */
+/** Returns what is left of a total after `used` is subtracted. */
 static inline struct resources resources_remaining(struct resources total, struct resources used)
 {
     resources_subtract(&total, used);
     return total;
 }
 
-/** Number of CPUs, fractions included. */
+/** Returns the number of CPUs, including fractions. */
 static inline double resources_cpus(struct resources resources)
 {
     return (double)resources.cpus.milli / 1000;
 }
 
-/** Whether a request fits into what is free. */
+/** Returns whether a request fits into the free resources. */
 static inline bool resources_fit(struct resources free, struct resources requested)
 {
     return requested.cpus.milli <= free.cpus.milli && requested.gpus.milli <= free.gpus.milli &&
            requested.memory.milli <= free.memory.milli;
 }
 
-/** The largest share of the total that is requested of any one resource; over 1: it does not fit.
- */
+/** Returns the dominant share of a request: the largest share that it takes of the total of any one
+ * resource. A share greater than 1 means that the request does not fit. */
 double resources_dominant_share(struct resources requested, struct resources total);
-/** How many times a request fits into what is free, at most 1,000,000. */
+/** Returns how many times a request fits into the free resources, at most 1,000,000. */
 int64_t resources_fit_count(struct resources free, struct resources requested);
 
 /**
- * A request for which no machine was found, in one zone or ("") in any. As long as free resources
- * only shrink, no machine is found for any larger request either, so these need not be tried.
+ * A request for which no machine was found, in one zone or, if `zone` is empty, in any zone. As
+ * long as free resources only decrease, larger requests cannot be placed either and need not be
+ * tried.
  */
 struct unschedulable_request {
     struct resources resources;
@@ -73,6 +76,7 @@
     char zone[48];
 };
 
+/** Describes the request of each task of a job, in one zone or, if `zone` is empty, in any zone. */
 static inline struct unschedulable_request
 unschedulable_request_of_job_spec(const struct job_spec *spec, const char *zone)
 {
@@ -81,18 +85,20 @@
     return request;
 }
 
-/** Whether a request is at least as large as one in an array of struct unschedulable. */
+/** Returns whether a request is at least as demanding as one in an array of struct
+ * unschedulable_request. */
 bool unschedulable_list_covers(const GArray *unschedulable_list,
                                const struct unschedulable_request *request);
 
-/** The machine type of that name in an array, which may be NULL; NULL: there is none. */
+/** Returns the machine type with a name, or NULL if the array does not contain it or is NULL. */
 const struct machine_type *machine_type_find(const GArray *types, const char *name);
-/** Whether a job's constraints allow a machine of a type, in a zone, spot or ordinary. */
+/** Returns whether the constraints of a job allow a spot or on-demand machine of a type in a zone.
+ */
 bool job_spec_allows_machine(const struct job_spec *spec, const char *type_name, const char *zone,
                              bool is_spot);
 /**
- * The smallest machine type that the job may use: the one of which a task requests the largest
- * share. NULL: a task fits on none.
+ * Returns the smallest machine type on which a task of the job fits and which the job may use: the
+ * one of which a task has the largest dominant share. Returns NULL if there is none.
  */
 const struct machine_type *machine_type_smallest_fit(const GArray *types,
                                                      const struct job_spec *spec);
