--- a/src/base/delay_histogram.h
+++ b/src/base/delay_histogram.h
@@ -5,10 +5,12 @@
 
 #include <glib.h>
 
+/** Counts of delays in bins. */
 struct delay_histogram;
 
 /** Creates an empty histogram. */
 struct delay_histogram *delay_histogram_new(void);
+/** Frees a histogram. */
 void delay_histogram_free(struct delay_histogram *histogram);
 /** Adds a delay. A delay beyond the last bin is counted in the last bin, so quantiles report
  * the upper edge of that bin. */
--- a/src/base/event_loop.h
+++ b/src/base/event_loop.h
@@ -10,6 +10,7 @@
 
 #include "types.h"
 
+/** An event loop with its clock, timers and queued messages. */
 struct loop;
 
 /** A message to an actor. */
--- a/src/base/json_fields.h
+++ b/src/base/json_fields.h
@@ -43,9 +43,14 @@
 bool json_get_amount(json_object *object, const char *field, amount *out);
 
 /* The functions below add a field or replace its value. */
+
+/** Writes a string. */
 void json_put_string(json_object *object, const char *field, const char *value);
+/** Writes a non-negative integer. */
 void json_put_u64(json_object *object, const char *field, uint64_t value);
+/** Writes a floating-point number. */
 void json_put_number(json_object *object, const char *field, double value);
+/** Writes a boolean. */
 void json_put_bool(json_object *object, const char *field, bool value);
 /** Writes an amount in whole units (CPUs, gigabytes), as json_get_amount reads it. */
 void json_put_amount(json_object *object, const char *field, amount value);
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -17,9 +17,11 @@
 void log_event(GLogLevelFlags level, const char *event, const char *format, ...)
     G_GNUC_PRINTF(3, 4);
 
+/** Logs an event at level "error". */
 #define LOG_ERROR(event, ...) log_event(G_LOG_LEVEL_WARNING, event, __VA_ARGS__)
+/** Logs an event at level "info". */
 #define LOG_INFO(event, ...) log_event(G_LOG_LEVEL_MESSAGE, event, __VA_ARGS__)
-/** Evaluates its arguments only if debug events are logged. */
+/** Logs an event at level "debug". The arguments are evaluated only if debug events are logged. */
 #define LOG_DEBUG(event, ...)                                                                      \
     do {                                                                                           \
         if (log_debug_enabled())                                                                   \
--- a/src/base/types.h
+++ b/src/base/types.h
@@ -87,11 +87,13 @@
     return a.us < b.us;
 }
 
+/** Returns whether two machine ids are equal. */
 static inline bool machine_id_equal(machine_id a, machine_id b)
 {
     return strcmp(a.text, b.text) == 0;
 }
 
+/** Returns whether two job ids are equal. */
 static inline bool job_id_equal(job_id a, job_id b)
 {
     return strcmp(a.text, b.text) == 0;
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -93,6 +93,7 @@
     int idle_timeout_ms, request_timeout_ms;
 };
 
+/** A listening server with its connections. */
 struct http_server;
 
 /** Creates a server that listens on an address. On failure it returns NULL and sets `error` to a
--- a/src/net/node_rpc.h
+++ b/src/net/node_rpc.h
@@ -12,6 +12,7 @@
 
 #include <cjson/cJSON.h>
 
+/** The RPC client and server of the local node. */
 struct node_rpc;
 
 /** Receives the response to a call. `status` is an HTTP status, HTTP_NO_RESPONSE or HTTP_NOT_SENT.
--- a/src/wire/cloud_codec.h
+++ b/src/wire/cloud_codec.h
@@ -4,15 +4,18 @@
 
 #include "json_fields.h"
 
+/** GET returns the list of machine types. */
 #define CLOUD_PATH_MACHINE_TYPES "/machine_types"
 /** GET returns the list of rented machines; POST requests a scale-out. */
 #define CLOUD_PATH_MACHINES "/rentals"
+/** POST requests a scale-in. */
 #define CLOUD_PATH_SCALE_IN "/rentals/return"
 
 /** A machine type that the cloud offers. */
 struct machine_type {
     char name[48];
     amount cpus, gpus, memory;
+    /** Size of the image cache, and rate at which images are fetched. */
     double image_cache_gb, fetch_gb_per_s;
     /** Price of an on-demand machine, and price of a spot machine. */
     double price, spot_price;
--- a/src/wire/resources.h
+++ b/src/wire/resources.h
@@ -25,6 +25,7 @@
     return (struct resources){type->cpus, type->gpus, type->memory};
 }
 
+/** Adds `added` to `sum`. */
 static inline void resources_add(struct resources *sum, struct resources added)
 {
     sum->cpus.milli += added.cpus.milli;
@@ -32,6 +33,7 @@
     sum->memory.milli += added.memory.milli;
 }
 
+/** Subtracts `subtracted` from `remaining`. */
 static inline void resources_subtract(struct resources *remaining, struct resources subtracted)
 {
     remaining->cpus.milli -= subtracted.cpus.milli;
