--- a/src/base/event_loop.c
+++ b/src/base/event_loop.c
@@ -6,18 +6,18 @@
 #include <unistd.h>
 
 enum {
-    MAX_EVENTS_PER_TURN = 64,
-    /** So that sockets are not starved by timers that are due at once. */
-    MAX_TIMERS_PER_TURN = 64,
+    MAX_EVENTS_PER_ITERATION = 64,
+    /** Keeps many timers that expire together from starving the sockets. */
+    MAX_TIMERS_PER_ITERATION = 64,
     MAX_POLL_MS = 1000,
-    FAKE_START_S = 1000,
+    FAKE_CLOCK_START_S = 1000,
 };
 
 static const int64_t US_PER_S = 1000000;
-static const int64_t FAKE_WALL_START_MS = 1700000000000;
+static const int64_t FAKE_WALL_CLOCK_START_MS = 1700000000000;
 
 struct queued_message {
-    struct actor *to;
+    struct actor *recipient;
     struct message message;
 };
 
@@ -26,13 +26,14 @@
     bool has_fake_clock, is_stopped;
     mono_time now;
     wall_time fake_wall_time;
-    /** Struct timer, the one that fires first at the front. */
+    /** Running struct timer, ordered by the time at which they fire. */
     GSequence *timers;
     uint64_t next_timer_sequence;
-    /** Struct queued_message, for all actors. */
+    /** Undelivered struct queued_message of all actors, oldest first. */
     GQueue mailbox;
+    /** Memory that is freed at the end of the iteration; see loop_defer_free. */
     GPtrArray *deferred_frees;
-    uint64_t work_count;
+    uint64_t operation_count;
 };
 
 static mono_time read_monotonic_clock(void)
@@ -57,8 +58,8 @@
 {
     struct loop *loop = loop_new();
     loop->has_fake_clock = true;
-    loop->now.us = FAKE_START_S * US_PER_S;
-    loop->fake_wall_time.ms = FAKE_WALL_START_MS;
+    loop->now.us = FAKE_CLOCK_START_S * US_PER_S;
+    loop->fake_wall_time.ms = FAKE_WALL_CLOCK_START_MS;
     return loop;
 }
 
@@ -95,20 +96,20 @@
     return (wall_time){(int64_t)now.tv_sec * 1000 + now.tv_nsec / 1000000};
 }
 
-void loop_refresh(struct loop *loop)
+void loop_update_time(struct loop *loop)
 {
     if (!loop->has_fake_clock)
         loop->now = read_monotonic_clock();
 }
 
-void loop_add_work(struct loop *loop, uint64_t operations)
+void loop_count_operations(struct loop *loop, uint64_t operations)
 {
-    loop->work_count += operations;
+    loop->operation_count += operations;
 }
 
-uint64_t loop_work_count(const struct loop *loop)
+uint64_t loop_operation_count(const struct loop *loop)
 {
-    return loop->work_count;
+    return loop->operation_count;
 }
 
 static void epoll_update(struct loop *loop, int operation, struct loop_io *io, uint32_t events)
@@ -177,15 +178,16 @@
 }
 
 /**
- * Delivers the messages that are queued now. What they cause to be sent waits for the next turn, so
- * that messages cannot starve the sockets. False: there were none.
+ * Delivers the messages that are queued at the time of the call. Messages that the receivers send
+ * wait for the next iteration, so that messages cannot starve the sockets. Returns false if the
+ * queue was empty.
  */
 static bool deliver_messages(struct loop *loop)
 {
     guint pending = loop->mailbox.length;
     for (guint i = 0; i < pending; i++) {
         struct queued_message *queued = g_queue_pop_head(&loop->mailbox);
-        queued->to->receive(queued->to, &queued->message);
+        queued->recipient->receive(queued->recipient, &queued->message);
         if (queued->message.free_body)
             queued->message.free_body(queued->message.body);
         g_free(queued);
@@ -193,7 +195,8 @@
     return pending > 0;
 }
 
-/** Fires the first timer that is due by a moment; false: there is none. */
+/** Fires the earliest timer if it is due by `until`; a fake clock then moves to its time. Returns
+ * whether a timer was fired. */
 static bool fire_next_timer(struct loop *loop, mono_time until)
 {
     GSequenceIter *first = g_sequence_get_begin_iter(loop->timers);
@@ -211,7 +214,8 @@
     return true;
 }
 
-/** How long to wait for sockets: until the next timer, rounded up. */
+/** Returns how long epoll may wait: until the next timer, rounded up, and not at all while messages
+ * are queued. */
 static int poll_timeout_ms(struct loop *loop)
 {
     if (loop->mailbox.length)
@@ -228,7 +232,7 @@
 
 void loop_run(struct loop *loop)
 {
-    struct epoll_event events[MAX_EVENTS_PER_TURN];
+    struct epoll_event events[MAX_EVENTS_PER_ITERATION];
     while (!loop->is_stopped) {
         int ready_count =
             epoll_wait(loop->epoll_fd, events, G_N_ELEMENTS(events), poll_timeout_ms(loop));
@@ -239,7 +243,7 @@
                 io->ready(io, events[i].events);
         }
         mono_time until = loop->now;
-        for (int i = 0; i < MAX_TIMERS_PER_TURN && fire_next_timer(loop, until); i++)
+        for (int i = 0; i < MAX_TIMERS_PER_ITERATION && fire_next_timer(loop, until); i++)
             ;
         deliver_messages(loop);
         g_ptr_array_set_size(loop->deferred_frees, 0);
--- a/src/base/log.c
+++ b/src/base/log.c
@@ -7,11 +7,11 @@
 
 enum {
     MAX_LINE_CHARS = 1024,
-    /** Of an event's fields. */
+    /** Limit for the formatted fields of one event. */
     MAX_FIELDS_CHARS = 800,
 };
 
-/** Names of fields of GLib's structured log. */
+/** Names of the fields that events have in GLib's structured log. */
 #define FIELD_MESSAGE "MESSAGE"
 #define FIELD_EVENT "LL_EVENT"
 
@@ -19,15 +19,16 @@
 static char log_node[64];
 static guint64 log_epoch;
 
-/** GLogWriterFunc: longer lines are cut. */
+/** A GLogWriterFunc that writes an event as one line; lines of MAX_LINE_CHARS or more are
+ * truncated. */
 static GLogWriterOutput write_line(GLogLevelFlags level, const GLogField *fields, gsize field_count,
                                    gpointer unused)
 {
     (void)unused;
-    const char *event = "", *text = "";
+    const char *event = "", *message = "";
     for (gsize i = 0; i < field_count; i++) {
         if (strcmp(fields[i].key, FIELD_MESSAGE) == 0)
-            text = fields[i].value;
+            message = fields[i].value;
         else if (strcmp(fields[i].key, FIELD_EVENT) == 0)
             event = fields[i].value;
     }
@@ -36,13 +37,13 @@
                                                             : "debug";
     char line[MAX_LINE_CHARS];
     int length = snprintf(line, sizeof line, "%s node=%s epoch=%" G_GUINT64_FORMAT " event=%s %s\n",
-                          level_name, log_node, log_epoch, event, text);
+                          level_name, log_node, log_epoch, event, message);
     if (length >= (int)sizeof line) {
         length = sizeof line;
         line[length - 1] = '\n';
     }
     if (write(STDERR_FILENO, line, length) < 0)
-        return G_LOG_WRITER_UNHANDLED; /* standard error is closed: nothing can be done */
+        return G_LOG_WRITER_UNHANDLED; /* standard error is closed, and there is no other output */
     return G_LOG_WRITER_HANDLED;
 }
 
@@ -78,11 +79,11 @@
 {
     if (level > log_threshold)
         return;
-    char text[MAX_FIELDS_CHARS];
+    char message[MAX_FIELDS_CHARS];
     va_list arguments;
     va_start(arguments, format);
-    g_vsnprintf(text, sizeof text, format, arguments);
+    g_vsnprintf(message, sizeof message, format, arguments);
     va_end(arguments);
-    const GLogField fields[] = {{FIELD_MESSAGE, text, -1}, {FIELD_EVENT, event, -1}};
+    const GLogField fields[] = {{FIELD_MESSAGE, message, -1}, {FIELD_EVENT, event, -1}};
     g_log_structured_array(level, fields, G_N_ELEMENTS(fields));
 }
--- a/src/net/http_server.c
+++ b/src/net/http_server.c
@@ -1,4 +1,4 @@
-/** The HTTP server: connections are kept alive, with one request at a time each. */
+/** The HTTP server. Connections are kept alive, and each handles one request at a time. */
 #define _GNU_SOURCE /* accept4 */
 #include "address.h"
 #include "http.h"
@@ -13,18 +13,24 @@
 #include <unistd.h>
 
 enum {
-    /* Read at once, and kept of what comes before the response is sent. */
+    /* Size of one read, and limit for input that arrives before the response is sent. */
     READ_BYTES = 16384,
-    /* Other events get their turn after so many new connections. */
+    /* Keeps many new connections from starving other events. */
     MAX_ACCEPTS_PER_WAKEUP = 16,
 };
 
-/* READING: a request, or idle; HANDLING: the handler owes the response; WRITING: the response is
- * being sent. The states follow one another in this order, and READING again. */
-enum connection_state { CONNECTION_READING, CONNECTION_HANDLING, CONNECTION_WRITING };
+/* A connection goes through the states in this order, for each request again. */
+enum connection_state {
+    /* Reading a request, or idle. */
+    CONNECTION_READING,
+    /* Waiting for the response from the handler. */
+    CONNECTION_HANDLING,
+    /* Sending the response. */
+    CONNECTION_WRITING
+};
 
 struct server_connection {
-    struct loop_io io; /* first, so that its callback finds the connection */
+    struct loop_io io; /* must be first: its callback casts it to the connection */
     struct http_server *server;
     connection_ref ref;
     enum connection_state state;
@@ -32,7 +38,7 @@
     GString *output;
     size_t output_sent_bytes;
     bool closes_after_response, is_watching_writable;
-    struct timer timer;
+    struct timer timer; /* limits the time of being idle, reading a request, and writing */
     struct idle_entry idle_entry;
 };
 
@@ -42,7 +48,7 @@
     struct loop_io io;
     struct http_server_limits limits;
     http_handler handler;
-    void *context;           /* of the handler */
+    void *context;           /* argument of the handler */
     GHashTable *connections; /* ref -> struct server_connection */
     GQueue idle_connections;
     uint64_t next_ref;
@@ -63,7 +69,7 @@
     loop_defer_free(server->loop, connection);
 }
 
-/* Reads a new request, or the rest of one. */
+/* Waits for a new request, or for the rest of one that has been received in part. */
 static void connection_await_request(struct server_connection *connection)
 {
     connection->state = CONNECTION_READING;
@@ -108,14 +114,14 @@
         connection_process_input(connection);
 }
 
-static void connection_respond(struct server_connection *connection, int status, const char *fields,
-                               const char *body, size_t body_bytes)
+static void connection_respond(struct server_connection *connection, int status,
+                               const char *header_lines, const char *body, size_t body_bytes)
 {
     g_string_printf(connection->output,
                     "HTTP/1.1 %d %s\r\nContent-Type: application/json\r\nContent-Length: %zu\r\n",
                     status, http_status_text(status), body_bytes);
-    if (fields)
-        g_string_append(connection->output, fields);
+    if (header_lines)
+        g_string_append(connection->output, header_lines);
     if (connection->closes_after_response)
         g_string_append(connection->output, "Connection: close\r\n");
     g_string_append(connection->output, "\r\n");
@@ -132,12 +138,12 @@
     connection_respond(connection, status, NULL, "{}", 2);
 }
 
-/* The body of a request; `text` points into the input or into `decoded`. */
+/* The body of a request. `data` points into the input of the connection or into `decoded`. */
 struct request_body {
-    GString *decoded; /* of a chunked body; owned, NULL: none */
-    const char *text;
+    GString *decoded; /* the decoded body if it was chunked, otherwise NULL; owned */
+    const char *data;
     size_t length_bytes;
-    size_t consumed_bytes; /* of the input, behind the head */
+    size_t consumed_bytes; /* size of the encoded body in the input */
 };
 
 static enum http_parse_result read_chunked_body(const struct server_connection *connection,
@@ -147,14 +153,14 @@
     size_t max_bytes = connection->server->limits.max_body_bytes;
     size_t received_bytes = connection->input->len - head->head_bytes;
     body->decoded = g_string_new(NULL);
-    enum http_parse_result result = http_parse_chunks(body->text, received_bytes, max_bytes,
+    enum http_parse_result result = http_parse_chunks(body->data, received_bytes, max_bytes,
                                                       body->decoded, &body->consumed_bytes);
     if (result != HTTP_PARSE_DONE) {
-        /* Chunk sizes and extensions may take as many bytes as the body itself. */
+        /* Chunk sizes and extensions may take up to as many bytes as the body itself. */
         bool is_too_large = received_bytes > max_bytes * 2;
         return is_too_large ? HTTP_PARSE_TOO_LARGE : result;
     }
-    body->text = body->decoded->str;
+    body->data = body->decoded->str;
     body->length_bytes = body->decoded->len;
     return HTTP_PARSE_DONE;
 }
@@ -162,7 +168,7 @@
 static enum http_parse_result read_body(const struct server_connection *connection,
                                         const struct http_head *head, struct request_body *body)
 {
-    body->text = (const char *)connection->input->data + head->head_bytes;
+    body->data = (const char *)connection->input->data + head->head_bytes;
     if (head->is_chunked)
         return read_chunked_body(connection, head, body);
     if (head->content_length <= 0)
@@ -176,12 +182,12 @@
     return HTTP_PARSE_DONE;
 }
 
-/* Removes a whole request from the input and gives it to the handler. */
+/* Removes a complete request from the input and passes it to the handler. */
 static void connection_handle_request(struct server_connection *connection, struct http_head *head,
                                       const struct request_body *body)
 {
     struct http_server *server = connection->server;
-    g_autofree char *text = g_strndup(body->text, body->length_bytes);
+    g_autofree char *body_copy = g_strndup(body->data, body->length_bytes);
     g_byte_array_remove_range(connection->input, 0, head->head_bytes + body->consumed_bytes);
     connection->closes_after_response = head->closes_connection;
     connection->state = CONNECTION_HANDLING;
@@ -193,12 +199,12 @@
     struct http_request request = {.method = head->method,
                                    .path = head->target,
                                    .query = query ? query : "",
-                                   .body = text,
+                                   .body = body_copy,
                                    .body_bytes = body->length_bytes};
     server->handler(server->context, &server->responder, connection->ref, &request);
 }
 
-/* Handles the request at the front of the input, once it is whole. */
+/* Handles the request at the start of the input if it is complete or malformed. */
 static void connection_parse_request(struct server_connection *connection)
 {
     struct http_head head;
@@ -238,14 +244,15 @@
     }
     char buffer[READ_BYTES];
     ssize_t received_bytes = recv(io->fd, buffer, sizeof buffer, 0);
-    loop_refresh(connection->server->loop);
+    loop_update_time(connection->server->loop);
     if (received_bytes < 0 && (errno == EAGAIN || errno == EINTR))
         return;
     if (received_bytes <= 0) {
         connection_close(connection);
         return;
     }
-    /* Pipelining is not supported: a peer that sends more before the response is cut off. */
+    /* Pipelining is not supported: a connection is closed if its peer sends more than READ_BYTES
+     * before the response. */
     if (connection->state != CONNECTION_READING &&
         connection->input->len + received_bytes > READ_BYTES) {
         connection_close(connection);
@@ -272,12 +279,12 @@
 }
 
 static void server_respond(struct http_responder *responder, connection_ref to, int status,
-                           const char *fields, const char *body, size_t body_bytes)
+                           const char *header_lines, const char *body, size_t body_bytes)
 {
     struct http_server *server = (struct http_server *)responder;
     struct server_connection *connection = g_hash_table_lookup(server->connections, &to.value);
     if (connection && connection->state == CONNECTION_HANDLING)
-        connection_respond(connection, status, fields, body, body_bytes);
+        connection_respond(connection, status, header_lines, body, body_bytes);
 }
 
 static void server_on_accept(struct loop_io *io, uint32_t events)
@@ -288,7 +295,8 @@
     for (int i = 0; i < MAX_ACCEPTS_PER_WAKEUP; i++) {
         int fd = accept4(io->fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
         if (fd < 0) {
-            /* No file descriptor is left: close the connection that has been idle longest. */
+            /* No file descriptor is left: close the connection that has been idle for the longest
+             * time. */
             if ((errno == EMFILE || errno == ENFILE) && server->idle_connections.head)
                 connection_close(server->idle_connections.head->data);
             return;
--- a/src/wire/resources.c
+++ b/src/wire/resources.c
@@ -1,8 +1,8 @@
-/** Resources: see resources.h. */
+/** Arithmetic on resources, and choice of machine types: see resources.h. */
 #include "resources.h"
 
 enum { MAX_FIT_COUNT = 1000000 };
-/** The share of a resource that there is none of. */
+/** The share that is reported for a request of a resource whose total is zero. */
 static const double UNAVAILABLE_SHARE = 1e9;
 
 static double share_of_total(int64_t requested, int64_t total)
@@ -34,11 +34,11 @@
 }
 
 bool unschedulable_list_covers(const GArray *unschedulable_list,
-                               const struct unschedulable *request)
+                               const struct unschedulable_request *request)
 {
     for (guint i = 0; i < unschedulable_list->len; i++) {
-        const struct unschedulable *known =
-            &g_array_index(unschedulable_list, struct unschedulable, i);
+        const struct unschedulable_request *known =
+            &g_array_index(unschedulable_list, struct unschedulable_request, i);
         if (resources_fit(request->resources, known->resources) &&
             (known->may_use_spot || !request->may_use_spot) &&
             (!known->zone[0] || strcmp(known->zone, request->zone) == 0))
@@ -68,7 +68,7 @@
            g_strv_contains((const char *const *)spec->machine_type_names, type_name);
 }
 
-/** Whether a job may use machines of a type at all, in some zone. */
+/** Returns whether the constraints of a job allow machines of a type in any zone. */
 static bool job_spec_allows_type(const struct job_spec *spec, const struct machine_type *type)
 {
     const char *const *names = (const char *const *)spec->machine_type_names;
--- a/tests/support/duty_history.c
+++ b/tests/support/duty_history.c
@@ -101,7 +101,7 @@
 {
     json_object *object = json_parse(text, strlen(text));
     const char *records;
-    if (json_get_text(object, "t", &records))
+    if (json_get_string(object, "t", &records))
         record_page_decode(records, on_run_record, history);
     json_object_put(object);
 }
--- a/tests/support/stored_fixtures.c
+++ b/tests/support/stored_fixtures.c
@@ -26,7 +26,7 @@
 {
     json_object *object = json_tokener_parse(value);
     const char *text;
-    assert_true(json_get_text(object, "t", &text));
+    assert_true(json_get_string(object, "t", &text));
     record_page_decode(text, start_recorded_task, world);
     json_object_put(object);
     world_put_key(world, key, value);
--- a/tests/support/world_cloud.c
+++ b/tests/support/world_cloud.c
@@ -31,10 +31,10 @@
     const char *request_id, *type_name, *zone;
     bool spot;
     uint64_t number = 0;
-    assert_true(json_get_text(body, "Charter", &request_id) &&
-                json_get_text(body, "Build", &type_name) && json_get_text(body, "Yard", &zone) &&
-                json_get_bool(body, "Loaners", &spot) && json_get_u64(body, "Number", &number) &&
-                number <= 50);
+    assert_true(json_get_string(body, "Charter", &request_id) &&
+                json_get_string(body, "Build", &type_name) &&
+                json_get_string(body, "Yard", &zone) && json_get_bool(body, "Loaners", &spot) &&
+                json_get_u64(body, "Number", &number) && number <= 50);
     for (guint i = 0; i < world->rental_requests->len; i += 2)
         if (strcmp(world->rental_requests->pdata[i], request_id) == 0)
             return json_tokener_parse(world->rental_requests->pdata[i + 1]);
@@ -81,12 +81,12 @@
     for (guint i = 0; i < listed->len && i < max_count; i++) {
         struct worker *worker = listed->pdata[i];
         json_object *machine = json_object_new_object();
-        json_put_text(machine, "Id", worker->id);
-        json_put_text(machine, "Address", worker->address);
-        json_put_text(machine, "Build", worker->type_name);
-        json_put_text(machine, "Yard", worker->zone);
+        json_put_string(machine, "Id", worker->id);
+        json_put_string(machine, "Address", worker->address);
+        json_put_string(machine, "Build", worker->type_name);
+        json_put_string(machine, "Yard", worker->zone);
         json_object_object_add(machine, "Loaners", json_object_new_boolean(worker->spot));
-        json_put_text(machine, "Stage", "running");
+        json_put_string(machine, "Stage", "running");
         json_object_object_add(machine, "HeldS", json_object_new_double(1));
         json_object_array_add(list, machine);
     }
--- a/tests/support/world_state.c
+++ b/tests/support/world_state.c
@@ -90,7 +90,7 @@
         json_object *compare = json_object_array_get_idx(when, i);
         const char *key;
         uint64_t stamp = 0;
-        assert_true(json_get_text(compare, "K", &key) && json_get_u64(compare, "Stamp", &stamp));
+        assert_true(json_get_string(compare, "K", &key) && json_get_u64(compare, "Stamp", &stamp));
         if (get_mod_revision(world, key) != stamp)
             json_object_array_add(failed, json_object_new_string(key));
     }
@@ -140,9 +140,9 @@
     for (size_t i = 0; i < n; i++) {
         json_object *write = json_object_array_get_idx(writes, i);
         const char *key;
-        if (json_get_text(write, "Set", &key)) {
+        if (json_get_string(write, "Set", &key)) {
             txn_set(pending, write, key);
-        } else if (json_get_text(write, "Remove", &key) && g_tree_lookup(world->keys, key)) {
+        } else if (json_get_string(write, "Remove", &key) && g_tree_lookup(world->keys, key)) {
             record_event(world, key, NULL);
             g_tree_remove(world->keys, key);
         }
@@ -163,7 +163,7 @@
     if (!leases_exist(world, writes)) {
         json_object_put(failed);
         json_object *o = json_object_new_object();
-        json_put_text(o, "error", "no such lease");
+        json_put_string(o, "error", "no such lease");
         pending_request_respond_json(pending, 400, o);
         return;
     }
@@ -235,7 +235,7 @@
     if (listing->more)
         return TRUE;
     json_object *item = json_object_new_object();
-    json_put_text(item, "K", key);
+    json_put_string(item, "K", key);
     json_object_object_add(item, "V", json_tokener_parse(entry->value));
     json_put_u64(item, "Stamp", entry->mod_revision);
     json_object_array_add(listing->items, item);
--- a/tests/support/world_worker.c
+++ b/tests/support/world_worker.c
@@ -22,10 +22,10 @@
 {
     json_object *state = json_object_new_object(), *list = json_object_new_array();
     worker->sequence++;
-    json_put_text(state, "Mast", worker->id);
-    json_put_text(state, "Address", worker->address);
-    json_put_text(state, "Build", worker->type_name);
-    json_put_text(state, "Yard", worker->zone);
+    json_put_string(state, "Mast", worker->id);
+    json_put_string(state, "Address", worker->address);
+    json_put_string(state, "Build", worker->type_name);
+    json_put_string(state, "Yard", worker->zone);
     json_object_object_add(state, "Loaners", json_object_new_boolean(worker->spot));
     json_put_u64(state, "Shift", worker->session);
     json_put_u64(state, "Tally", worker->sequence);
@@ -37,11 +37,11 @@
         json_object *task_state = json_object_new_object();
         char name[64];
         g_snprintf(name, sizeof name, "%s/%u", task->job.text, task->index);
-        json_put_text(task_state, "Piece", name);
+        json_put_string(task_state, "Piece", name);
         json_put_u64(task_state, "Try", task->attempt);
-        json_put_text(task_state, "Stage", task->stage);
+        json_put_string(task_state, "Stage", task->stage);
         if (*task->cause)
-            json_put_text(task_state, "Cause", task->cause);
+            json_put_string(task_state, "Cause", task->cause);
         if (task->progress_saved)
             json_object_object_add(task_state, "Stored", json_object_new_boolean(true));
         json_object_array_add(list, task_state);
@@ -75,7 +75,7 @@
     job_id job;
     uint32_t index = 0;
     uint64_t attempt = 0;
-    assert_true(json_get_text(object, "Verb", &verb) && json_get_text(object, "Piece", &name) &&
+    assert_true(json_get_string(object, "Verb", &verb) && json_get_string(object, "Piece", &name) &&
                 task_name_parse(name, &job, &index) && json_get_u64(object, "Try", &attempt));
     struct worker_task *task = worker_find_task(worker, job.text, index);
     if (strcmp(verb, "run") == 0) {
@@ -277,7 +277,7 @@
     json_object *object = json_parse(body, len);
     const char *to = NULL;
     uint64_t token = 0;
-    if (status == 421 && json_get_text(object, "Harbour", &to)) {
+    if (status == 421 && json_get_string(object, "Harbour", &to)) {
         worker->node = to[strlen(to) - 1] - '0';
     } else if (status != 200) {
         worker->node = (worker->node + 1) % worker->world->config.node_count;
