--- a/daemon/main.c
+++ b/daemon/main.c
@@ -31,16 +31,16 @@
 };
 
 /** Reports an error, and returns the exit code. */
-static int usage_error(const char *message)
+static int report_usage_error(const char *message)
 {
     (void)fprintf(stderr, "linenlandingd: %s\n", message);
     return EXIT_USAGE;
 }
 
 /** Reports an error of settings, policy or features, which it frees. Returns the exit code. */
-static int config_error(GError *error)
+static int report_config_error(GError *error)
 {
-    int exit_code = usage_error(error->message);
+    int exit_code = report_usage_error(error->message);
     g_error_free(error);
     return exit_code;
 }
@@ -175,7 +175,7 @@
     GError *error = NULL;
     struct policy *policy = policy_load(path, &error);
     if (!policy)
-        return config_error(error);
+        return report_config_error(error);
     policy_free(policy);
     printf("%s: fine\n", path);
     return 0;
@@ -186,7 +186,7 @@
     GError *error = NULL;
     struct feature_set features;
     if (!feature_set_load(path, &features, &error))
-        return config_error(error);
+        return report_config_error(error);
     printf("%s: fine\n", path);
     return 0;
 }
@@ -209,9 +209,9 @@
     if (settings && (!options->features || feature_set_load(options->features, &features, &error)))
         policy = options->policy ? policy_load(options->policy, &error) : policy_default();
     if (!policy)
-        exit_code = config_error(error);
+        exit_code = report_config_error(error);
     else if (!set_up_log(settings))
-        exit_code = usage_error("LOG_LEVEL: must be error, info or debug");
+        exit_code = report_usage_error("LOG_LEVEL: must be error, info or debug");
     else if (options->check_config)
         exit_code = printf("%s: fine\n", options->config) < 0;
     else
@@ -234,7 +234,7 @@
     if (options->check_features)
         return check_features(options->check_features);
     if (!options->config)
-        return usage_error("--config FILE is missing");
+        return report_usage_error("--config FILE is missing");
     return load_and_run(options);
 }
 
@@ -242,8 +242,8 @@
 {
     struct options options = {0};
     GError *error = NULL;
-    int exit_code =
-        parse_options(argc, argv, &options, &error) ? run_command(&options) : config_error(error);
+    int exit_code = parse_options(argc, argv, &options, &error) ? run_command(&options)
+                                                                : report_config_error(error);
     options_clear(&options);
     return exit_code;
 }
--- a/src/api/api.c
+++ b/src/api/api.c
@@ -46,7 +46,7 @@
 /* Ready as long as requests can be answered, by a peer if need be. An outage of the key-value store
  * that hits all nodes alike does not count: taking them all out of service would only prolong it.
  */
-static bool is_ready(struct api *api)
+static bool is_ready_to_serve(struct api *api)
 {
     if (!api->replica->is_ready || !api->replica->machine_types ||
         failure_detector_is_isolated(api->failure_detector))
@@ -73,15 +73,15 @@
 static void route_job_request(struct api *api, struct http_responder *responder,
                               connection_ref from, const struct http_request *request)
 {
-    const char *rest = request->path + strlen(JOBS_PATH);
-    if (!*rest) {
+    const char *path_rest = request->path + strlen(JOBS_PATH);
+    if (!*path_rest) {
         if (has_method(request, "POST"))
             api_submit(api, responder, from, request);
         else
             reply_method_not_allowed(responder, from);
         return;
     }
-    g_autofree char *id = g_strdup(rest + 1);
+    g_autofree char *id = g_strdup(path_rest + 1);
     char *suffix = strchr(id, '/');
     if (suffix)
         *suffix++ = 0;
@@ -123,7 +123,7 @@
 
 /* Whether it is a submission of a job with dependencies: a node of an earlier version would take it
  * for one without. */
-static bool names_dependencies(const struct http_request *request)
+static bool submission_has_dependencies(const struct http_request *request)
 {
     if (strcmp(request->path, JOBS_PATH) != 0 || !request->body_bytes)
         return false;
@@ -141,7 +141,7 @@
     if (!peer || !is_job_path(request->path) || api->waiting_count >= api->max_waiting)
         return false;
     if (!membership_all_nodes_support(api->membership, NODE_VERSION_JOB_DAG) &&
-        names_dependencies(request))
+        submission_has_dependencies(request))
         return false;
     struct forwarded_request *forwarded = g_new(struct forwarded_request, 1);
     *forwarded = (struct forwarded_request){api, responder, from};
@@ -164,7 +164,7 @@
 {
     if (!has_method(request, "GET"))
         reply_method_not_allowed(responder, from);
-    else if (is_ready(api))
+    else if (is_ready_to_serve(api))
         api_reply(responder, from, HTTP_STATUS_OK, g_strdup("{}"));
     else
         api_reply_error(responder, from, HTTP_STATUS_UNAVAILABLE, "not ready");
--- a/src/api/api_internal.h
+++ b/src/api/api_internal.h
@@ -58,7 +58,7 @@
     struct http_responder *responder;
     connection_ref from;
     enum api_action action;
-    job_id job;
+    job_id job_id;
 
     /** Of a submission: what the job's key will hold, and the job's number of tasks. */
     json_object *job_spec;
@@ -73,16 +73,16 @@
     int error_status;
 
     /** The replica has passed a read barrier since the request came. */
-    bool passed_barrier;
+    bool has_passed_read_barrier;
     /** The job's key was read from the key-value store, and does not exist. */
-    bool key_is_absent;
+    bool is_key_absent;
     int write_attempts;
 };
 
 /* ---- api_response.c ---- */
 
 /** Responds with a JSON text, which it frees. */
-void api_reply(struct http_responder *responder, connection_ref to, int status, char *text);
+void api_reply(struct http_responder *responder, connection_ref to, int status, char *body);
 /** Responds with {"error": error}. */
 void api_reply_error(struct http_responder *responder, connection_ref to, int status,
                      const char *error);
@@ -108,7 +108,7 @@
 
 /** The value of the key of a job that is not over: its submission time, what was submitted, and
  * whether it is cancelled. A new object. */
-json_object *api_encode_live_job(json_object *spec, int64_t submitted_ms, bool is_cancelled);
+json_object *api_encode_active_job(json_object *spec, int64_t submitted_ms, bool is_cancelled);
 /** Writes the job's key on the condition that it still stands at that revision (0: that there is
  * none), and responds. Takes the value. After a conflict or a lost response the request is resumed.
  */
@@ -140,6 +140,6 @@
                 const struct http_request *http_request);
 /** `id` is text from the path, and may be no valid id. */
 void api_poll_or_cancel(struct api *api, struct http_responder *responder, connection_ref from,
-                        enum api_action action, const char *id);
+                        enum api_action action, const char *id_string);
 
 #endif
--- a/src/api/api_request.c
+++ b/src/api/api_request.c
@@ -43,7 +43,7 @@
 }
 
 /* Why no request can wait here now; NULL: one can. */
-static const char *refusal_reason(const struct api *api)
+static const char *get_refusal_reason(const struct api *api)
 {
     if (!api->replica->is_ready)
         return "starting";
@@ -55,16 +55,16 @@
 }
 
 struct api_request *api_request_new(struct api *api, struct http_responder *responder,
-                                    connection_ref from, enum api_action action, job_id job)
+                                    connection_ref from, enum api_action action, job_id id)
 {
-    const char *reason = refusal_reason(api);
+    const char *reason = get_refusal_reason(api);
     if (reason) {
         api_reply_error(responder, from, HTTP_STATUS_UNAVAILABLE, reason);
         return NULL;
     }
     struct api_request *request = g_new0(struct api_request, 1);
     *request = (struct api_request){
-        .api = api, .responder = responder, .from = from, .action = action, .job = job};
+        .api = api, .responder = responder, .from = from, .action = action, .job_id = id};
     request->received_at = loop_now(api->loop);
     request->link.data = request;
     api->waiting_count++;
--- a/src/api/api_response.c
+++ b/src/api/api_response.c
@@ -1,12 +1,12 @@
 /** Responses to users. */
 #include "api_internal.h"
 
-void api_reply(struct http_responder *responder, connection_ref to, int status, char *text)
+void api_reply(struct http_responder *responder, connection_ref to, int status, char *body)
 {
     responder->respond(responder, to, status,
-                       status == HTTP_STATUS_UNAVAILABLE ? "Retry-After: 1\r\n" : NULL, text,
-                       strlen(text));
-    g_free(text);
+                       status == HTTP_STATUS_UNAVAILABLE ? "Retry-After: 1\r\n" : NULL, body,
+                       strlen(body));
+    g_free(body);
 }
 
 void api_reply_error(struct http_responder *responder, connection_ref to, int status,
--- a/src/api/dependency_check.c
+++ b/src/api/dependency_check.c
@@ -38,8 +38,8 @@
 static void resolve_missing_dependency(struct api_request *request, job_id id)
 {
     struct api *api = request->api;
-    if (!request->passed_barrier) {
-        request->passed_barrier = true;
+    if (!request->has_passed_read_barrier) {
+        request->has_passed_read_barrier = true;
         replica_read_barrier(api->replica, api->resume, request);
     } else if (api->replica->has_evicted_jobs) {
         read_dependency(request, id);
@@ -81,7 +81,7 @@
     }
     json_object_deep_copy(request->job_spec, &spec, NULL);
     job_spec_put_dependencies(spec, pending);
-    json_object *value = api_encode_live_job(spec, now.ms, false);
+    json_object *value = api_encode_active_job(spec, now.ms, false);
     json_object_put(spec);
     return value;
 }
--- a/src/api/job_write.c
+++ b/src/api/job_write.c
@@ -10,7 +10,7 @@
 /* Attempts at a conditional write before the user is asked to come back. */
 enum { MAX_WRITE_ATTEMPTS = 4 };
 
-json_object *api_encode_live_job(json_object *spec, int64_t submitted_ms, bool is_cancelled)
+json_object *api_encode_active_job(json_object *spec, int64_t submitted_ms, bool is_cancelled)
 {
     json_object *object = json_object_new_object();
     json_put_u64(object, JOB_FIELD_SUBMITTED_MS, (uint64_t)submitted_ms);
@@ -39,21 +39,21 @@
     struct api_request *request = context;
     if (!request->is_answered)
         api_reply(request->responder, request->from, HTTP_STATUS_OK,
-                  job_status_encode(request->job, JOB_STAGE_CANCELLED, -1, 0));
+                  job_status_encode(request->job_id, JOB_STAGE_CANCELLED, -1, 0));
     api_request_free(request);
 }
 
 static void on_committed(struct api_request *request, revision at_revision)
 {
-    LOG_DEBUG("answered", "job=%s action=%d", request->job.text, request->action);
+    LOG_DEBUG("answered", "job=%s action=%d", request->job_id.text, request->action);
     if (request->action == API_ACTION_CANCEL) {
-        cancel_broadcast_announce(request->api->cancel_broadcast, request->job, at_revision,
+        cancel_broadcast_announce(request->api->cancel_broadcast, request->job_id, at_revision,
                                   on_cancel_announced, request);
         return;
     }
     enum job_stage stage = request->is_upstream_cancelled ? JOB_STAGE_CANCELLED : JOB_STAGE_QUEUED;
     api_reply(request->responder, request->from, HTTP_STATUS_CREATED,
-              job_status_encode(request->job, stage, -1, 0));
+              job_status_encode(request->job_id, stage, -1, 0));
     api_request_free(request);
 }
 
@@ -77,7 +77,7 @@
 {
     struct api_request *request = context;
     if (request->action == API_ACTION_CANCEL)
-        cancel_broadcast_finish(request->api->cancel_broadcast, request->job, outcome);
+        cancel_broadcast_finish(request->api->cancel_broadcast, request->job_id, outcome);
     if (request->is_answered)
         api_request_free(request); /* its user repeats it */
     else if (outcome->status == TXN_COMMITTED)
@@ -89,7 +89,7 @@
 void api_request_write_job(struct api_request *request, revision mod_revision, json_object *value)
 {
     struct txn *txn = txn_new();
-    char *key = key_job(request->job);
+    char *key = key_job(request->job_id);
     txn_compare(txn, key, mod_revision);
     txn_put(txn, key, value, (lease_id){0});
     g_free(key);
@@ -100,7 +100,7 @@
 static json_object *encode_cancelled_job(const struct job_spec *spec, int64_t submitted_ms)
 {
     json_object *spec_object = job_spec_encode(spec);
-    json_object *value = api_encode_live_job(spec_object, submitted_ms, true);
+    json_object *value = api_encode_active_job(spec_object, submitted_ms, true);
     json_object_put(spec_object);
     return value;
 }
@@ -108,7 +108,7 @@
 /* What a cancelled job's tasks use has to stay known until they have ended, but no more than that:
  * if the job was stored when longer values were allowed, the rest is left out, as nothing of the
  * job starts again. */
-static json_object *encode_cancelled_job_within(const struct job *job, size_t max_bytes)
+static json_object *encode_cancelled_job_within_limit(const struct job *job, size_t max_bytes)
 {
     json_object *value = encode_cancelled_job(job->spec, job->submitted_at.ms);
     if (kv_value_size_bytes(value) <= max_bytes)
@@ -125,7 +125,7 @@
 void api_request_write_cancel(struct api_request *request, const struct job *job)
 {
     size_t max_bytes = kv_client_limits(request->api->kv)->max_value_bytes;
-    json_object *value = encode_cancelled_job_within(job, max_bytes);
-    cancel_broadcast_begin(request->api->cancel_broadcast, request->job);
+    json_object *value = encode_cancelled_job_within_limit(job, max_bytes);
+    cancel_broadcast_begin(request->api->cancel_broadcast, request->job_id);
     api_request_write_job(request, job->mod_revision, value);
 }
--- a/src/api/query.c
+++ b/src/api/query.c
@@ -2,19 +2,19 @@
 #include "api_internal.h"
 
 void api_poll_or_cancel(struct api *api, struct http_responder *responder, connection_ref from,
-                        enum api_action action, const char *id)
+                        enum api_action action, const char *id_string)
 {
-    job_id job;
-    if (!job_id_parse(&job, id)) {
+    job_id id;
+    if (!job_id_parse(&id, id_string)) {
         api_reply_error(responder, from, HTTP_STATUS_NOT_FOUND, "no such job");
         return;
     }
-    struct job *known_job = api->replica->is_ready ? api_find_job(api, job) : NULL;
+    struct job *known_job = api->replica->is_ready ? api_find_job(api, id) : NULL;
     if (known_job && known_job->state != JOB_ACTIVE) { /* its end never changes */
         api_reply_job(api, responder, from, known_job);
         return;
     }
-    struct api_request *request = api_request_new(api, responder, from, action, job);
+    struct api_request *request = api_request_new(api, responder, from, action, id);
     if (!request)
         return;
     if (action == API_ACTION_CANCEL && known_job)
--- a/src/api/request_steps.c
+++ b/src/api/request_steps.c
@@ -5,10 +5,10 @@
 static void on_key_response(void *context, const struct http_response *response)
 {
     struct api_request *request = context;
-    struct job job = {.id = request->job};
+    struct job job = {.id = request->job_id};
     bool is_final = api_decode_final_job(response, &job);
     if (response->status == HTTP_STATUS_NOT_FOUND) {
-        request->key_is_absent = true;
+        request->is_key_absent = true;
         api_request_step(request, true);
         return;
     }
@@ -23,7 +23,7 @@
  * left. The write of a new submission finds that out by itself, without a read. */
 static bool needs_key(const struct api_request *request)
 {
-    if (!request->api->replica->has_evicted_jobs || request->key_is_absent)
+    if (!request->api->replica->has_evicted_jobs || request->is_key_absent)
         return false;
     bool is_new_submission =
         request->action == API_ACTION_SUBMIT && !request->write_attempts && !request->error_status;
@@ -32,7 +32,7 @@
 
 static void read_key(struct api_request *request)
 {
-    char *key = key_job(request->job);
+    char *key = key_job(request->job_id);
     kv_client_get(request->api->kv, KV_LANE_URGENT, key, API_RESPONSE_TIMEOUT_MS,
                   API_RESPONSE_TIMEOUT_MS, on_key_response, request);
     g_free(key);
@@ -68,7 +68,7 @@
 void api_request_step(void *context, bool ok)
 {
     struct api_request *request = context;
-    struct job *job = api_find_job(request->api, request->job);
+    struct job *job = api_find_job(request->api, request->job_id);
     if (request->is_answered) {
         api_request_free(request);
     } else if (!ok) {
--- a/src/api/submit.c
+++ b/src/api/submit.c
@@ -19,7 +19,7 @@
  * cancelled. */
 static bool can_store(struct api *api, json_object *spec)
 {
-    json_object *value = api_encode_live_job(spec, INT64_MAX, true);
+    json_object *value = api_encode_active_job(spec, INT64_MAX, true);
     bool fits = kv_value_size_bytes(value) <= kv_client_limits(api->kv)->max_value_bytes;
     json_object_put(value);
     return fits;
@@ -38,7 +38,7 @@
 }
 
 /* Why a valid submission cannot be taken now; NULL: it can. */
-static const char *refusal_reason(struct api *api, const struct job_spec *spec)
+static const char *get_refusal_reason(struct api *api, const struct job_spec *spec)
 {
     if (!api->replica->machine_types)
         return "the machine types are not known yet";
@@ -53,7 +53,7 @@
                          struct job_spec *spec)
 {
     bool is_known = api->replica->is_ready && api_find_job(api, spec->id);
-    const char *refusal = is_known ? NULL : refusal_reason(api, spec);
+    const char *refusal = is_known ? NULL : get_refusal_reason(api, spec);
     if (refusal) {
         api_reply_error(responder, from, HTTP_STATUS_UNAVAILABLE, refusal);
         return;
--- a/src/cloud/cloud_call.c
+++ b/src/cloud/cloud_call.c
@@ -7,7 +7,7 @@
 enum { CALL_TIMEOUT_MS = 4000 };
 
 /** The part of the cloud's limit that is used. */
-static const double BUDGET_SHARE = 0.9;
+static const double RATE_LIMIT_SHARE = 0.9;
 
 /** The most tokens in the budget: calls of so many seconds at the limit, and a part of one call. */
 static const double BURST_S = 1.5, BURST_EXTRA_CALLS = 0.5;
@@ -25,7 +25,7 @@
     struct cloud_call_budget *budget = &cloud->call_budget;
     mono_time now = loop_now(cloud->loop);
     double limit_per_s = cloud->settings->cloud_requests_per_s;
-    double rate = limit_per_s * BUDGET_SHARE;
+    double rate = limit_per_s * RATE_LIMIT_SHARE;
     double refilled = budget->tokens + rate * (double)(now.us - budget->refilled_at.us) / US_PER_S;
     budget->tokens = MIN(limit_per_s * BURST_S + BURST_EXTRA_CALLS, refilled);
     budget->refilled_at = now;
--- a/src/cloud/cloud_provider.c
+++ b/src/cloud/cloud_provider.c
@@ -105,8 +105,8 @@
     cloud->features = setup->features;
     cloud->listener = setup->listener;
     cloud->machines = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
-    cloud->gone_machines = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    cloud->refused_until = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
+    cloud->returned_machines = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+    cloud->offers_refused_until = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
     cloud->scale_in_requests = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
     g_queue_init(&cloud->scale_out_requests);
     cloud_call_budget_init(cloud);
@@ -122,7 +122,7 @@
 {
     cloud->generation++;
     g_hash_table_remove_all(cloud->machines);
-    g_hash_table_remove_all(cloud->refused_until);
+    g_hash_table_remove_all(cloud->offers_refused_until);
     while (cloud->scale_out_requests.head)
         scale_out_request_free(g_queue_pop_head(&cloud->scale_out_requests));
     g_hash_table_remove_all(cloud->scale_in_requests);
@@ -140,8 +140,8 @@
     if (cloud->machine_types.types)
         g_array_unref(cloud->machine_types.types);
     g_hash_table_unref(cloud->machines);
-    g_hash_table_unref(cloud->gone_machines);
-    g_hash_table_unref(cloud->refused_until);
+    g_hash_table_unref(cloud->returned_machines);
+    g_hash_table_unref(cloud->offers_refused_until);
     g_hash_table_unref(cloud->scale_in_requests);
     delay_histogram_free(cloud->scale_out_delays);
     delay_histogram_free(cloud->scale_in_delays);
@@ -150,7 +150,7 @@
 
 /* ---- state ---- */
 
-bool cloud_provider_is_listed(const struct cloud_provider *cloud)
+bool cloud_provider_has_complete_list(const struct cloud_provider *cloud)
 {
     return cloud->machine_list.is_complete;
 }
@@ -209,7 +209,7 @@
     cloud->recording_paused = is_paused;
 }
 
-bool cloud_provider_is_settled(const struct cloud_provider *cloud)
+bool cloud_provider_has_no_intents(const struct cloud_provider *cloud)
 {
     return intent_log_is_empty(cloud->intents);
 }
--- a/src/cloud/cloud_provider.h
+++ b/src/cloud/cloud_provider.h
@@ -60,7 +60,7 @@
 };
 
 /** Whether the whole list of machines was read since the last reset. */
-bool cloud_provider_is_listed(const struct cloud_provider *cloud);
+bool cloud_provider_has_complete_list(const struct cloud_provider *cloud);
 
 /** Id -> struct cloud_machine; owned by the client. */
 GHashTable *cloud_provider_get_machines(struct cloud_provider *cloud);
@@ -87,8 +87,8 @@
 void cloud_provider_drop_unsent(struct cloud_provider *cloud);
 
 /** Whether the cloud had no capacity for the offer a short time ago. */
-bool cloud_provider_is_refused(struct cloud_provider *cloud, const char *type_name,
-                               const char *zone, bool is_spot);
+bool cloud_provider_is_offer_refused(struct cloud_provider *cloud, const char *type_name,
+                                     const char *zone, bool is_spot);
 
 /* ---- scale-in ---- */
 
@@ -99,7 +99,7 @@
 bool cloud_provider_is_scaling_in(const struct cloud_provider *cloud, const char *id);
 
 /** Whether the cloud has confirmed the machine's return: no task runs on it any more. */
-bool cloud_provider_is_gone(const struct cloud_provider *cloud, const char *id);
+bool cloud_provider_is_returned(const struct cloud_provider *cloud, const char *id);
 
 /**
  * Machines whose shards must cordon them before their return can be recorded: a new array of new
@@ -108,7 +108,7 @@
 GPtrArray *cloud_provider_list_to_cordon(struct cloud_provider *cloud);
 
 /** Notes that the machine's owner cordoned it in that epoch. */
-void cloud_provider_note_cordoned(struct cloud_provider *cloud, const char *id, epoch_no epoch);
+void cloud_provider_mark_cordoned(struct cloud_provider *cloud, const char *id, epoch_no epoch);
 
 /**
  * Machines that were returned, as their shards must learn before the intents are settled: a new
@@ -117,7 +117,7 @@
 GPtrArray *cloud_provider_list_to_announce(struct cloud_provider *cloud);
 
 /** Notes that the machine's owner knows of its return. */
-void cloud_provider_note_announced(struct cloud_provider *cloud, const char *id);
+void cloud_provider_mark_announced(struct cloud_provider *cloud, const char *id);
 
 /* ---- switching singleton roles ---- */
 
@@ -125,6 +125,6 @@
 void cloud_provider_pause_recording(struct cloud_provider *cloud, bool is_paused);
 
 /** Whether no intent is queued or recorded. */
-bool cloud_provider_is_settled(const struct cloud_provider *cloud);
+bool cloud_provider_has_no_intents(const struct cloud_provider *cloud);
 
 #endif
--- a/src/cloud/cloud_provider_internal.h
+++ b/src/cloud/cloud_provider_internal.h
@@ -43,7 +43,7 @@
 /** How far a scale-in has come. Without singleton roles it begins with SCALE_IN_READY. */
 enum scale_in_phase {
     /** The machine's owner may still place tasks on it. */
-    SCALE_IN_WANTED,
+    SCALE_IN_AWAITING_CORDON,
     /** The machine's owner places no task on it in this epoch. */
     SCALE_IN_CORDONED,
     /** Its intent is queued. */
@@ -58,7 +58,7 @@
 struct scale_in_request {
     machine_id id;
     enum scale_in_phase phase;
-    epoch_no cordoned_in;
+    epoch_no cordoned_in_epoch;
     mono_time decided_at;
     enum cloud_send_state send_state;
 };
@@ -121,9 +121,9 @@
     /** Id -> struct cloud_machine. */
     GHashTable *machines;
     /** Set of the ids of machines whose return was confirmed; kept over resets. */
-    GHashTable *gone_machines;
+    GHashTable *returned_machines;
     /** Offer (cloud_offer_key()) -> mono_time until which it is not requested. */
-    GHashTable *refused_until;
+    GHashTable *offers_refused_until;
     /** Of struct scale_out_request, the oldest first. */
     GQueue scale_out_requests;
     /** Part of the ids of scale-outs. */
--- a/src/cloud/machine_list.c
+++ b/src/cloud/machine_list.c
@@ -15,7 +15,7 @@
  */
 static const double LAG_FACTOR = 2, LAG_MARGIN_S = 5;
 
-static void forget_unlisted_machines(struct cloud_provider *cloud)
+static void remove_unlisted_machines(struct cloud_provider *cloud)
 {
     double lag_s = cloud->settings->cloud_list_lag_s * LAG_FACTOR + LAG_MARGIN_S;
     mono_time now = loop_now(cloud->loop);
@@ -29,12 +29,12 @@
 }
 
 /** Bounds the memory for returned machines; those that the list still has must be kept. */
-static void forget_old_gone_machines(struct cloud_provider *cloud)
+static void prune_returned_machines(struct cloud_provider *cloud)
 {
     GHashTableIter it;
     char *id;
-    g_hash_table_iter_init(&it, cloud->gone_machines);
-    while (g_hash_table_size(cloud->gone_machines) > MAX_TRACKED_MACHINES &&
+    g_hash_table_iter_init(&it, cloud->returned_machines);
+    while (g_hash_table_size(cloud->returned_machines) > MAX_TRACKED_MACHINES &&
            g_hash_table_iter_next(&it, (gpointer *)&id, NULL))
         if (!g_hash_table_contains(cloud->machine_list.listed_ids, id))
             g_hash_table_iter_remove(&it);
@@ -43,8 +43,8 @@
 static void finish_list(struct cloud_provider *cloud)
 {
     struct machine_list_state *list = &cloud->machine_list;
-    forget_unlisted_machines(cloud);
-    forget_old_gone_machines(cloud);
+    remove_unlisted_machines(cloud);
+    prune_returned_machines(cloud);
     g_clear_pointer(&list->cursor, g_free);
     g_clear_pointer(&list->listed_ids, g_hash_table_unref);
     list->read_at = loop_now(cloud->loop);
@@ -55,7 +55,7 @@
 static void handle_listed_machine(struct cloud_provider *cloud, const struct listed_machine *listed)
 {
     g_hash_table_add(cloud->machine_list.listed_ids, g_strdup(listed->id.text));
-    if (cloud_provider_is_gone(cloud, listed->id.text))
+    if (cloud_provider_is_returned(cloud, listed->id.text))
         return;
     struct cloud_machine *machine = g_hash_table_lookup(cloud->machines, listed->id.text);
     if (!machine) {
--- a/src/cloud/machine_types.c
+++ b/src/cloud/machine_types.c
@@ -44,12 +44,12 @@
 }
 
 /** A new array of as many types, from an index on, as one stored value can have. */
-static GArray *take_types_part(struct cloud_provider *cloud, guint from)
+static GArray *new_types_part(struct cloud_provider *cloud, guint first_index)
 {
     const GArray *types = cloud->machine_types.types;
     GArray *part = g_array_new(FALSE, FALSE, sizeof(struct machine_type));
     gsize max_bytes = kv_client_limits(cloud->kv)->max_value_bytes - VALUE_OVERHEAD_BYTES;
-    for (guint i = from; i < types->len; i++) {
+    for (guint i = first_index; i < types->len; i++) {
         g_array_append_val(part, g_array_index(types, struct machine_type, i));
         json_object *value = machine_types_encode(part);
         bool fits = kv_value_size_bytes(value) <= max_bytes;
@@ -75,7 +75,7 @@
     json_object *first_value = NULL;
     guint type_count = 0;
     do {
-        GArray *part = take_types_part(cloud, type_count);
+        GArray *part = new_types_part(cloud, type_count);
         json_object *value = machine_types_encode(part);
         if (parts.count == 0) {
             first_value = value;
--- a/src/cloud/scale_in.c
+++ b/src/cloud/scale_in.c
@@ -12,12 +12,12 @@
 enum {
     MAX_MACHINES_PER_SCALE_IN = 100,
     /** In one list of machines that owners must cordon, or must know to be gone. */
-    MAX_MACHINES_PER_NOTICE = 500,
+    MAX_MACHINES_PER_LISTING = 500,
 };
 
-bool cloud_provider_is_gone(const struct cloud_provider *cloud, const char *id)
+bool cloud_provider_is_returned(const struct cloud_provider *cloud, const char *id)
 {
-    return g_hash_table_contains(cloud->gone_machines, id);
+    return g_hash_table_contains(cloud->returned_machines, id);
 }
 
 bool cloud_provider_is_scaling_in(const struct cloud_provider *cloud, const char *id)
@@ -40,12 +40,12 @@
 
 void cloud_provider_scale_in(struct cloud_provider *cloud, machine_id id, const char *reason)
 {
-    if (cloud_provider_is_gone(cloud, id.text) ||
+    if (cloud_provider_is_returned(cloud, id.text) ||
         g_hash_table_contains(cloud->scale_in_requests, id.text))
         return;
     LOG_INFO("scale_in_requested", "machine=%s reason=%s", id.text, reason);
     add_request(cloud, id,
-                cloud_provider_records_intents(cloud) ? SCALE_IN_WANTED : SCALE_IN_READY);
+                cloud_provider_records_intents(cloud) ? SCALE_IN_AWAITING_CORDON : SCALE_IN_READY);
 }
 
 void scale_in_recover(struct cloud_provider *cloud, const struct intent *intent)
@@ -64,7 +64,7 @@
     GHashTableIter it;
     struct scale_in_request *request;
     g_hash_table_iter_init(&it, cloud->scale_in_requests);
-    while (ids->len < MAX_MACHINES_PER_NOTICE &&
+    while (ids->len < MAX_MACHINES_PER_LISTING &&
            g_hash_table_iter_next(&it, NULL, (gpointer *)&request))
         if (request->phase == phase)
             g_ptr_array_add(ids, g_strdup(request->id.text));
@@ -76,17 +76,17 @@
     /* Requests are dropped when the role is gained. A machine that was cordoned for one of them
      * would stay cordoned, and never count as idle. */
     return role_manager_holds(cloud->role_manager, ROLE_AUTOSCALER)
-               ? list_machines_in_phase(cloud, SCALE_IN_WANTED)
+               ? list_machines_in_phase(cloud, SCALE_IN_AWAITING_CORDON)
                : g_ptr_array_new_with_free_func(g_free);
 }
 
-void cloud_provider_note_cordoned(struct cloud_provider *cloud, const char *id, epoch_no epoch)
+void cloud_provider_mark_cordoned(struct cloud_provider *cloud, const char *id, epoch_no epoch)
 {
     struct scale_in_request *request = g_hash_table_lookup(cloud->scale_in_requests, id);
-    if (!request || request->phase != SCALE_IN_WANTED)
+    if (!request || request->phase != SCALE_IN_AWAITING_CORDON)
         return;
     request->phase = SCALE_IN_CORDONED;
-    request->cordoned_in = epoch;
+    request->cordoned_in_epoch = epoch;
 }
 
 GPtrArray *cloud_provider_list_to_announce(struct cloud_provider *cloud)
@@ -98,7 +98,7 @@
  * The intent stays on record until then: a new epoch uncordons machines without one, and the owner
  * would place tasks on a machine that does not exist any more.
  */
-void cloud_provider_note_announced(struct cloud_provider *cloud, const char *id)
+void cloud_provider_mark_announced(struct cloud_provider *cloud, const char *id)
 {
     const struct scale_in_request *request = g_hash_table_lookup(cloud->scale_in_requests, id);
     if (!request || request->phase != SCALE_IN_CONFIRMED)
@@ -135,7 +135,7 @@
     case SCALE_IN_RECORDING:
         return state == INTENT_UNKNOWN;
     case SCALE_IN_CORDONED:
-        return request->cordoned_in.value != cloud->replica->shard_map_epoch.value;
+        return request->cordoned_in_epoch.value != cloud->replica->shard_map_epoch.value;
     default:
         return false;
     }
@@ -151,7 +151,7 @@
     if (state == INTENT_RECORDED)
         request->phase = SCALE_IN_READY;
     else if (must_start_over(cloud, request, state))
-        request->phase = SCALE_IN_WANTED;
+        request->phase = SCALE_IN_AWAITING_CORDON;
     else if (request->phase == SCALE_IN_CORDONED && !cloud->recording_paused)
         record_intent(cloud, request);
 }
@@ -177,21 +177,21 @@
 
 /* ---- responses ---- */
 
-static void forget_machine(struct cloud_provider *cloud, const char *id)
+static void remove_machine(struct cloud_provider *cloud, const char *id)
 {
     struct cloud_machine *machine = g_hash_table_lookup(cloud->machines, id);
     if (!machine)
         return;
     /* The cloud has capacity for one more of the kind now. */
     char *offer = cloud_offer_key(machine->type_name, machine->zone, machine->is_spot);
-    g_hash_table_remove(cloud->refused_until, offer);
+    g_hash_table_remove(cloud->offers_refused_until, offer);
     g_free(offer);
     g_hash_table_remove(cloud->machines, id);
 }
 
 static void finish_request(struct cloud_provider *cloud, const char *id)
 {
-    forget_machine(cloud, id);
+    remove_machine(cloud, id);
     struct scale_in_request *request = g_hash_table_lookup(cloud->scale_in_requests, id);
     if (request && cloud_provider_records_intents(cloud))
         request->phase = SCALE_IN_CONFIRMED;
@@ -222,7 +222,7 @@
     struct cloud_provider *cloud = call->cloud;
     bool is_confirmed = response->status == HTTP_STATUS_OK;
     for (guint i = 0; is_confirmed && i < call->ids->len; i++)
-        g_hash_table_add(cloud->gone_machines, g_strdup(call->ids->pdata[i]));
+        g_hash_table_add(cloud->returned_machines, g_strdup(call->ids->pdata[i]));
     if (cloud_call_is_current(call))
         handle_response(cloud, call->ids, is_confirmed);
     g_ptr_array_unref(call->ids);
--- a/src/cloud/scale_out.c
+++ b/src/cloud/scale_out.c
@@ -10,7 +10,7 @@
 #include "log.h"
 
 /** How long an offer is not requested after the cloud had no capacity for it. */
-enum { OFFER_REFUSED_MS = 15000 };
+enum { REFUSED_OFFER_BACKOFF_MS = 15000 };
 
 void scale_out_request_free(struct scale_out_request *request)
 {
@@ -87,11 +87,11 @@
 
 /* ---- refused offers ---- */
 
-bool cloud_provider_is_refused(struct cloud_provider *cloud, const char *type_name,
-                               const char *zone, bool is_spot)
+bool cloud_provider_is_offer_refused(struct cloud_provider *cloud, const char *type_name,
+                                     const char *zone, bool is_spot)
 {
     char *offer = cloud_offer_key(type_name, zone, is_spot);
-    const mono_time *until = g_hash_table_lookup(cloud->refused_until, offer);
+    const mono_time *until = g_hash_table_lookup(cloud->offers_refused_until, offer);
     g_free(offer);
     return until && time_before(loop_now(cloud->loop), *until);
 }
@@ -99,8 +99,8 @@
 static void mark_offer_refused(struct cloud_provider *cloud,
                                const struct scale_out_request *request)
 {
-    mono_time until = time_add_ms(loop_now(cloud->loop), OFFER_REFUSED_MS);
-    g_hash_table_replace(cloud->refused_until,
+    mono_time until = time_add_ms(loop_now(cloud->loop), REFUSED_OFFER_BACKOFF_MS);
+    g_hash_table_replace(cloud->offers_refused_until,
                          cloud_offer_key(request->type_name, request->zone, request->is_spot),
                          g_memdup2(&until, sizeof until));
 }
@@ -142,7 +142,7 @@
         machine_id id = g_array_index(ids, machine_id, i);
         /* A request that is sent again, perhaps by a later holder, gets the first response again:
          * its machines may have been returned since. */
-        if (!cloud_provider_is_gone(cloud, id.text) &&
+        if (!cloud_provider_is_returned(cloud, id.text) &&
             !cloud_provider_is_scaling_in(cloud, id.text))
             cloud_machine_add(cloud, id, request->type_name, request->zone, request->is_spot);
     }
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -10,14 +10,14 @@
  */
 static struct kv_limits get_kv_limits(const struct settings *settings)
 {
-    const struct kv_service_limits *now = &settings->kv_limits;
+    const struct kv_service_limits *current = &settings->kv_limits;
     const struct kv_service_limits *next = &settings->kv_limits_next;
     return (struct kv_limits){
-        .rate_limit_rps = MIN(now->requests_per_s, next->requests_per_s),
-        .rate_limit_write_rps = now->writes_per_s,
-        .rate_limit_next_write_rps = MIN(now->writes_per_s, next->writes_per_s),
-        .max_txn_operations = MIN(now->max_txn_operations, next->max_txn_operations),
-        .max_value_bytes = (size_t)(MIN(now->max_value_kb, next->max_value_kb) * 1024),
+        .rate_limit_rps = MIN(current->requests_per_s, next->requests_per_s),
+        .rate_limit_write_rps = current->writes_per_s,
+        .rate_limit_next_write_rps = MIN(current->writes_per_s, next->writes_per_s),
+        .max_txn_operations = MIN(current->max_txn_operations, next->max_txn_operations),
+        .max_value_bytes = (size_t)(MIN(current->max_value_kb, next->max_value_kb) * 1024),
         .max_response_bytes = settings_max_response_bytes(settings),
         .node_count = settings->node_count};
 }
--- a/src/scheduler/autoscaler.c
+++ b/src/scheduler/autoscaler.c
@@ -73,7 +73,8 @@
 static void scale_out(struct leader *leader)
 {
     autoscaler_measure_services(leader);
-    if (!scheduling_policy_machine_types(leader) || !cloud_provider_is_listed(leader->cloud))
+    if (!scheduling_policy_machine_types(leader) ||
+        !cloud_provider_has_complete_list(leader->cloud))
         return;
     /* Each run replaces the plan of the last one: the cloud allows few calls, and outdated orders
      * would delay those that are needed now. */
--- a/src/scheduler/autoscaler_offers.c
+++ b/src/scheduler/autoscaler_offers.c
@@ -69,8 +69,8 @@
     const struct capacity_request *request = search->request;
     return job_spec_allows_machine(request->spec, offer->type->name, offer->zone, offer->is_spot) &&
            (!request->zone || strcmp(request->zone, offer->zone) == 0) &&
-           !cloud_provider_is_refused(search->leader->cloud, offer->type->name, offer->zone,
-                                      offer->is_spot) &&
+           !cloud_provider_is_offer_refused(search->leader->cloud, offer->type->name, offer->zone,
+                                            offer->is_spot) &&
            !(search->avoid_silent_zones && is_zone_avoided(search->leader, offer->zone));
 }
 
--- a/src/scheduler/autoscaler_orders.c
+++ b/src/scheduler/autoscaler_orders.c
@@ -56,6 +56,6 @@
     struct ledger_machine *machine;
     g_hash_table_iter_init(&it, leader->ledger.machines);
     while (g_hash_table_iter_next(&it, NULL, (gpointer *)&machine))
-        if (cloud_provider_is_gone(leader->cloud, machine->id.text))
+        if (cloud_provider_is_returned(leader->cloud, machine->id.text))
             announce_to_owner(leader, machine);
 }
--- a/src/scheduler/feature_switch.c
+++ b/src/scheduler/feature_switch.c
@@ -92,7 +92,7 @@
 static bool may_disable(const struct leader *leader)
 {
     return role_manager_may_act(leader->role_manager, ROLE_AUTOSCALER) &&
-           cloud_provider_is_settled(leader->cloud);
+           cloud_provider_has_no_intents(leader->cloud);
 }
 
 /** Follows the switch as the replica shows it, whoever has turned it. */
--- a/src/scheduler/placement.c
+++ b/src/scheduler/placement.c
@@ -16,7 +16,7 @@
     if (time_before(now, machine->health.quarantined_until) ||
         time_before(now, machine->health.avoid_until) || machine_health_is_slow(leader, machine))
         return false;
-    return !cloud_provider_is_gone(leader->cloud, machine->id.text) &&
+    return !cloud_provider_is_returned(leader->cloud, machine->id.text) &&
            !cloud_provider_is_scaling_in(leader->cloud, machine->id.text);
 }
 
--- a/src/scheduler/shard_dispatcher.c
+++ b/src/scheduler/shard_dispatcher.c
@@ -129,7 +129,7 @@
 {
     GPtrArray *names = dispatch_answer_decode(answer);
     for (guint i = 0; i < names->len; i++)
-        cloud_provider_note_cordoned(leader->cloud, names->pdata[i], leader->epoch);
+        cloud_provider_mark_cordoned(leader->cloud, names->pdata[i], leader->epoch);
     g_ptr_array_unref(names);
 }
 
@@ -139,7 +139,7 @@
     const cJSON *name;
     cJSON_ArrayForEach(
         name, cJSON_GetObjectItemCaseSensitive(channel->unacknowledged, DISPATCH_MESSAGE_RETURNED))
-        cloud_provider_note_announced(leader->cloud, name->valuestring);
+        cloud_provider_mark_announced(leader->cloud, name->valuestring);
 }
 
 /** Moves a list, if it is not empty, into a message. */
--- a/tests/test_autoscaler.c
+++ b/tests/test_autoscaler.c
@@ -15,7 +15,7 @@
 {
     world_run(world, 4000);
     struct leader *leader = world_leader(world)->leader;
-    assert_true(cloud_provider_is_listed(leader->cloud));
+    assert_true(cloud_provider_has_complete_list(leader->cloud));
     return leader;
 }
 
