--- a/src/api/api_internal.h
+++ b/src/api/api_internal.h
@@ -108,7 +108,7 @@
 
 /** The value of the key of a job that is not over: its submission time, what was submitted, and
  * whether it is cancelled. A new object. */
-json_object *api_encode_active_job(json_object *spec, int64_t submitted_ms, bool is_cancelled);
+json_object *api_encode_nonfinal_job(json_object *spec, int64_t submitted_ms, bool is_cancelled);
 /** Writes the job's key on the condition that it still stands at that revision (0: that there is
  * none), and responds. Takes the value. After a conflict or a lost response the request is resumed.
  */
--- a/src/api/dependency_check.c
+++ b/src/api/dependency_check.c
@@ -81,7 +81,7 @@
     }
     json_object_deep_copy(request->job_spec, &spec, NULL);
     job_spec_put_dependencies(spec, pending);
-    json_object *value = api_encode_active_job(spec, now.ms, false);
+    json_object *value = api_encode_nonfinal_job(spec, now.ms, false);
     json_object_put(spec);
     return value;
 }
--- a/src/api/job_write.c
+++ b/src/api/job_write.c
@@ -10,7 +10,7 @@
 /* Attempts at a conditional write before the user is asked to come back. */
 enum { MAX_WRITE_ATTEMPTS = 4 };
 
-json_object *api_encode_active_job(json_object *spec, int64_t submitted_ms, bool is_cancelled)
+json_object *api_encode_nonfinal_job(json_object *spec, int64_t submitted_ms, bool is_cancelled)
 {
     json_object *object = json_object_new_object();
     json_put_u64(object, JOB_FIELD_SUBMITTED_MS, (uint64_t)submitted_ms);
@@ -100,7 +100,7 @@
 static json_object *encode_cancelled_job(const struct job_spec *spec, int64_t submitted_ms)
 {
     json_object *spec_object = job_spec_encode(spec);
-    json_object *value = api_encode_active_job(spec_object, submitted_ms, true);
+    json_object *value = api_encode_nonfinal_job(spec_object, submitted_ms, true);
     json_object_put(spec_object);
     return value;
 }
--- a/src/api/submit.c
+++ b/src/api/submit.c
@@ -19,7 +19,7 @@
  * cancelled. */
 static bool can_store(struct api *api, json_object *spec)
 {
-    json_object *value = api_encode_active_job(spec, INT64_MAX, true);
+    json_object *value = api_encode_nonfinal_job(spec, INT64_MAX, true);
     bool fits = kv_value_size_bytes(value) <= kv_client_limits(api->kv)->max_value_bytes;
     json_object_put(value);
     return fits;
