--- a/daemon/main.c
+++ b/daemon/main.c
@@ -1,6 +1,7 @@
 /**
  * @file
- * linenlandingd: reads the command line and the files it names, opens the sockets and runs a node.
+ * linenlandingd: parses the command line, loads the files that it names, opens the listening
+ * sockets and runs a node.
  */
 #include "log.h"
 #include "node.h"
@@ -10,9 +11,9 @@
 #include <stdlib.h>
 
 enum {
-    /** The exit code for a command line or a file that cannot be used. */
+    /** The exit code for an invalid command line, environment variable or file. */
     EXIT_USAGE = 2,
-    /** Open files besides connections. */
+    /** The number of file descriptors reserved for uses other than connections. */
     RESERVED_FDS = 24,
     MAX_CONNECTIONS_PER_ADDRESS = 8,
     MIN_CLIENT_CONNECTIONS = 8,
@@ -24,20 +25,20 @@
     MAX_API_BODY_BYTES = 64 << 10,
 };
 
-/** The command line. The paths are owned; NULL: not given. */
+/** The options of the command line. The paths are owned; NULL means that the option is absent. */
 struct options {
     char *config, *policy, *check_policy, *features, *check_features;
     gboolean version, check_config;
 };
 
-/** Reports an error, and returns the exit code. */
+/** Prints an error to standard error and returns the exit code. */
 static int report_usage_error(const char *message)
 {
     (void)fprintf(stderr, "linenlandingd: %s\n", message);
     return EXIT_USAGE;
 }
 
-/** Reports an error of settings, policy or features, which it frees. Returns the exit code. */
+/** Prints an error of options, settings, policy or features, frees it and returns the exit code. */
 static int report_config_error(GError *error)
 {
     int exit_code = report_usage_error(error->message);
@@ -45,21 +46,22 @@
     return exit_code;
 }
 
+/** Parses the command line. Returns false and sets `error` if it is invalid. */
 static bool parse_options(int argc, char **argv, struct options *options, GError **error)
 {
     const GOptionEntry entries[] = {
-        {"config", 'c', 0, G_OPTION_ARG_FILENAME, &options->config, "Settings of this node (TOML)",
-         "FILE"},
-        {"policy", 'p', 0, G_OPTION_ARG_FILENAME, &options->policy, "Operators' own settings",
+        {"config", 'c', 0, G_OPTION_ARG_FILENAME, &options->config,
+         "Settings file of this node (TOML, required)", "FILE"},
+        {"policy", 'p', 0, G_OPTION_ARG_FILENAME, &options->policy, "Policy file of the operators",
          "FILE"},
         {"check-policy", 0, 0, G_OPTION_ARG_FILENAME, &options->check_policy,
-         "Check operators' own settings and exit", "FILE"},
+         "Check the policy in FILE and exit", "FILE"},
         {"features", 'f', 0, G_OPTION_ARG_FILENAME, &options->features,
-         "Features that are switched on", "FILE"},
+         "File of the enabled features (TOML)", "FILE"},
         {"check-features", 0, 0, G_OPTION_ARG_FILENAME, &options->check_features,
-         "Check such a file and exit", "FILE"},
+         "Check the features in FILE and exit", "FILE"},
         {"check-config", 0, 0, G_OPTION_ARG_NONE, &options->check_config,
-         "Check the settings and exit", NULL},
+         "Check the files of the other options and exit", NULL},
         {"version", 'V', 0, G_OPTION_ARG_NONE, &options->version, "Print the version and exit",
          NULL},
         {0},
@@ -69,8 +71,8 @@
     bool ok = g_option_context_parse(context, &argc, &argv, error);
     g_option_context_free(context);
     if (ok && argc > 1) {
-        g_set_error(error, G_OPTION_ERROR, G_OPTION_ERROR_UNKNOWN_OPTION, "unexpected argument %s",
-                    argv[1]);
+        g_set_error(error, G_OPTION_ERROR, G_OPTION_ERROR_UNKNOWN_OPTION,
+                    "unexpected argument \"%s\": only options are accepted, see --help", argv[1]);
         ok = false;
     }
     return ok;
@@ -87,21 +89,22 @@
 
 /* ---- connections ---- */
 
-/** How many connections the process may have open. */
+/** Returns the maximum number of connections that the process may have open. */
 static int get_max_connections(const struct settings *settings)
 {
     return settings->max_open_files - RESERVED_FDS;
 }
 
 /**
- * Agents and users connect to this node, and it may have to connect to any agent: to all of them,
- * when it is the last node. So 9/16 of the connections are for the API, 3/8 for the client and 1/16
- * for other nodes; beyond a limit the connection that has idled longest is closed.
+ * Returns the limits of the HTTP client. Agents and users connect to this node, and it may have to
+ * connect to any agent: to all agents, if it is the last live node. So 9/16 of the connections are
+ * for the API server, 3/8 for the client and 1/16 for the RPC server. Beyond a limit, the
+ * connection that has been idle for the longest time is closed.
  */
 static struct http_client_limits get_client_limits(const struct settings *settings)
 {
     int max_connections = get_max_connections(settings);
-    /* To the nodes, the key-value store and the cloud, which are exempt from the limit. */
+    /* Connections to the nodes, the key-value store and the cloud are exempt from the limit. */
     int exempt_connections = MAX_CONNECTIONS_PER_ADDRESS * (settings->node_count + 1);
     return (struct http_client_limits){
         .max_connections =
@@ -125,7 +128,9 @@
     return http_client;
 }
 
-/** Opens the sockets for users and agents, and for other nodes. False: an address cannot be used.
+/**
+ * Opens the listening sockets for users and agents, and for other nodes. Returns false, and logs
+ * an error, if it cannot listen on an address.
  */
 static bool open_servers(struct loop *loop, struct node *node, const struct settings *settings)
 {
@@ -152,7 +157,7 @@
     return false;
 }
 
-/** Runs until the process is ended; returns only if it cannot begin. */
+/** Runs a node until the process ends. Returns only if the node cannot start. */
 static int run_node(const struct settings *settings, const struct policy *policy,
                     const struct feature_set *features)
 {
@@ -177,7 +182,7 @@
     if (!policy)
         return report_config_error(error);
     policy_free(policy);
-    printf("%s: fine\n", path);
+    printf("%s: valid\n", path);
     return 0;
 }
 
@@ -187,18 +192,25 @@
     struct feature_set features;
     if (!feature_set_load(path, &features, &error))
         return report_config_error(error);
-    printf("%s: fine\n", path);
+    printf("%s: valid\n", path);
     return 0;
 }
 
-/** Sets up the log from LOG_LEVEL in the environment. False: that is not the name of a level. */
-static bool set_up_log(const struct settings *settings)
+/**
+ * Sets up logging at the level of the environment variable LOG_LEVEL, or at `info` if it is unset
+ * or empty. Returns false and sets `error` if its value is not the name of a level.
+ */
+static bool set_up_log(const struct settings *settings, GError **error)
 {
     const char *level = g_getenv("LOG_LEVEL");
-    return log_setup(level && *level ? level : "info", settings->label);
+    if (log_setup(level && *level ? level : "info", settings->label))
+        return true;
+    g_set_error(error, G_OPTION_ERROR, G_OPTION_ERROR_BAD_VALUE,
+                "environment variable LOG_LEVEL: must be error, info or debug, not \"%s\"", level);
+    return false;
 }
 
-/** Reads all files of a node, and runs it unless they were only to be checked. */
+/** Loads all files of a node, and runs the node unless `--check-config` is given. */
 static int load_and_run(const struct options *options)
 {
     GError *error = NULL;
@@ -208,12 +220,10 @@
     int exit_code;
     if (settings && (!options->features || feature_set_load(options->features, &features, &error)))
         policy = options->policy ? policy_load(options->policy, &error) : policy_default();
-    if (!policy)
+    if (!policy || !set_up_log(settings, &error))
         exit_code = report_config_error(error);
-    else if (!set_up_log(settings))
-        exit_code = report_usage_error("LOG_LEVEL: must be error, info or debug");
     else if (options->check_config)
-        exit_code = printf("%s: fine\n", options->config) < 0;
+        exit_code = printf("%s: valid\n", options->config) < 0;
     else
         exit_code = run_node(settings, policy, &features);
     if (policy)
@@ -234,7 +244,8 @@
     if (options->check_features)
         return check_features(options->check_features);
     if (!options->config)
-        return report_usage_error("--config FILE is missing");
+        return report_usage_error(
+            "option --config FILE is required: it names the settings file of the node");
     return load_and_run(options);
 }
 
