--- a/src/api/api.c
+++ b/src/api/api.c
@@ -1,10 +1,17 @@
-/** Routes users' and agents' requests, and forwards users' requests to a peer while the key-value
- * store does not answer this node. */
+/**
+ * @file
+ * Routes the requests of users and agents, and forwards users' requests to a peer while the
+ * key-value store does not answer this node.
+ */
 #include "api_internal.h"
 
 enum {
-    /* Requests that may wait for the key-value store, however few files may be open. */
+    /** The lower bound of `max_waiting`, which otherwise follows from the limit on open files. */
     MIN_WAITING_LIMIT = 400,
+    /**
+     * A node is ready if its replica is less stale than this, or its knowledge of the cancellations
+     * on all nodes is less stale than half of this.
+     */
     MAX_READY_STALENESS_MS = 8000,
     FORWARD_TIMEOUT_MS = 1500,
 };
@@ -43,8 +50,10 @@
     g_free(api);
 }
 
-/* Ready as long as requests can be answered, by a peer if need be. An outage of the key-value store
- * that hits all nodes alike does not count: taking them all out of service would only prolong it.
+/**
+ * Returns whether this node can answer requests, if necessary through a peer. An outage of the
+ * key-value store that affects all nodes does not make them unready: taking all of them out of
+ * service would only prolong it.
  */
 static bool is_ready_to_serve(struct api *api)
 {
@@ -95,7 +104,7 @@
                            id);
 }
 
-/* A request that a peer answers. */
+/** The context of a request that a peer answers. */
 struct forwarded_request {
     struct api *api;
     struct http_responder *responder;
@@ -121,8 +130,10 @@
     return strncmp(path, JOBS_PATH, length) == 0 && (!path[length] || path[length] == '/');
 }
 
-/* Whether it is a submission of a job with dependencies: a node of an earlier version would take it
- * for one without. */
+/**
+ * Returns whether the request submits a job with dependencies. A node older than
+ * NODE_VERSION_JOB_DAG would ignore them.
+ */
 static bool submission_has_dependencies(const struct http_request *request)
 {
     if (strcmp(request->path, JOBS_PATH) != 0 || !request->body_bytes)
@@ -133,7 +144,10 @@
     return has_any;
 }
 
-/* While the key-value store answers other nodes and not this one, they answer for it. */
+/**
+ * Forwards a request to a peer if the key-value store answers that peer and not this node. Returns
+ * false if the request is to be served locally.
+ */
 static bool forward_to_peer(struct api *api, struct http_responder *responder, connection_ref from,
                             const struct http_request *request)
 {
@@ -170,7 +184,7 @@
         api_reply_error(responder, from, HTTP_STATUS_UNAVAILABLE, "not ready");
 }
 
-/* Serves a request on this node, whoever asked: a user, an agent or a peer. */
+/** Serves a request of a user, an agent or a peer on this node, without forwarding it. */
 static void serve_locally(void *context, struct http_responder *responder, connection_ref from,
                           const struct http_request *request)
 {
--- a/src/api/api.h
+++ b/src/api/api.h
@@ -1,5 +1,8 @@
-/** The users' interface of one node: submissions, polls, cancellations and health; it also routes
- * the agents' heartbeats to the shard. Every node has one, whoever leads. */
+/**
+ * @file
+ * The HTTP API of a node: submissions, polls and cancellations of jobs, and the readiness check. It
+ * also routes the agents' heartbeats to the shard. Every node serves the API, leader or not.
+ */
 #ifndef LL_API_H
 #define LL_API_H
 
@@ -8,7 +11,7 @@
 
 struct api;
 
-/** What the interface works with. All of it outlives the interface. */
+/** The dependencies of the API, all of which must outlive it. */
 struct api_setup {
     struct loop *loop;
     struct kv_client *kv;
@@ -21,11 +24,17 @@
     const struct settings *settings;
 };
 
+/** Creates the API, and makes it serve the requests that peers forward to this node. */
 struct api *api_new(const struct api_setup *setup);
+/** Frees the API. No server may pass requests to it any more. */
 void api_free(struct api *api);
 
-/** Serves one request; an http_handler for the server on the settings' `api_addr`. The response may
- * come later. `context` is the struct api. */
+/**
+ * Serves one request. This is the http_handler of the server on the address in the setting
+ * `api_addr`. The response may be sent after the function returns.
+ *
+ * @param context  the struct api
+ */
 void api_serve(void *context, struct http_responder *responder, connection_ref from,
                const struct http_request *request);
 
--- a/src/api/api_request.c
+++ b/src/api/api_request.c
@@ -1,5 +1,8 @@
-/** The requests that wait for the key-value store: their number is bounded, and each gets a
- * response in time. */
+/**
+ * @file
+ * The requests that wait for the key-value store. Their number is limited, and each gets a response
+ * before its timeout.
+ */
 #include "api_internal.h"
 
 enum { TIMEOUT_CHECK_INTERVAL_MS = 50 };
@@ -28,7 +31,10 @@
     g_free(request);
 }
 
-/* While the key-value store answers nobody here, waiting longer is of no use: all are refused. */
+/**
+ * Refuses the requests whose timeout has expired. While the key-value store is unavailable to this
+ * node, refuses all requests, as waiting longer is of no use then.
+ */
 void api_expire_requests(void *context)
 {
     struct api *api = context;
@@ -42,7 +48,7 @@
         timer_start(api->loop, &api->timeout_timer, TIMEOUT_CHECK_INTERVAL_MS);
 }
 
-/* Why no request can wait here now; NULL: one can. */
+/** Returns why a request cannot wait on this node now, or NULL if it can. */
 static const char *get_refusal_reason(const struct api *api)
 {
     if (!api->replica->is_ready)
--- a/src/api/api_response.c
+++ b/src/api/api_response.c
@@ -1,4 +1,7 @@
-/** Responses to users. */
+/**
+ * @file
+ * Responses to users.
+ */
 #include "api_internal.h"
 
 void api_reply(struct http_responder *responder, connection_ref to, int status, char *body)
--- a/src/api/dependency_check.c
+++ b/src/api/dependency_check.c
@@ -1,4 +1,7 @@
-/** The jobs that a submission depends on: each must have been accepted. */
+/**
+ * @file
+ * The check that all jobs that a submission depends on were accepted.
+ */
 #include "api_internal.h"
 
 static void reply_never_accepted(struct api_request *request)
@@ -20,7 +23,7 @@
     }
     if (!request->is_answered && response->status == HTTP_STATUS_NOT_FOUND)
         reply_never_accepted(request);
-    else if (!request->is_answered) /* unreadable now, or a job that the replica will show soon */
+    else if (!request->is_answered) /* unreadable, or an active job that the replica lacks yet */
         api_request_refuse(request);
     api_request_free(request);
 }
@@ -33,8 +36,10 @@
     g_free(key);
 }
 
-/* The replica does not hold the job. Behind a read barrier that means that it was never accepted,
- * or has been over for so long that only its key is left. */
+/**
+ * Handles a dependency that is not in the replica. After a read barrier this means that the job was
+ * never accepted, or finished so long ago that it was evicted and only its key is left.
+ */
 static void resolve_missing_dependency(struct api_request *request, job_id id)
 {
     struct api *api = request->api;
@@ -49,7 +54,7 @@
     }
 }
 
-/* A job that was accepted stays so: what the replica holds needs no barrier. */
+/** A job stays accepted forever, so a job found in the replica needs no read barrier. */
 bool api_request_check_dependencies(struct api_request *request)
 {
     while (request->dependencies_checked < request->dependency_count) {
@@ -66,7 +71,7 @@
     return true;
 }
 
-/* Jobs that are done are left out, so that nobody has to remember them for the new job's sake. */
+/** Leaves out dependencies that are done, so that no node has to keep them for the new job. */
 json_object *api_request_encode_job(struct api_request *request)
 {
     struct api *api = request->api;
--- a/src/api/job_write.c
+++ b/src/api/job_write.c
@@ -1,13 +1,16 @@
-/** Writes of a job's key: the record of a new job, or of its cancellation.
+/**
+ * @file
+ * Writes of a job's key: the record of a new job, or of its cancellation.
  *
- * A submission or a cancellation is confirmed to its user only after its conditional write is
- * (docs/safety.md). */
+ * A submission or a cancellation is confirmed to its user only after its conditional write was
+ * committed (docs/safety.md).
+ */
 #include "api_internal.h"
 #include "kv_codec.h"
 #include "log.h"
 #include "stored_fields.h"
 
-/* Attempts at a conditional write before the user is asked to come back. */
+/** The number of attempts at a conditional write before the request is refused with 503. */
 enum { MAX_WRITE_ATTEMPTS = 4 };
 
 json_object *api_encode_nonfinal_job(json_object *spec, int64_t submitted_ms, bool is_cancelled)
@@ -33,7 +36,7 @@
     return is_final;
 }
 
-/* All nodes know of the cancellation, so it may be confirmed to its user. */
+/** Called once all nodes know of the cancellation, so that it may be confirmed to its user. */
 static void on_cancel_announced(void *context)
 {
     struct api_request *request = context;
@@ -57,7 +60,7 @@
     api_request_free(request);
 }
 
-/* Goes on with a write that was not committed, or gives up. */
+/** Resumes a request whose write is not known to be committed, or refuses it. */
 static void retry_or_refuse(struct api_request *request, const struct txn_outcome *outcome)
 {
     struct api *api = request->api;
@@ -68,7 +71,7 @@
         api_request_free(request);
     } else if (outcome->status == TXN_CONFLICT) {
         replica_await_revision(api->replica, outcome->at_revision, api->resume, request);
-    } else { /* it may have been committed: the replica will show it */
+    } else { /* the write may have been committed; after a barrier the replica shows whether */
         replica_read_barrier(api->replica, api->resume, request);
     }
 }
@@ -79,7 +82,7 @@
     if (request->action == API_ACTION_CANCEL)
         cancel_broadcast_finish(request->api->cancel_broadcast, request->job_id, outcome);
     if (request->is_answered)
-        api_request_free(request); /* its user repeats it */
+        api_request_free(request); /* the 503 response told the user to repeat the request */
     else if (outcome->status == TXN_COMMITTED)
         on_committed(request, outcome->at_revision);
     else
@@ -96,7 +99,7 @@
     kv_client_commit(request->api->kv, KV_LANE_URGENT, txn, on_job_written, request);
 }
 
-/* The value of a cancelled job's key. */
+/** Returns the value of the key of a cancelled job without a final state. */
 static json_object *encode_cancelled_job(const struct job_spec *spec, int64_t submitted_ms)
 {
     json_object *spec_object = job_spec_encode(spec);
@@ -105,9 +108,11 @@
     return value;
 }
 
-/* What a cancelled job's tasks use has to stay known until they have ended, but no more than that:
- * if the job was stored when longer values were allowed, the rest is left out, as nothing of the
- * job starts again. */
+/**
+ * Returns the value of a cancelled job's key, at most `max_bytes` long. The resources of the job
+ * must stay known until its tasks have ended. If the job was stored when larger values were
+ * allowed, the other fields are left out, as no task of the job will start again.
+ */
 static json_object *encode_cancelled_job_within_limit(const struct job *job, size_t max_bytes)
 {
     json_object *value = encode_cancelled_job(job->spec, job->submitted_at.ms);
--- a/src/api/query.c
+++ b/src/api/query.c
@@ -1,4 +1,7 @@
-/** Polls and cancellations. */
+/**
+ * @file
+ * Polls and cancellations.
+ */
 #include "api_internal.h"
 
 void api_poll_or_cancel(struct api *api, struct http_responder *responder, connection_ref from,
@@ -10,7 +13,7 @@
         return;
     }
     struct job *known_job = api->replica->is_ready ? api_find_job(api, id) : NULL;
-    if (known_job && known_job->state != JOB_ACTIVE) { /* its end never changes */
+    if (known_job && known_job->state != JOB_ACTIVE) { /* a finished job never changes */
         api_reply_job(api, responder, from, known_job);
         return;
     }
@@ -18,7 +21,7 @@
     if (!request)
         return;
     if (action == API_ACTION_CANCEL && known_job)
-        api_request_step(request, true); /* the write is conditioned on what the replica holds */
+        api_request_step(request, true); /* the write depends on the revision in the replica */
     else
         replica_read_barrier(api->replica, api_request_step, request);
 }
--- a/src/api/request_steps.c
+++ b/src/api/request_steps.c
@@ -1,5 +1,8 @@
-/** The steps of a waiting request: behind a read barrier, what the replica holds decides how a
- * poll, a cancellation or a submission goes on. */
+/**
+ * @file
+ * The steps of a waiting request. After a read barrier, the state of the replica decides how a
+ * poll, a cancellation or a submission proceeds.
+ */
 #include "api_internal.h"
 
 static void on_key_response(void *context, const struct http_response *response)
@@ -19,8 +22,11 @@
     api_request_free(request);
 }
 
-/* Whether a job that the replica does not hold may have been over for so long that only its key is
- * left. The write of a new submission finds that out by itself, without a read. */
+/**
+ * Returns whether the key of a job that is not in the replica must be read, as the job may have
+ * finished so long ago that it was evicted and only its key is left. A new submission needs no
+ * read: its conditional write fails if the key exists.
+ */
 static bool needs_key(const struct api_request *request)
 {
     if (!request->api->replica->has_evicted_jobs || request->is_key_absent)
@@ -38,7 +44,10 @@
     g_free(key);
 }
 
-/* The job was never accepted. */
+/**
+ * Advances a request for a job that was never accepted, or a new submission, whose conditional
+ * write finds out whether it was.
+ */
 static void step_unknown_job(struct api_request *request)
 {
     if (request->action != API_ACTION_SUBMIT) {
@@ -55,6 +64,7 @@
     api_request_free(request);
 }
 
+/** Advances a request for a job that was accepted. */
 static void step_known_job(struct api_request *request, struct job *job)
 {
     if (request->action == API_ACTION_CANCEL && job->state == JOB_ACTIVE) {
--- a/src/api/submit.c
+++ b/src/api/submit.c
@@ -1,8 +1,14 @@
-/** Submissions: checked here, then written on the condition that there is no job of that id. */
+/**
+ * @file
+ * Submissions of jobs. They are validated, then written on the condition that no job with the same
+ * id exists.
+ */
 #include "api_internal.h"
 #include "resources.h"
 
-/* Whether the job can ever run: its team is known, a machine type fits, the team's limit suffices.
+/**
+ * Returns whether the job can ever run: its team is known, a machine type fits its tasks, and the
+ * team's limit suffices.
  */
 static bool can_ever_run(struct api *api, const struct job_spec *spec)
 {
@@ -15,8 +21,10 @@
            spec->gpus.milli * concurrent_tasks <= limits->gpus_max.milli;
 }
 
-/* Whether its record is within the key-value store's limit, also once it says that the job is
- * cancelled. */
+/**
+ * Returns whether the job's record is within the size limit of the key-value store, both now and
+ * after a cancellation is written to it.
+ */
 static bool can_store(struct api *api, json_object *spec)
 {
     json_object *value = api_encode_nonfinal_job(spec, INT64_MAX, true);
@@ -25,8 +33,10 @@
     return fits;
 }
 
-/* An invalid submission of a job that was accepted before gets that job's status, as any repeated
- * submission does; else the error. */
+/**
+ * Answers an invalid submission with the error, unless a job with the same id was accepted before.
+ * In that case the response is the status of that job, as for any repeated submission.
+ */
 static void reject_unless_known(struct api *api, struct http_responder *responder,
                                 connection_ref from, job_id id, int error_status)
 {
@@ -37,7 +47,7 @@
     replica_read_barrier(api->replica, api_request_step, request);
 }
 
-/* Why a valid submission cannot be taken now; NULL: it can. */
+/** Returns why a valid submission cannot be accepted now, or NULL if it can. */
 static const char *get_refusal_reason(struct api *api, const struct job_spec *spec)
 {
     if (!api->replica->machine_types)
@@ -48,7 +58,7 @@
     return NULL;
 }
 
-/* Takes the dependencies out of the specification. */
+/** Starts a valid submission. Takes ownership of the dependencies in `spec`. */
 static void submit_valid(struct api *api, struct http_responder *responder, connection_ref from,
                          struct job_spec *spec)
 {
@@ -71,7 +81,7 @@
     if (is_known || request->error_status)
         replica_read_barrier(api->replica, api_request_step, request);
     else
-        api_request_step(request, true); /* the conditional write finds out whether it is known */
+        api_request_step(request, true); /* the conditional write finds out if the job exists */
 }
 
 void api_submit(struct api *api, struct http_responder *responder, connection_ref from,
--- a/src/cloud/cloud_call.c
+++ b/src/cloud/cloud_call.c
@@ -1,15 +1,15 @@
 /**
  * @file
- * Calls to the cloud, and the budget that keeps them below the cloud's limit.
+ * Sends calls to the cloud, and keeps their rate below the cloud's limit with a token bucket.
  */
 #include "cloud_provider_internal.h"
 
 enum { CALL_TIMEOUT_MS = 4000 };
 
-/** The part of the cloud's limit that is used. */
+/** The share of the cloud's rate limit that this client uses. */
 static const double RATE_LIMIT_SHARE = 0.9;
 
-/** The most tokens in the budget: calls of so many seconds at the limit, and a part of one call. */
+/** The capacity of the token bucket: BURST_S seconds of calls at the limit, plus part of a call. */
 static const double BURST_S = 1.5, BURST_EXTRA_CALLS = 0.5;
 
 static const double US_PER_S = 1e6;
--- a/src/cloud/cloud_provider.c
+++ b/src/cloud/cloud_provider.c
@@ -1,15 +1,16 @@
 /**
  * @file
- * The state of the cloud's client, the right to act, and the order in which calls are sent.
+ * The state of the cloud client, the checks that decide whether it may call the cloud, and the
+ * order in which it sends calls.
  */
 #include "cloud_provider_internal.h"
 
 #include "log.h"
 
-/** The names of the two actions in log lines. */
+/** The values of `action=` in log lines. */
 static const char ACTION_SCALE_OUT[] = "scale_out", ACTION_SCALE_IN[] = "scale_in";
 
-/* ---- what the intent log needs of the node ---- */
+/* ---- callbacks of the intent log ---- */
 
 static revision get_shard_map_revision(void *ctx)
 {
@@ -23,7 +24,7 @@
     replica_await_revision_or_newest(cloud->replica, revision_needed, callback, callback_arg);
 }
 
-/** Intents count as run records do, so that the node's writes keep within its share. */
+/** Charges writes of intents to the same limit as run records: the node's share of all writes. */
 static void on_intents_written(void *ctx, guint write_count)
 {
     shard_charge_writes(((struct cloud_provider *)ctx)->shard, write_count);
@@ -34,9 +35,9 @@
     cloud_provider_step(ctx);
 }
 
-/* ---- changes of the autoscaler's role ---- */
+/* ---- changes of the autoscaler role ---- */
 
-/** Completes what earlier holders of the role recorded and did not settle. */
+/** Resumes the intents that earlier holders of the role recorded and did not settle. */
 static void recover_open_intents(struct cloud_provider *cloud)
 {
     intent_log_open(cloud->intents);
@@ -61,8 +62,8 @@
     const struct role_change *change = message->body;
     if (message->kind != MSG_ROLE_CHANGE || change->role != ROLE_AUTOSCALER)
         return;
-    /* What was queued under an earlier token is dropped, even if the role was gained again since.
-     */
+    /* Drops what was queued under an earlier fencing token, even if this node has regained the
+     * role since. */
     intent_log_close(cloud->intents);
     cloud_provider_reset(cloud);
     if (change->is_gained && role_manager_holds(cloud->role_manager, ROLE_AUTOSCALER) &&
@@ -70,7 +71,7 @@
         recover_open_intents(cloud);
 }
 
-/* ---- life ---- */
+/* ---- creation, reset and destruction ---- */
 
 static struct intent_log *new_intent_log(struct cloud_provider *cloud)
 {
@@ -128,7 +129,7 @@
     g_hash_table_remove_all(cloud->scale_in_requests);
     cloud->scale_in_call_in_flight = false;
     machine_list_reset(cloud);
-    /* The types themselves stay: they are valid whoever read them. */
+    /* The types themselves are kept: they stay valid when the role moves to another node. */
     cloud->machine_types.read_at = (mono_time){0};
     cloud->machine_types.call_in_flight = false;
 }
@@ -189,7 +190,7 @@
     actor_send(cloud->loop, cloud->listener, MSG_CLOUD_PROVIDER, NULL, NULL);
 }
 
-/* ---- the right to act ---- */
+/* ---- permission to call the cloud ---- */
 
 bool cloud_provider_records_intents(const struct cloud_provider *cloud)
 {
@@ -214,9 +215,9 @@
     return intent_log_is_empty(cloud->intents);
 }
 
-/* ---- delays in the log ---- */
+/* ---- logging of delays ---- */
 
-/** Logs the delays since the last line, if there were any. */
+/** Logs the delays measured since the previous log line, if any, and clears them. */
 static void log_delays(struct delay_histogram *delays, const char *action)
 {
     if (!delay_histogram_count(delays))
@@ -254,9 +255,9 @@
 }
 
 /**
- * The order decides which calls get the budget. Scale-ins come first. The types and the list come
- * before scale-outs until they are known, as nothing can be planned without them, and after them
- * once they are only refreshed.
+ * The order decides which calls get the tokens of the call budget. Scale-ins come first. The
+ * machine types and the machine list each come before scale-outs until they are known, as nothing
+ * can be planned without them. After that they are only refreshed, and come last.
  */
 void cloud_provider_step(struct cloud_provider *cloud)
 {
--- a/src/cloud/cloud_provider.h
+++ b/src/cloud/cloud_provider.h
@@ -1,11 +1,11 @@
 /**
  * @file
- * The client of the cloud: machine types, the list of rented machines, scale-out and scale-in,
- * within the cloud's limit on calls.
+ * The client of the cloud provider: reads machine types and the list of rented machines, and rents
+ * and returns machines, within the cloud's rate limit.
  *
- * Only the node that leads calls the cloud. While singleton roles are enabled it must hold the
- * autoscaler's role as well, and scale-outs and scale-ins are recorded as intents (intent_log.h)
- * before they are sent, so that a later holder completes what an earlier one has begun.
+ * Only the leader calls the cloud. While singleton roles are enabled it must hold the autoscaler
+ * role as well, and scale-outs and scale-ins are recorded as intents (intent_log.h) before they are
+ * sent, so that a later holder of the role completes what an earlier one began.
  */
 #ifndef LL_CLOUD_PROVIDER_H
 #define LL_CLOUD_PROVIDER_H
@@ -19,10 +19,13 @@
 
 struct cloud_provider;
 
-/** The message to the listener when machines, types or requests have changed; it has no body. */
+/**
+ * The kind of the message that tells the listener that machines, machine types or requests have
+ * changed. It has no body.
+ */
 enum { MSG_CLOUD_PROVIDER = 300 };
 
-/** What the client works with; all of it outlives the client. */
+/** The dependencies of the client, all of which must outlive it. */
 struct cloud_provider_setup {
     struct loop *loop;
     struct http_client *http_client;
@@ -30,101 +33,120 @@
     struct replica *replica;
     struct membership *membership;
     struct role_manager *role_manager;
-    /** Shares its limit on writes with the intents. */
+    /** Its limit on writes also covers the writes of intents. */
     struct shard *shard;
     const struct settings *settings;
     const struct feature_set *features;
-    /** Gets MSG_CLOUD_PROVIDER. */
+    /** Receives MSG_CLOUD_PROVIDER. */
     struct actor *listener;
 };
 
-/** Creates the client. */
+/** Creates a client, which follows the changes of the autoscaler role from then on. */
 struct cloud_provider *cloud_provider_new(const struct cloud_provider_setup *setup);
-/** Frees the client. Requests that were sent may still be carried out. */
+/** Frees the client. The cloud may still carry out requests that were sent. */
 void cloud_provider_free(struct cloud_provider *cloud);
 
 /** Sends the calls that are due; does nothing on a node that may not act. */
 void cloud_provider_step(struct cloud_provider *cloud);
 
-/** Forgets the machines and all requests; responses to calls that were sent before are ignored. */
+/**
+ * Clears the machines and all requests. Responses to calls sent before the reset are ignored,
+ * except that machines whose return they confirm still count as returned.
+ */
 void cloud_provider_reset(struct cloud_provider *cloud);
 
-/** A machine that is rented, whether it has booted or not. */
+/** A rented machine, booting or running. */
 struct cloud_machine {
     machine_id id;
     char type_name[48], zone[48];
     bool is_spot;
     enum cloud_machine_stage stage;
-    /** When the response with it arrived; for a machine known from the list, by its age there. */
+    /**
+     * When the scale-out response that names the machine arrived. For a machine first seen in the
+     * machine list it is computed from the age given there.
+     */
     mono_time requested_at;
 };
 
-/** Whether the whole list of machines was read since the last reset. */
+/** Returns whether the machine list was read to its end since the last reset. */
 bool cloud_provider_has_complete_list(const struct cloud_provider *cloud);
 
-/** Id -> struct cloud_machine; owned by the client. */
+/** Returns the rented machines (machine id -> struct cloud_machine). The client owns the table. */
 GHashTable *cloud_provider_get_machines(struct cloud_provider *cloud);
 
-/** Array of struct machine_type with current prices; NULL before the first response. */
+/**
+ * Returns an array of struct machine_type with current prices, or NULL before the first response.
+ * The client owns the array.
+ */
 const GArray *cloud_provider_get_types(const struct cloud_provider *cloud);
 
 /* ---- scale-out ---- */
 
+/** The largest number of machines in one scale-out request. */
 enum { MAX_MACHINES_PER_SCALE_OUT = 50 };
 
 /** Queues a request for at most MAX_MACHINES_PER_SCALE_OUT machines. */
 void cloud_provider_scale_out(struct cloud_provider *cloud, const char *type_name, const char *zone,
                               bool is_spot, int machine_count);
 
-/** The number of machines of the offer that are requested, without a final response yet. */
+/**
+ * Returns the number of machines in scale-out requests for this offer (machine type, zone, and
+ * spot or on-demand) that have no final response yet.
+ */
 int cloud_provider_count_requested(struct cloud_provider *cloud, const char *type_name,
                                    const char *zone, bool is_spot);
 
 /**
- * Drops the requests that were neither sent nor recorded yet. The autoscaler computes the demand
- * anew in each pass, while requests may wait long for the limit on calls.
+ * Drops the scale-out requests that were neither sent nor recorded yet. The autoscaler recomputes
+ * the demand in each pass, and requests may wait a long time for the rate limit.
  */
 void cloud_provider_drop_unsent(struct cloud_provider *cloud);
 
-/** Whether the cloud had no capacity for the offer a short time ago. */
+/**
+ * Returns whether the offer is not to be requested now, as the cloud recently had no capacity for
+ * it.
+ */
 bool cloud_provider_is_offer_refused(struct cloud_provider *cloud, const char *type_name,
                                      const char *zone, bool is_spot);
 
 /* ---- scale-in ---- */
 
-/** Begins to return a machine; does nothing if that has begun or is done. */
+/** Starts to return a machine. Does nothing if its return is in progress or confirmed. */
 void cloud_provider_scale_in(struct cloud_provider *cloud, machine_id id, const char *reason);
 
-/** Whether the machine is being returned, so that no task may be placed on it. */
+/** Returns whether the machine is being returned, so that no task may be placed on it. */
 bool cloud_provider_is_scaling_in(const struct cloud_provider *cloud, const char *id);
 
-/** Whether the cloud has confirmed the machine's return: no task runs on it any more. */
+/** Returns whether the cloud has confirmed the machine's return: no task runs on it any more. */
 bool cloud_provider_is_returned(const struct cloud_provider *cloud, const char *id);
 
 /**
- * Machines whose shards must cordon them before their return can be recorded: a new array of new
- * strings, limited in length.
+ * Returns the ids of machines whose owners (shards) must cordon them before their return can be
+ * recorded. The array and its strings are new, and the length of the array is limited.
  */
 GPtrArray *cloud_provider_list_to_cordon(struct cloud_provider *cloud);
 
-/** Notes that the machine's owner cordoned it in that epoch. */
+/** Marks the machine as cordoned by its owner in the given epoch of the shard map. */
 void cloud_provider_mark_cordoned(struct cloud_provider *cloud, const char *id, epoch_no epoch);
 
 /**
- * Machines that were returned, as their shards must learn before the intents are settled: a new
- * array of new strings, limited in length.
+ * Returns the ids of returned machines whose owners (shards) must be told before the intents are
+ * settled. The array and its strings are new, and the length of the array is limited.
  */
 GPtrArray *cloud_provider_list_to_announce(struct cloud_provider *cloud);
 
-/** Notes that the machine's owner knows of its return. */
+/** Marks the return of the machine as known to its owner, and settles the intent. */
 void cloud_provider_mark_announced(struct cloud_provider *cloud, const char *id);
 
 /* ---- switching singleton roles ---- */
 
-/** Stops or resumes recording new intents; those on record are completed either way. */
+/** Pauses or resumes the recording of new intents. Recorded intents are completed either way. */
 void cloud_provider_pause_recording(struct cloud_provider *cloud, bool is_paused);
 
-/** Whether no intent is queued or recorded. */
+/**
+ * Returns whether the intent log is open and empty: no intent is queued, recorded or being
+ * written.
+ */
 bool cloud_provider_has_no_intents(const struct cloud_provider *cloud);
 
 #endif
--- a/src/cloud/machine_list.c
+++ b/src/cloud/machine_list.c
@@ -1,6 +1,7 @@
 /**
  * @file
- * Reads the cloud's list of machines, which has all that are rented, whichever node requested them.
+ * Reads the cloud's machine list, which contains all rented machines, whichever node requested
+ * them.
  */
 #include "cloud_provider_internal.h"
 
@@ -10,8 +11,9 @@
 };
 
 /**
- * A machine is missing from the list for the cloud's lag after it was rented, and a list may be
- * older than the one before; so only a machine that was rented longer ago is known to be gone.
+ * A newly rented machine appears in the list only after the cloud's list lag, and a list may be
+ * older than the previous one. So an unlisted machine is known to be no longer rented only if it
+ * was requested longer ago than LAG_FACTOR times the lag plus LAG_MARGIN_S.
  */
 static const double LAG_FACTOR = 2, LAG_MARGIN_S = 5;
 
@@ -28,7 +30,10 @@
             g_hash_table_iter_remove(&it);
 }
 
-/** Bounds the memory for returned machines; those that the list still has must be kept. */
+/**
+ * Limits the number of returned machines kept in memory. Those still in the list must be kept, or
+ * they would be added again as rented.
+ */
 static void prune_returned_machines(struct cloud_provider *cloud)
 {
     GHashTableIter it;
@@ -93,7 +98,7 @@
     GArray *page = cloud_machines_decode(body, &has_more);
     json_object_put(body);
     if (!page)
-        return; /* the same page is requested again */
+        return; /* the same page is requested again in the next step */
     handle_page(cloud, page, has_more);
     g_array_unref(page);
 }
--- a/src/cloud/machine_types.c
+++ b/src/cloud/machine_types.c
@@ -1,6 +1,6 @@
 /**
  * @file
- * Machine types: read from the cloud, and stored for the nodes that do not call it.
+ * Reads the machine types from the cloud, and stores them for the nodes that do not call it.
  */
 #include "cloud_provider_internal.h"
 
@@ -9,10 +9,10 @@
 
 enum {
     TYPES_REFRESH_INTERVAL_MS = 60000,
-    /** After a response that could not be used, how long until the next request. */
+    /** The delay between a response that could not be used and the next request. */
     TYPES_RETRY_MS = 1000,
     TYPES_STORE_INTERVAL_MS = 1000,
-    /** Of a stored value, reserved for what it has besides the types. */
+    /** The bytes of a stored value that are reserved for its content other than the types. */
     VALUE_OVERHEAD_BYTES = 32,
 };
 
@@ -25,7 +25,10 @@
            g_strv_equal((const char *const *)left->zones, (const char *const *)right->zones);
 }
 
-/** Prices, boot times and image caches are not compared: a change of these alone is not stored. */
+/**
+ * Compares the fields that are worth a write. Prices, boot times and image caches are left out: a
+ * change of these alone is not stored.
+ */
 static bool types_are_equal(const GArray *left, const GArray *right)
 {
     if (!left || left->len != right->len)
@@ -43,7 +46,7 @@
     cloud->machine_types.is_stored = outcome->status == TXN_COMMITTED;
 }
 
-/** A new array of as many types, from an index on, as one stored value can have. */
+/** Returns a new array of the types from `first_index` on, as many as fit into one stored value. */
 static GArray *new_types_part(struct cloud_provider *cloud, guint first_index)
 {
     const GArray *types = cloud->machine_types.types;
@@ -62,13 +65,17 @@
     return part;
 }
 
+/** The result of splitting the machine types into parts, each stored under its own key. */
 struct types_parts {
     guint count;
-    /** False: there is no type, or one is too long for a value. */
+    /** False: there are no types, or one of them is too large for a value. */
     bool is_complete;
 };
 
-/** Adds the puts of all parts to a transaction: the continuations, and then the first part. */
+/**
+ * Adds the writes of all parts to a transaction: the continuations, and then the first part, which
+ * holds their number if there are any.
+ */
 static struct types_parts put_types_parts(struct cloud_provider *cloud, struct txn *txn)
 {
     struct types_parts parts = {.is_complete = true};
@@ -95,7 +102,10 @@
     return parts;
 }
 
-/** Nodes before the version with job DAGs read the first part only, so they must be gone. */
+/**
+ * Returns whether the parts can be stored. Nodes older than NODE_VERSION_JOB_DAG read the first
+ * part only, so several parts are stored only once no such node is left.
+ */
 static bool can_store_parts(struct cloud_provider *cloud, const struct types_parts *parts)
 {
     if (!parts->is_complete || (int)parts->count > kv_client_limits(cloud->kv)->max_txn_operations)
--- a/src/cloud/scale_in.c
+++ b/src/cloud/scale_in.c
@@ -1,9 +1,9 @@
 /**
  * @file
- * Scale-in: returns machines to the cloud.
+ * Scale-in: returns rented machines to the cloud.
  *
- * With singleton roles, a machine is cordoned by its owner, the intent to return it is recorded,
- * the request is sent, and the intent is settled when the owner knows that the machine is gone.
+ * With singleton roles, the machine's owner cordons it, the intent to return it is recorded, the
+ * request is sent, and the intent is settled once the owner knows that the machine was returned.
  */
 #include "cloud_provider_internal.h"
 
@@ -11,7 +11,7 @@
 
 enum {
     MAX_MACHINES_PER_SCALE_IN = 100,
-    /** In one list of machines that owners must cordon, or must know to be gone. */
+    /** The limit of cloud_provider_list_to_cordon() and cloud_provider_list_to_announce(). */
     MAX_MACHINES_PER_LISTING = 500,
 };
 
@@ -51,12 +51,12 @@
 void scale_in_recover(struct cloud_provider *cloud, const struct intent *intent)
 {
     machine_id id;
-    /* The earlier holder may have sent it, so its delay is not counted. */
+    /* The earlier holder may have sent the request, so its delay is not measured. */
     if (machine_id_parse(&id, intent->name))
         add_request(cloud, id, SCALE_IN_READY)->send_state = CLOUD_UNANSWERED;
 }
 
-/* ---- what owners must know ---- */
+/* ---- notices to the machines' owners ---- */
 
 static GPtrArray *list_machines_in_phase(struct cloud_provider *cloud, enum scale_in_phase phase)
 {
@@ -73,8 +73,8 @@
 
 GPtrArray *cloud_provider_list_to_cordon(struct cloud_provider *cloud)
 {
-    /* Requests are dropped when the role is gained. A machine that was cordoned for one of them
-     * would stay cordoned, and never count as idle. */
+    /* Requests are dropped when this node gains the role. A machine cordoned before that for a
+     * dropped request would stay cordoned, and never count as idle. */
     return role_manager_holds(cloud->role_manager, ROLE_AUTOSCALER)
                ? list_machines_in_phase(cloud, SCALE_IN_AWAITING_CORDON)
                : g_ptr_array_new_with_free_func(g_free);
@@ -95,8 +95,8 @@
 }
 
 /**
- * The intent stays on record until then: a new epoch uncordons machines without one, and the owner
- * would place tasks on a machine that does not exist any more.
+ * The intent stays recorded until the owner knows of the return. A new epoch uncordons machines
+ * without a recorded intent, and the owner would place tasks on a machine that no longer exists.
  */
 void cloud_provider_mark_announced(struct cloud_provider *cloud, const char *id)
 {
@@ -107,11 +107,12 @@
     g_hash_table_remove(cloud->scale_in_requests, id);
 }
 
-/* ---- recording ---- */
+/* ---- recording of intents ---- */
 
 /**
- * A machine that was cordoned in an earlier epoch may have a new owner that does not know of it.
- * The intent depends on the revision of the shard map, so that it cannot be recorded later either.
+ * Queues the intent to return a machine. A machine that was cordoned in an earlier epoch may have a
+ * new owner that does not know of the cordon. The intent therefore depends on the revision of the
+ * shard map, and cannot be recorded after the map has changed.
  */
 static void record_intent(struct cloud_provider *cloud, struct scale_in_request *request)
 {
@@ -122,9 +123,9 @@
 }
 
 /**
- * Whether a scale-in without a recorded intent must start over: it was begun before singleton roles
- * were enabled, its intent was dropped as the shard map has changed, or the epoch in which the
- * machine was cordoned is over.
+ * Returns whether a scale-in without a recorded intent must start over: it began before singleton
+ * roles were enabled, its intent was dropped because the shard map changed, or the epoch in which
+ * the machine was cordoned has ended.
  */
 static bool must_start_over(const struct cloud_provider *cloud,
                             const struct scale_in_request *request, enum intent_state state)
@@ -141,7 +142,7 @@
     }
 }
 
-/** Moves a request that is not in flight to the phase that its intent allows. */
+/** Moves a request that is not in flight to the phase that the state of its intent allows. */
 static void advance_with_intent(struct cloud_provider *cloud, struct scale_in_request *request)
 {
     if (request->phase == SCALE_IN_CONFIRMED)
@@ -156,7 +157,7 @@
         record_intent(cloud, request);
 }
 
-/** Returns whether any request may be sent. */
+/** Advances all requests, and returns whether any of them may be sent. */
 static bool advance_all(struct cloud_provider *cloud)
 {
     GHashTableIter it;
@@ -182,7 +183,7 @@
     struct cloud_machine *machine = g_hash_table_lookup(cloud->machines, id);
     if (!machine)
         return;
-    /* The cloud has capacity for one more of the kind now. */
+    /* The cloud now has capacity for one more machine of this offer. */
     char *offer = cloud_offer_key(machine->type_name, machine->zone, machine->is_spot);
     g_hash_table_remove(cloud->offers_refused_until, offer);
     g_free(offer);
@@ -199,7 +200,7 @@
         g_hash_table_remove(cloud->scale_in_requests, id);
 }
 
-/** Updates the state in which the call was sent. */
+/** Handles a response that arrives in the generation in which the call was sent. */
 static void handle_response(struct cloud_provider *cloud, const GPtrArray *ids, bool is_confirmed)
 {
     for (guint i = 0; i < ids->len; i++) {
--- a/src/cloud/scale_out.c
+++ b/src/cloud/scale_out.c
@@ -1,15 +1,15 @@
 /**
  * @file
- * Scale-out: requests machines of the cloud.
+ * Scale-out: requests machines from the cloud.
  *
- * With singleton roles, the intent is recorded before the request is sent, and settled when the
- * request is answered for good.
+ * With singleton roles, the intent is recorded before the request is sent, and settled when there
+ * is a final response to the request.
  */
 #include "cloud_provider_internal.h"
 
 #include "log.h"
 
-/** How long an offer is not requested after the cloud had no capacity for it. */
+/** How long an offer is not requested after the cloud had no or too little capacity for it. */
 enum { REFUSED_OFFER_BACKOFF_MS = 15000 };
 
 void scale_out_request_free(struct scale_out_request *request)
@@ -34,8 +34,8 @@
 {
     struct scale_out_request *request =
         scale_out_request_new(type_name, zone, is_spot, machine_count);
-    /* Ids never repeat: the incarnation is a lease of the key-value store, and no other process
-     * ever has the same. */
+    /* Request ids are unique: the incarnation is the id of a lease in the key-value store, which
+     * no other process ever has. */
     request->request_id = g_strdup_printf(
         "%s-%" G_GUINT64_FORMAT "-%" G_GUINT64_FORMAT, cloud->settings->label,
         membership_get_incarnation(cloud->membership).value, ++cloud->request_counter);
@@ -48,7 +48,7 @@
     struct scale_out_request *request = scale_out_request_new(
         intent->type_name, intent->zone, intent->is_spot, intent->machine_count);
     request->request_id = g_strdup(intent->name);
-    /* The earlier holder may have sent it. */
+    /* The earlier holder may have sent the request. */
     request->send_state = CLOUD_UNANSWERED;
     g_queue_push_head(&cloud->scale_out_requests, request);
 }
@@ -109,11 +109,11 @@
 
 enum scale_out_result {
     SCALE_OUT_COMPLETED,
-    /** The cloud has no machine of the kind left. */
+    /** The cloud has no capacity for the offer. */
     SCALE_OUT_NO_CAPACITY,
-    /** The request is not valid, and must not be sent again. */
+    /** The request is invalid and must not be sent again. */
     SCALE_OUT_INVALID,
-    /** No response, or one of a kind after which the request may succeed. */
+    /** No response, or an error after which a retry may succeed. */
     SCALE_OUT_RETRY,
 };
 
@@ -131,7 +131,7 @@
     }
 }
 
-/** Adds the machines of a response; one that names no list of machines adds none. */
+/** Adds the machines that a response lists. A response without a list of machines adds none. */
 static void add_machines(struct cloud_provider *cloud, const struct scale_out_request *request,
                          json_object *body)
 {
@@ -140,8 +140,8 @@
         return;
     for (guint i = 0; i < ids->len; i++) {
         machine_id id = g_array_index(ids, machine_id, i);
-        /* A request that is sent again, perhaps by a later holder, gets the first response again:
-         * its machines may have been returned since. */
+        /* A request that is sent again, perhaps by a later holder of the role, gets the original
+         * response, whose machines may have been returned since. */
         if (!cloud_provider_is_returned(cloud, id.text) &&
             !cloud_provider_is_scaling_in(cloud, id.text))
             cloud_machine_add(cloud, id, request->type_name, request->zone, request->is_spot);
@@ -153,7 +153,7 @@
     g_array_unref(ids);
 }
 
-/** Removes a request that was answered for good. */
+/** Settles the intent of a request that has its final response, and removes the request. */
 static void finish_request(struct cloud_provider *cloud, struct scale_out_request *request)
 {
     intent_log_settle(cloud->intents, INTENT_SCALE_OUT, request->request_id);
@@ -192,7 +192,7 @@
     bool is_current = cloud_call_is_current(call);
     g_free(call);
     if (!is_current)
-        return; /* its machines are found in the list */
+        return; /* its machines will appear in the machine list */
     json_object *body =
         response->status > 0 ? json_parse(response->body, response->body_bytes) : NULL;
     handle_result(cloud, request, get_result(response, body), body);
@@ -232,13 +232,13 @@
 }
 
 /**
- * Requests are recorded only when the budget allows to send them at once, as only those that are
- * not recorded can be dropped again.
+ * The intent of a request is recorded only when the call budget suffices to send the request at
+ * once, because a request can be dropped only until its intent is recorded.
  */
 void scale_out_step(struct cloud_provider *cloud)
 {
     mono_time now = loop_now(cloud->loop);
-    /* Calls for requests that are not on record yet. */
+    /* The number of calls for requests whose intents are not recorded yet. */
     int expected_calls = 0;
     for (GList *link = cloud->scale_out_requests.head; link && cloud_provider_may_call(cloud);
          link = link->next) {
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -1,12 +1,12 @@
 /**
  * @file
- * A whole node: its parts, put together.
+ * Creates the modules of a node, connects them, starts and frees them.
  */
 #include "node.h"
 
 /**
- * The limits that the node keeps to. Some may change at an unknown moment: until then, and after
- * it, the lower of both values is within what the key-value store allows.
+ * Returns the limits of the key-value store that the node keeps to. Some limits may change at an
+ * unknown time. The lower of the current and the next value is allowed both before and after that.
  */
 static struct kv_limits get_kv_limits(const struct settings *settings)
 {
@@ -22,7 +22,9 @@
         .node_count = settings->node_count};
 }
 
-/** What the node knows of the other nodes beyond the replica. */
+/**
+ * Creates the modules that exchange state with the other nodes directly, not through the replica.
+ */
 static void create_peer_modules(struct node *node, struct loop *loop)
 {
     node->peer_poll = peer_poll_new(loop, node->rpc, node->replica, node->settings);
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * A whole node: its parts, put together.
+ * A node of the cluster: all of its modules, connected with each other.
  */
 #ifndef LL_NODE_H
 #define LL_NODE_H
@@ -11,7 +11,7 @@
 #include "leader.h"
 #include "role_assigner.h"
 
-/** Owns all of its parts but what node_new() was given. */
+/** The modules of a node. The node owns all of them except what was passed to node_new(). */
 struct node {
     const struct settings *settings;
     struct kv_client *kv;
@@ -31,13 +31,13 @@
     struct api *api;
 };
 
-/** All that it is given has to outlive the node. */
+/** Creates a node that is not started yet. All arguments must outlive the node. */
 struct node *node_new(struct loop *loop, struct http_client *http_client,
                       const struct settings *settings, const struct policy *policy,
                       const struct feature_set *features);
-/** Starts all parts. */
+/** Starts all modules of the node. */
 void node_start(struct node *node);
-/** Frees all parts, in the reverse order of their creation. */
+/** Frees the node and its modules, in the reverse order of their creation. */
 void node_free(struct node *node);
 
 #endif
--- a/src/node/role_assigner.c
+++ b/src/node/role_assigner.c
@@ -4,7 +4,7 @@
  */
 #include "role_assigner.h"
 
-/** How often the assignment is examined, in addition to when the replica changes. */
+/** The interval at which the role assignment is checked, besides whenever the replica changes. */
 enum { TICK_MS = 200 };
 
 struct role_assigner {
@@ -34,7 +34,10 @@
     replica_await_revision_or_newest(assigner->replica, revision_needed, callback, arg);
 }
 
-/** A claim succeeds only while roles are enabled; the autoscaler's, only while its node leads. */
+/**
+ * Adds the conditions of a claim to its transaction: singleton roles are still enabled and, for the
+ * autoscaler role, the leader is still the same.
+ */
 static void add_claim_compares(void *ctx, enum singleton_role role, struct txn *txn)
 {
     struct role_assigner *assigner = ctx;
@@ -44,8 +47,9 @@
 }
 
 /**
- * The node that should hold the garbage collector's role: the first one on the shard map that is
- * alive and does not lead; else the leader, or NULL if there is none.
+ * Returns the label of the node that should hold the garbage collector role: the first live node in
+ * the shard map that is not the leader. If there is none, returns the leader, or NULL if there is
+ * no leader either.
  */
 static const char *choose_garbage_collector(const struct role_assigner *assigner)
 {
@@ -87,6 +91,7 @@
         role_manager_release(assigner->role_manager, ROLE_GARBAGE_COLLECTOR);
 }
 
+/** Claims, releases or hands over the roles as the replica requires. */
 static void reconcile(struct role_assigner *assigner)
 {
     if (assigner->replica->is_ready)
