--- a/daemon/main.c
+++ b/daemon/main.c
@@ -198,16 +198,12 @@
 
 /**
  * Sets up logging at the level of the environment variable LOG_LEVEL, or at `info` if it is unset
- * or empty. Returns false and sets `error` if its value is not the name of a level.
+ * or empty. Returns false if its value is not the name of a level.
  */
-static bool set_up_log(const struct settings *settings, GError **error)
+static bool set_up_log(const struct settings *settings)
 {
     const char *level = g_getenv("LOG_LEVEL");
-    if (log_setup(level && *level ? level : "info", settings->label))
-        return true;
-    g_set_error(error, G_OPTION_ERROR, G_OPTION_ERROR_BAD_VALUE,
-                "environment variable LOG_LEVEL: must be error, info or debug, not \"%s\"", level);
-    return false;
+    return log_setup(level && *level ? level : "info", settings->label);
 }
 
 /** Loads all files of a node, and runs the node unless `--check-config` is given. */
@@ -220,8 +216,11 @@
     int exit_code;
     if (settings && (!options->features || feature_set_load(options->features, &features, &error)))
         policy = options->policy ? policy_load(options->policy, &error) : policy_default();
-    if (!policy || !set_up_log(settings, &error))
+    if (!policy)
         exit_code = report_config_error(error);
+    else if (!set_up_log(settings))
+        exit_code =
+            report_usage_error("environment variable LOG_LEVEL: must be error, info or debug");
     else if (options->check_config)
         exit_code = printf("%s: valid\n", options->config) < 0;
     else
