--- a/src/api/api.c
+++ b/src/api/api.c
@@ -1,10 +1,17 @@
-/** Routes users' and agents' requests, and forwards users' requests to a peer while the key-value
- * store does not answer this node. */
+/**
+ * @file
+ * Routes the requests of users and agents, and forwards users' requests to a peer while the
+ * key-value store does not answer this node.
+ */
 #include "api_internal.h"
 
 enum {
-    /* Requests that may wait for the key-value store, however few files may be open. */
+    /** The lower bound of `max_waiting`, which otherwise follows from the limit on open files. */
     MIN_WAITING_LIMIT = 400,
+    /**
+     * A node is ready if its replica is less stale than this, or its knowledge of the cancellations
+     * on all nodes is less stale than half of this.
+     */
     MAX_READY_STALENESS_MS = 8000,
     FORWARD_TIMEOUT_MS = 1500,
 };
@@ -43,10 +50,12 @@
     g_free(api);
 }
 
-/* Ready as long as requests can be answered, by a peer if need be. An outage of the key-value store
- * that hits all nodes alike does not count: taking them all out of service would only prolong it.
+/**
+ * Returns whether this node can answer requests, if necessary through a peer. An outage of the
+ * key-value store that affects all nodes does not make them unready: taking all of them out of
+ * service would only prolong it.
  */
-static bool is_ready(struct api *api)
+static bool is_ready_to_serve(struct api *api)
 {
     if (!api->replica->is_ready || !api->replica->machine_types ||
         failure_detector_is_isolated(api->failure_detector))
@@ -73,15 +82,15 @@
 static void route_job_request(struct api *api, struct http_responder *responder,
                               connection_ref from, const struct http_request *request)
 {
-    const char *rest = request->path + strlen(JOBS_PATH);
-    if (!*rest) {
+    const char *path_rest = request->path + strlen(JOBS_PATH);
+    if (!*path_rest) {
         if (has_method(request, "POST"))
             api_submit(api, responder, from, request);
         else
             reply_method_not_allowed(responder, from);
         return;
     }
-    g_autofree char *id = g_strdup(rest + 1);
+    g_autofree char *id = g_strdup(path_rest + 1);
     char *suffix = strchr(id, '/');
     if (suffix)
         *suffix++ = 0;
@@ -95,7 +104,7 @@
                            id);
 }
 
-/* A request that a peer answers. */
+/** The context of a request that a peer answers. */
 struct forwarded_request {
     struct api *api;
     struct http_responder *responder;
@@ -121,9 +130,11 @@
     return strncmp(path, JOBS_PATH, length) == 0 && (!path[length] || path[length] == '/');
 }
 
-/* Whether it is a submission of a job with dependencies: a node of an earlier version would take it
- * for one without. */
-static bool names_dependencies(const struct http_request *request)
+/**
+ * Returns whether the request submits a job with dependencies. A node older than
+ * NODE_VERSION_JOB_DAG would ignore them.
+ */
+static bool submission_has_dependencies(const struct http_request *request)
 {
     if (strcmp(request->path, JOBS_PATH) != 0 || !request->body_bytes)
         return false;
@@ -133,7 +144,10 @@
     return has_any;
 }
 
-/* While the key-value store answers other nodes and not this one, they answer for it. */
+/**
+ * Forwards a request to a peer if the key-value store answers that peer and not this node. Returns
+ * false if the request is to be served locally.
+ */
 static bool forward_to_peer(struct api *api, struct http_responder *responder, connection_ref from,
                             const struct http_request *request)
 {
@@ -141,7 +155,7 @@
     if (!peer || !is_job_path(request->path) || api->waiting_count >= api->max_waiting)
         return false;
     if (!membership_all_nodes_support(api->membership, NODE_VERSION_JOB_DAG) &&
-        names_dependencies(request))
+        submission_has_dependencies(request))
         return false;
     struct forwarded_request *forwarded = g_new(struct forwarded_request, 1);
     *forwarded = (struct forwarded_request){api, responder, from};
@@ -164,13 +178,13 @@
 {
     if (!has_method(request, "GET"))
         reply_method_not_allowed(responder, from);
-    else if (is_ready(api))
+    else if (is_ready_to_serve(api))
         api_reply(responder, from, HTTP_STATUS_OK, g_strdup("{}"));
     else
         api_reply_error(responder, from, HTTP_STATUS_UNAVAILABLE, "not ready");
 }
 
-/* Serves a request on this node, whoever asked: a user, an agent or a peer. */
+/** Serves a request of a user, an agent or a peer on this node, without forwarding it. */
 static void serve_locally(void *context, struct http_responder *responder, connection_ref from,
                           const struct http_request *request)
 {
--- a/src/api/api_request.c
+++ b/src/api/api_request.c
@@ -1,5 +1,8 @@
-/** The requests that wait for the key-value store: their number is bounded, and each gets a
- * response in time. */
+/**
+ * @file
+ * The requests that wait for the key-value store. Their number is limited, and each gets a response
+ * before its timeout.
+ */
 #include "api_internal.h"
 
 enum { TIMEOUT_CHECK_INTERVAL_MS = 50 };
@@ -28,7 +31,10 @@
     g_free(request);
 }
 
-/* While the key-value store answers nobody here, waiting longer is of no use: all are refused. */
+/**
+ * Refuses the requests whose timeout has expired. While the key-value store is unavailable to this
+ * node, refuses all requests, as waiting longer is of no use then.
+ */
 void api_expire_requests(void *context)
 {
     struct api *api = context;
@@ -42,8 +48,8 @@
         timer_start(api->loop, &api->timeout_timer, TIMEOUT_CHECK_INTERVAL_MS);
 }
 
-/* Why no request can wait here now; NULL: one can. */
-static const char *refusal_reason(const struct api *api)
+/** Returns why a request cannot wait on this node now, or NULL if it can. */
+static const char *get_refusal_reason(const struct api *api)
 {
     if (!api->replica->is_ready)
         return "starting";
@@ -55,16 +61,16 @@
 }
 
 struct api_request *api_request_new(struct api *api, struct http_responder *responder,
-                                    connection_ref from, enum api_action action, job_id job)
+                                    connection_ref from, enum api_action action, job_id id)
 {
-    const char *reason = refusal_reason(api);
+    const char *reason = get_refusal_reason(api);
     if (reason) {
         api_reply_error(responder, from, HTTP_STATUS_UNAVAILABLE, reason);
         return NULL;
     }
     struct api_request *request = g_new0(struct api_request, 1);
     *request = (struct api_request){
-        .api = api, .responder = responder, .from = from, .action = action, .job = job};
+        .api = api, .responder = responder, .from = from, .action = action, .job_id = id};
     request->received_at = loop_now(api->loop);
     request->link.data = request;
     api->waiting_count++;
--- a/src/api/request_steps.c
+++ b/src/api/request_steps.c
@@ -1,14 +1,17 @@
-/** The steps of a waiting request: behind a read barrier, what the replica holds decides how a
- * poll, a cancellation or a submission goes on. */
+/**
+ * @file
+ * The steps of a waiting request. After a read barrier, the state of the replica decides how a
+ * poll, a cancellation or a submission proceeds.
+ */
 #include "api_internal.h"
 
 static void on_key_response(void *context, const struct http_response *response)
 {
     struct api_request *request = context;
-    struct job job = {.id = request->job};
+    struct job job = {.id = request->job_id};
     bool is_final = api_decode_final_job(response, &job);
     if (response->status == HTTP_STATUS_NOT_FOUND) {
-        request->key_is_absent = true;
+        request->is_key_absent = true;
         api_request_step(request, true);
         return;
     }
@@ -19,11 +22,14 @@
     api_request_free(request);
 }
 
-/* Whether a job that the replica does not hold may have been over for so long that only its key is
- * left. The write of a new submission finds that out by itself, without a read. */
+/**
+ * Returns whether the key of a job that is not in the replica must be read, as the job may have
+ * finished so long ago that it was evicted and only its key is left. A new submission needs no
+ * read: its conditional write fails if the key exists.
+ */
 static bool needs_key(const struct api_request *request)
 {
-    if (!request->api->replica->has_evicted_jobs || request->key_is_absent)
+    if (!request->api->replica->has_evicted_jobs || request->is_key_absent)
         return false;
     bool is_new_submission =
         request->action == API_ACTION_SUBMIT && !request->write_attempts && !request->error_status;
@@ -32,13 +38,16 @@
 
 static void read_key(struct api_request *request)
 {
-    char *key = key_job(request->job);
+    char *key = key_job(request->job_id);
     kv_client_get(request->api->kv, KV_PRIORITY_URGENT, key, API_RESPONSE_TIMEOUT_MS,
                   API_RESPONSE_TIMEOUT_MS, on_key_response, request);
     g_free(key);
 }
 
-/* The job was never accepted. */
+/**
+ * Advances a request for a job that was never accepted, or a new submission, whose conditional
+ * write finds out whether it was.
+ */
 static void step_unknown_job(struct api_request *request)
 {
     if (request->action != API_ACTION_SUBMIT) {
@@ -55,6 +64,7 @@
     api_request_free(request);
 }
 
+/** Advances a request for a job that was accepted. */
 static void step_known_job(struct api_request *request, struct job *job)
 {
     if (request->action == API_ACTION_CANCEL && job->state == JOB_ACTIVE) {
@@ -68,7 +78,7 @@
 void api_request_step(void *context, bool ok)
 {
     struct api_request *request = context;
-    struct job *job = api_find_job(request->api, request->job);
+    struct job *job = api_find_job(request->api, request->job_id);
     if (request->is_answered) {
         api_request_free(request);
     } else if (!ok) {
--- a/src/cloud/machine_list.c
+++ b/src/cloud/machine_list.c
@@ -1,6 +1,7 @@
 /**
  * @file
- * Reads the cloud's list of machines, which has all that are rented, whichever node requested them.
+ * Reads the cloud's machine list, which contains all rented machines, whichever node requested
+ * them.
  */
 #include "cloud_provider_internal.h"
 
@@ -10,12 +11,13 @@
 };
 
 /**
- * A machine is missing from the list for the cloud's lag after it was rented, and a list may be
- * older than the one before; so only a machine that was rented longer ago is known to be gone.
+ * A newly rented machine appears in the list only after the cloud's list lag, and a list may be
+ * older than the previous one. So an unlisted machine is known to be no longer rented only if it
+ * was requested longer ago than LAG_FACTOR times the lag plus LAG_MARGIN_S.
  */
 static const double LAG_FACTOR = 2, LAG_MARGIN_S = 5;
 
-static void forget_unlisted_machines(struct cloud_provider *cloud)
+static void remove_unlisted_machines(struct cloud_provider *cloud)
 {
     double lag_s = cloud->settings->cloud_list_lag_s * LAG_FACTOR + LAG_MARGIN_S;
     mono_time now = loop_now(cloud->loop);
@@ -28,13 +30,16 @@
             g_hash_table_iter_remove(&it);
 }
 
-/** Bounds the memory for returned machines; those that the list still has must be kept. */
-static void forget_old_gone_machines(struct cloud_provider *cloud)
+/**
+ * Limits the number of returned machines kept in memory. Those still in the list must be kept, or
+ * they would be added again as rented.
+ */
+static void prune_returned_machines(struct cloud_provider *cloud)
 {
     GHashTableIter it;
     char *id;
-    g_hash_table_iter_init(&it, cloud->gone_machines);
-    while (g_hash_table_size(cloud->gone_machines) > MAX_TRACKED_MACHINES &&
+    g_hash_table_iter_init(&it, cloud->returned_machines);
+    while (g_hash_table_size(cloud->returned_machines) > MAX_TRACKED_MACHINES &&
            g_hash_table_iter_next(&it, (gpointer *)&id, NULL))
         if (!g_hash_table_contains(cloud->machine_list.listed_ids, id))
             g_hash_table_iter_remove(&it);
@@ -43,8 +48,8 @@
 static void finish_list(struct cloud_provider *cloud)
 {
     struct machine_list_state *list = &cloud->machine_list;
-    forget_unlisted_machines(cloud);
-    forget_old_gone_machines(cloud);
+    remove_unlisted_machines(cloud);
+    prune_returned_machines(cloud);
     g_clear_pointer(&list->cursor, g_free);
     g_clear_pointer(&list->listed_ids, g_hash_table_unref);
     list->read_at = loop_now(cloud->loop);
@@ -55,7 +60,7 @@
 static void handle_listed_machine(struct cloud_provider *cloud, const struct listed_machine *listed)
 {
     g_hash_table_add(cloud->machine_list.listed_ids, g_strdup(listed->id.text));
-    if (cloud_provider_is_gone(cloud, listed->id.text))
+    if (cloud_provider_is_returned(cloud, listed->id.text))
         return;
     struct cloud_machine *machine = g_hash_table_lookup(cloud->machines, listed->id.text);
     if (!machine) {
@@ -93,7 +98,7 @@
     GArray *page = cloud_machines_decode(body, &has_more);
     json_object_put(body);
     if (!page)
-        return; /* the same page is requested again */
+        return; /* the same page is requested again in the next step */
     handle_page(cloud, page, has_more);
     g_array_unref(page);
 }
--- a/src/cloud/scale_in.c
+++ b/src/cloud/scale_in.c
@@ -1,9 +1,9 @@
 /**
  * @file
- * Scale-in: returns machines to the cloud.
+ * Scale-in: returns rented machines to the cloud.
  *
- * With singleton roles, a machine is cordoned by its owner, the intent to return it is recorded,
- * the request is sent, and the intent is settled when the owner knows that the machine is gone.
+ * With singleton roles, the machine's owner cordons it, the intent to return it is recorded, the
+ * request is sent, and the intent is settled once the owner knows that the machine was returned.
  */
 #include "cloud_provider_internal.h"
 
@@ -11,13 +11,13 @@
 
 enum {
     MAX_MACHINES_PER_SCALE_IN = 100,
-    /** In one list of machines that owners must cordon, or must know to be gone. */
-    MAX_MACHINES_PER_NOTICE = 500,
+    /** The limit of cloud_provider_list_to_cordon() and cloud_provider_list_to_announce(). */
+    MAX_MACHINES_PER_LISTING = 500,
 };
 
-bool cloud_provider_is_gone(const struct cloud_provider *cloud, const char *id)
+bool cloud_provider_is_returned(const struct cloud_provider *cloud, const char *id)
 {
-    return g_hash_table_contains(cloud->gone_machines, id);
+    return g_hash_table_contains(cloud->returned_machines, id);
 }
 
 bool cloud_provider_is_scaling_in(const struct cloud_provider *cloud, const char *id)
@@ -40,23 +40,23 @@
 
 void cloud_provider_scale_in(struct cloud_provider *cloud, machine_id id, const char *reason)
 {
-    if (cloud_provider_is_gone(cloud, id.text) ||
+    if (cloud_provider_is_returned(cloud, id.text) ||
         g_hash_table_contains(cloud->scale_in_requests, id.text))
         return;
     LOG_INFO("scale_in_requested", "machine=%s reason=%s", id.text, reason);
     add_request(cloud, id,
-                cloud_provider_records_intents(cloud) ? SCALE_IN_WANTED : SCALE_IN_READY);
+                cloud_provider_records_intents(cloud) ? SCALE_IN_AWAITING_CORDON : SCALE_IN_READY);
 }
 
 void scale_in_recover(struct cloud_provider *cloud, const struct intent *intent)
 {
     machine_id id;
-    /* The earlier holder may have sent it, so its delay is not counted. */
+    /* The earlier holder may have sent the request, so its delay is not measured. */
     if (machine_id_parse(&id, intent->name))
         add_request(cloud, id, SCALE_IN_READY)->send_state = CLOUD_UNANSWERED;
 }
 
-/* ---- what owners must know ---- */
+/* ---- notices to the machines' owners ---- */
 
 static GPtrArray *list_machines_in_phase(struct cloud_provider *cloud, enum scale_in_phase phase)
 {
@@ -64,7 +64,7 @@
     GHashTableIter it;
     struct scale_in_request *request;
     g_hash_table_iter_init(&it, cloud->scale_in_requests);
-    while (ids->len < MAX_MACHINES_PER_NOTICE &&
+    while (ids->len < MAX_MACHINES_PER_LISTING &&
            g_hash_table_iter_next(&it, NULL, (gpointer *)&request))
         if (request->phase == phase)
             g_ptr_array_add(ids, g_strdup(request->id.text));
@@ -73,20 +73,20 @@
 
 GPtrArray *cloud_provider_list_to_cordon(struct cloud_provider *cloud)
 {
-    /* Requests are dropped when the role is gained. A machine that was cordoned for one of them
-     * would stay cordoned, and never count as idle. */
+    /* Requests are dropped when this node gains the role. A machine cordoned before that for a
+     * dropped request would stay cordoned, and never count as idle. */
     return role_manager_holds(cloud->role_manager, ROLE_AUTOSCALER)
-               ? list_machines_in_phase(cloud, SCALE_IN_WANTED)
+               ? list_machines_in_phase(cloud, SCALE_IN_AWAITING_CORDON)
                : g_ptr_array_new_with_free_func(g_free);
 }
 
-void cloud_provider_note_cordoned(struct cloud_provider *cloud, const char *id, epoch_no epoch)
+void cloud_provider_mark_cordoned(struct cloud_provider *cloud, const char *id, epoch_no epoch)
 {
     struct scale_in_request *request = g_hash_table_lookup(cloud->scale_in_requests, id);
-    if (!request || request->phase != SCALE_IN_WANTED)
+    if (!request || request->phase != SCALE_IN_AWAITING_CORDON)
         return;
     request->phase = SCALE_IN_CORDONED;
-    request->cordoned_in = epoch;
+    request->cordoned_in_epoch = epoch;
 }
 
 GPtrArray *cloud_provider_list_to_announce(struct cloud_provider *cloud)
@@ -95,10 +95,10 @@
 }
 
 /**
- * The intent stays on record until then: a new epoch uncordons machines without one, and the owner
- * would place tasks on a machine that does not exist any more.
+ * The intent stays recorded until the owner knows of the return. A new epoch uncordons machines
+ * without a recorded intent, and the owner would place tasks on a machine that no longer exists.
  */
-void cloud_provider_note_announced(struct cloud_provider *cloud, const char *id)
+void cloud_provider_mark_announced(struct cloud_provider *cloud, const char *id)
 {
     const struct scale_in_request *request = g_hash_table_lookup(cloud->scale_in_requests, id);
     if (!request || request->phase != SCALE_IN_CONFIRMED)
@@ -107,11 +107,12 @@
     g_hash_table_remove(cloud->scale_in_requests, id);
 }
 
-/* ---- recording ---- */
+/* ---- recording of intents ---- */
 
 /**
- * A machine that was cordoned in an earlier epoch may have a new owner that does not know of it.
- * The intent depends on the revision of the shard map, so that it cannot be recorded later either.
+ * Queues the intent to return a machine. A machine that was cordoned in an earlier epoch may have a
+ * new owner that does not know of the cordon. The intent therefore depends on the revision of the
+ * shard map, and cannot be recorded after the map has changed.
  */
 static void record_intent(struct cloud_provider *cloud, struct scale_in_request *request)
 {
@@ -122,9 +123,9 @@
 }
 
 /**
- * Whether a scale-in without a recorded intent must start over: it was begun before singleton roles
- * were enabled, its intent was dropped as the shard map has changed, or the epoch in which the
- * machine was cordoned is over.
+ * Returns whether a scale-in without a recorded intent must start over: it began before singleton
+ * roles were enabled, its intent was dropped because the shard map changed, or the epoch in which
+ * the machine was cordoned has ended.
  */
 static bool must_start_over(const struct cloud_provider *cloud,
                             const struct scale_in_request *request, enum intent_state state)
@@ -135,13 +136,13 @@
     case SCALE_IN_RECORDING:
         return state == INTENT_UNKNOWN;
     case SCALE_IN_CORDONED:
-        return request->cordoned_in.value != cloud->replica->shard_map_epoch.value;
+        return request->cordoned_in_epoch.value != cloud->replica->shard_map_epoch.value;
     default:
         return false;
     }
 }
 
-/** Moves a request that is not in flight to the phase that its intent allows. */
+/** Moves a request that is not in flight to the phase that the state of its intent allows. */
 static void advance_with_intent(struct cloud_provider *cloud, struct scale_in_request *request)
 {
     if (request->phase == SCALE_IN_CONFIRMED)
@@ -151,12 +152,12 @@
     if (state == INTENT_RECORDED)
         request->phase = SCALE_IN_READY;
     else if (must_start_over(cloud, request, state))
-        request->phase = SCALE_IN_WANTED;
+        request->phase = SCALE_IN_AWAITING_CORDON;
     else if (request->phase == SCALE_IN_CORDONED && !cloud->recording_paused)
         record_intent(cloud, request);
 }
 
-/** Returns whether any request may be sent. */
+/** Advances all requests, and returns whether any of them may be sent. */
 static bool advance_all(struct cloud_provider *cloud)
 {
     GHashTableIter it;
@@ -177,21 +178,21 @@
 
 /* ---- responses ---- */
 
-static void forget_machine(struct cloud_provider *cloud, const char *id)
+static void remove_machine(struct cloud_provider *cloud, const char *id)
 {
     struct cloud_machine *machine = g_hash_table_lookup(cloud->machines, id);
     if (!machine)
         return;
-    /* The cloud has capacity for one more of the kind now. */
+    /* The cloud now has capacity for one more machine of this offer. */
     char *offer = cloud_offer_key(machine->type_name, machine->zone, machine->is_spot);
-    g_hash_table_remove(cloud->refused_until, offer);
+    g_hash_table_remove(cloud->offers_refused_until, offer);
     g_free(offer);
     g_hash_table_remove(cloud->machines, id);
 }
 
 static void finish_request(struct cloud_provider *cloud, const char *id)
 {
-    forget_machine(cloud, id);
+    remove_machine(cloud, id);
     struct scale_in_request *request = g_hash_table_lookup(cloud->scale_in_requests, id);
     if (request && cloud_provider_records_intents(cloud))
         request->phase = SCALE_IN_CONFIRMED;
@@ -199,7 +200,7 @@
         g_hash_table_remove(cloud->scale_in_requests, id);
 }
 
-/** Updates the state in which the call was sent. */
+/** Handles a response that arrives in the generation in which the call was sent. */
 static void handle_response(struct cloud_provider *cloud, const GPtrArray *ids, bool is_confirmed)
 {
     for (guint i = 0; i < ids->len; i++) {
@@ -222,7 +223,7 @@
     struct cloud_provider *cloud = call->cloud;
     bool is_confirmed = response->status == HTTP_STATUS_OK;
     for (guint i = 0; is_confirmed && i < call->ids->len; i++)
-        g_hash_table_add(cloud->gone_machines, g_strdup(call->ids->pdata[i]));
+        g_hash_table_add(cloud->returned_machines, g_strdup(call->ids->pdata[i]));
     if (cloud_call_is_current(call))
         handle_response(cloud, call->ids, is_confirmed);
     g_ptr_array_unref(call->ids);
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -1,28 +1,30 @@
 /**
  * @file
- * A whole node: its parts, put together.
+ * Creates the modules of a node, connects them, starts and frees them.
  */
 #include "node.h"
 
 /**
- * The limits that the node keeps to. Some may change at an unknown moment: until then, and after
- * it, the lower of both values is within what the key-value store allows.
+ * Returns the limits of the key-value store that the node keeps to. Some limits may change at an
+ * unknown time. The lower of the current and the next value is allowed both before and after that.
  */
 static struct kv_limits get_kv_limits(const struct settings *settings)
 {
-    const struct kv_service_limits *now = &settings->kv_limits;
+    const struct kv_service_limits *current = &settings->kv_limits;
     const struct kv_service_limits *next = &settings->kv_limits_next;
     return (struct kv_limits){
-        .rate_limit_rps = MIN(now->requests_per_s, next->requests_per_s),
-        .rate_limit_write_rps = now->writes_per_s,
-        .rate_limit_next_write_rps = MIN(now->writes_per_s, next->writes_per_s),
-        .max_txn_operations = MIN(now->max_txn_operations, next->max_txn_operations),
-        .max_value_bytes = (size_t)(MIN(now->max_value_kb, next->max_value_kb) * 1024),
+        .rate_limit_rps = MIN(current->requests_per_s, next->requests_per_s),
+        .rate_limit_write_rps = current->writes_per_s,
+        .rate_limit_next_write_rps = MIN(current->writes_per_s, next->writes_per_s),
+        .max_txn_operations = MIN(current->max_txn_operations, next->max_txn_operations),
+        .max_value_bytes = (size_t)(MIN(current->max_value_kb, next->max_value_kb) * 1024),
         .max_response_bytes = settings_max_response_bytes(settings),
         .node_count = settings->node_count};
 }
 
-/** What the node knows of the other nodes beyond the replica. */
+/**
+ * Creates the modules that exchange state with the other nodes directly, not through the replica.
+ */
 static void create_peer_modules(struct node *node, struct loop *loop)
 {
     node->peer_poll = peer_poll_new(loop, node->rpc, node->replica, node->settings);
--- a/src/scheduler/autoscaler.c
+++ b/src/scheduler/autoscaler.c
@@ -73,7 +73,8 @@
 static void scale_out(struct leader *leader)
 {
     autoscaler_update_service_statistics(leader);
-    if (!scheduling_policy_machine_types(leader) || !cloud_provider_is_listed(leader->cloud))
+    if (!scheduling_policy_machine_types(leader) ||
+        !cloud_provider_has_complete_list(leader->cloud))
         return;
     /* Each run replaces the plan of the previous one. The cloud limits the rate of calls, so
      * outdated requests would delay the ones that are needed now. */
--- a/src/scheduler/autoscaler_orders.c
+++ b/src/scheduler/autoscaler_orders.c
@@ -57,6 +57,6 @@
     struct ledger_machine *machine;
     g_hash_table_iter_init(&it, leader->ledger.machines);
     while (g_hash_table_iter_next(&it, NULL, (gpointer *)&machine))
-        if (cloud_provider_is_gone(leader->cloud, machine->id.text))
+        if (cloud_provider_is_returned(leader->cloud, machine->id.text))
             notify_owner(leader, machine);
 }
--- a/src/scheduler/feature_switch.c
+++ b/src/scheduler/feature_switch.c
@@ -101,7 +101,7 @@
 static bool may_disable(const struct leader *leader)
 {
     return role_manager_may_act(leader->role_manager, ROLE_AUTOSCALER) &&
-           cloud_provider_is_settled(leader->cloud);
+           cloud_provider_has_no_intents(leader->cloud);
 }
 
 /** Applies the state of the switch in the replica, whichever node has changed it. */
--- a/src/scheduler/shard_dispatcher.c
+++ b/src/scheduler/shard_dispatcher.c
@@ -132,7 +132,7 @@
 {
     GPtrArray *names = dispatch_response_decode(response);
     for (guint i = 0; i < names->len; i++)
-        cloud_provider_note_cordoned(leader->cloud, names->pdata[i], leader->epoch);
+        cloud_provider_mark_cordoned(leader->cloud, names->pdata[i], leader->epoch);
     g_ptr_array_unref(names);
 }
 
@@ -142,7 +142,7 @@
     const cJSON *name;
     cJSON_ArrayForEach(name, cJSON_GetObjectItemCaseSensitive(channel->unacknowledged_message,
                                                               DISPATCH_MESSAGE_RETURNED))
-        cloud_provider_note_announced(leader->cloud, name->valuestring);
+        cloud_provider_mark_announced(leader->cloud, name->valuestring);
 }
 
 /** Moves a list into a message, unless the list is NULL. */
