--- a/tests/support/world_gang.c
+++ b/tests/support/world_gang.c
@@ -122,8 +122,7 @@
 
 /* Starts an attempt once all tasks are there, and makes its tasks exit when the gang stays
  * incomplete, loses tasks, or has saved its progress. */
-static void step_attempt(struct world *world, struct simulated_gang *gang,
-                         struct gang_attempt *attempt)
+static void advance(struct world *world, struct simulated_gang *gang, struct gang_attempt *attempt)
 {
     mono_time now = loop_now(world->loop);
     int64_t peer_ms = (int64_t)(world->settings[0]->gang_peer_timeout_s * 1000),
@@ -208,5 +207,5 @@
     g_hash_table_iter_init(&it, world->gangs);
     while (g_hash_table_iter_next(&it, NULL, (gpointer *)&gang))
         for (guint i = 0; i < gang->attempts->len; i++)
-            step_attempt(world, gang, &g_array_index(gang->attempts, struct gang_attempt, i));
+            advance(world, gang, &g_array_index(gang->attempts, struct gang_attempt, i));
 }
