--- a/tests/support/world_gang.c
+++ b/tests/support/world_gang.c
@@ -121,7 +121,8 @@
 }
 
 /* Starts an attempt once all tasks are there, and makes its tasks exit when the gang stays
- * incomplete, loses tasks, or has saved its progress. */
+ * incomplete, loses tasks, or has saved its progress. Tasks that start after the others have exited
+ * exit as "incomplete", too. */
 static void advance(struct world *world, struct simulated_gang *gang, struct gang_attempt *attempt)
 {
     mono_time now = loop_now(world->loop);
@@ -141,7 +142,6 @@
         }
         return;
     }
-    /* This also ends tasks that start after the others have exited. */
     for (guint i = 0; i < attempt->active_tasks->len; i++) {
         struct worker_task *task = attempt->active_tasks->pdata[i];
         struct worker *worker = attempt->workers->pdata[i];
