--- a/tests/test_gangs.c
+++ b/tests/test_gangs.c
@@ -127,7 +127,7 @@
 
 /**
  * Arrays of the same team and priority keep coming, twice as many as can run. Unless resources for
- * some of a gang's tasks are reserved, the arrays take them for ever.
+ * some of a gang's tasks are reserved, the arrays take them forever.
  */
 static void resources_for_part_of_a_gang_are_reserved(void **state)
 {
--- a/tests/test_gangs_anew.c
+++ b/tests/test_gangs_anew.c
@@ -54,8 +54,8 @@
 {
     struct world *world = prepare_gang_world(state);
     uint64_t old_attempt = start_gang_on_four_machines(world);
-    struct worker *unreachable = find_worker_with_task(world, "wk-1", 2);
-    unreachable->unreachable = true;
+    struct worker *unreachable_worker = find_worker_with_task(world, "wk-1", 2);
+    unreachable_worker->unreachable = true;
     worker_exit_task(find_worker_with_task(world, "wk-1", 1), "wk-1", 1, "error");
     world_add_worker(world, 0, "a", true);
     world_add_worker(world, 1, "b", true);
@@ -253,7 +253,10 @@
     return expect_gang_running(world, "wk-1", 3);
 }
 
-/** Sends a worker the command to stop a task of wk-1, with two seconds to save its progress. */
+/**
+ * Sends a worker the command to stop a task of wk-1, with two seconds to save its progress. The
+ * command carries the worker's current token, as one from a node does.
+ */
 static void stop_task_with_grace_period(struct world *world, uint32_t index, uint64_t attempt)
 {
     struct worker *worker = find_worker_with_task(world, "wk-1", index);
@@ -485,7 +488,7 @@
 
 /**
  * The start command of a failed array task may still be in transit to the only machine, which
- * therefore shows the old attempt until a new epoch. The task must not wait for ever.
+ * therefore shows the old attempt until a new epoch. The task must not wait forever.
  */
 static void task_restarts_despite_a_start_command_still_in_transit(void **state)
 {
@@ -509,8 +512,8 @@
 static int partitioned_node;
 
 /**
- * A request_fault_fn that cuts partitioned_node off from the other nodes and from the state
- * service. Requests to workers are not affected; worker.reachable_node covers these.
+ * A request_fault_fn that cuts partitioned_node off from the other nodes, the state service
+ * and the cloud. Requests to workers are not affected; worker.reachable_node covers these.
  */
 static enum request_fault partition_node(struct world *world, int node,
                                          const struct http_client_request *request)
--- a/tests/test_scheduling.c
+++ b/tests/test_scheduling.c
@@ -105,9 +105,9 @@
             assert_true(g_array_index(world->workers[k].tasks, struct worker_task, i).attempt ==
                         attempt);
     /* One task fails: the others are stopped, and all start again with a new attempt. */
-    struct worker *k =
+    struct worker *failing_worker =
         worker_find_task(&world->workers[6], "wk-1", 1) ? &world->workers[6] : &world->workers[7];
-    worker_exit_task(k, "wk-1", 1, "error");
+    worker_exit_task(failing_worker, "wk-1", 1, "error");
     world_run(world, 20000);
     assert_int_equal(world_count_active_tasks(world, "wk-1"), 6);
     struct worker_task *task = worker_find_task(&world->workers[6], "wk-1", 1)
@@ -394,17 +394,17 @@
     for (int ms = 0; ms < 4000; ms += 100) {
         world_run(world, 100);
         for (int i = 0; i < 4; i++) {
-            struct worker *k = &world->workers[i];
+            struct worker *worker = &world->workers[i];
             bool has_exited = false;
-            for (guint t = 0; k->up && t < k->tasks->len; t++) {
-                struct worker_task *task = &g_array_index(k->tasks, struct worker_task, t);
+            for (guint t = 0; worker->up && t < worker->tasks->len; t++) {
+                struct worker_task *task = &g_array_index(worker->tasks, struct worker_task, t);
                 if (strcmp(task->stage, "running") == 0) {
-                    worker_exit_task(k, task->job.text, task->index, "error");
+                    worker_exit_task(worker, task->job.text, task->index, "error");
                     has_exited = true;
                 }
             }
             if (has_exited)
-                worker_send_heartbeat(k);
+                worker_send_heartbeat(worker);
         }
     }
     world_add_worker(world, 6, "a", true);
