--- a/tests/test_gap.c
+++ b/tests/test_gap.c
@@ -158,7 +158,7 @@
     return strcmp(request->path, "/commands") == 0 ? command_fault : FAULT_NONE;
 }
 
-static void lost_halt_commands_are_repeated_in_an_outage(void **state)
+static void lost_stop_commands_are_repeated_in_an_outage(void **state)
 {
     struct world *world = *state;
     start_two_services(world);
@@ -207,7 +207,7 @@
 }
 
 /* No machine reports for a while: the halts go straight to them, and at once. */
-static void halt_commands_do_not_wait_for_heartbeats(void **state)
+static void stop_commands_do_not_wait_for_heartbeats(void **state)
 {
     struct world *world = *state;
     start_two_services(world);
@@ -268,7 +268,7 @@
 
 /* A machine hangs when its halt comes, and goes on within its lease: it has the halt then, or gets
  * it with the answer to its first report. */
-static void a_machine_that_hangs_during_the_halt_stops_the_task_later(void **state)
+static void a_machine_that_hangs_when_a_stop_command_arrives_stops_the_task_later(void **state)
 {
     struct world *world = *state;
     start_two_services(world);
@@ -518,12 +518,12 @@
     const struct CMUnitTest tests[] = {
         WORLD_TEST_SETTLED(a_refused_leader_stops_tasks_cancelled_through_other_nodes),
         WORLD_TEST_SETTLED(a_node_applies_a_cancellation_it_confirmed_without_its_watch),
-        WORLD_TEST_SETTLED(lost_halt_commands_are_repeated_in_an_outage),
+        WORLD_TEST_SETTLED(lost_stop_commands_are_repeated_in_an_outage),
         WORLD_TEST_SETTLED(a_delayed_run_command_arrives_after_the_lease_of_a_cancelled_task),
-        WORLD_TEST_SETTLED(halt_commands_do_not_wait_for_heartbeats),
+        WORLD_TEST_SETTLED(stop_commands_do_not_wait_for_heartbeats),
         WORLD_TEST_SETTLED(tasks_stop_although_the_confirming_node_restarts_in_the_outage),
         WORLD_TEST_SETTLED(unreachable_peers_may_have_confirmed_a_cancellation),
-        WORLD_TEST_SETTLED(a_machine_that_hangs_during_the_halt_stops_the_task_later),
+        WORLD_TEST_SETTLED(a_machine_that_hangs_when_a_stop_command_arrives_stops_the_task_later),
         WORLD_TEST_SETTLED(a_duplicate_of_an_old_rpc_response_is_ignored),
         WORLD_TEST_SETTLED(two_outages_within_one_lease_stop_both_cancelled_jobs),
         WORLD_TEST_SETTLED(all_nodes_learn_of_a_cancellation_before_it_is_confirmed),
