--- a/tests/test_combined_leader_changes.c
+++ b/tests/test_combined_leader_changes.c
@@ -156,6 +156,7 @@
 }
 
 static int refused_node = -1;
+
 /* Refuses requests of one node to the state service. */
 static enum request_fault refuse_state_requests_of_node(struct world *world, int node,
                                                         const struct http_client_request *request)
--- a/tests/test_combined_machine_failures.c
+++ b/tests/test_combined_machine_failures.c
@@ -162,6 +162,7 @@
 }
 
 static bool holding_commands;
+
 /* Holds back every other command and loses the response to the others, while holding_commands is
  * set. */
 static enum request_fault
@@ -225,6 +226,7 @@
 }
 
 static bool holding_page_writes;
+
 /* Delays writes of run record pages, or holds them back while holding_page_writes is set. */
 static enum request_fault delay_page_writes(struct world *world, int node,
                                             const struct http_client_request *request)
--- a/tests/test_combined_user_requests.c
+++ b/tests/test_combined_user_requests.c
@@ -44,6 +44,7 @@
 }
 
 static int lagging_node;
+
 /* Delays responses to watches of the lagging node. */
 static enum request_fault delay_watches_of_lagging_node(struct world *world, int node,
                                                         const struct http_client_request *request)
@@ -55,6 +56,7 @@
 }
 
 static int response_loss_interval;
+
 /* Loses the response to every response_loss_interval-th transaction that writes, and makes one
  * replica lag. */
 static enum request_fault lose_txn_responses(struct world *world, int node,
@@ -106,6 +108,7 @@
 }
 
 static int state_request_count;
+
 /* Delays requests to the state service or responses of it, except those about leases, so that
  * responses arrive out of order. */
 static enum request_fault delay_state_requests(struct world *world, int node,
@@ -266,6 +269,7 @@
 }
 
 static bool holding_txns;
+
 /* Holds back every third transaction that writes, while holding_txns is set. */
 static enum request_fault hold_every_third_txn(struct world *world, int node,
                                                const struct http_client_request *request)
--- a/tests/test_gap.c
+++ b/tests/test_gap.c
@@ -133,6 +133,7 @@
 }
 
 static int node_without_watch;
+
 /* Drops the watches of one node. */
 static enum request_fault drop_watches_of_node(struct world *world, int node,
                                                const struct http_client_request *request)
@@ -407,6 +408,7 @@
 /* ---- cancellations with an unknown outcome ---- */
 
 static enum request_fault cancel_fault;
+
 /* Injects cancel_fault into transactions that cancel a job. */
 static enum request_fault inject_cancel_fault(struct world *world, int node,
                                               const struct http_client_request *request)
--- a/tests/test_restarts.c
+++ b/tests/test_restarts.c
@@ -7,6 +7,7 @@
 #include <string.h>
 
 static bool refuse_page_writes;
+
 /* Refuses writes of run record pages while refuse_page_writes is set, and loses responses to
  * commands. */
 static enum request_fault
@@ -64,6 +65,7 @@
 
 static int restarted_node;
 static bool holding_requests;
+
 /* Holds back all requests of the restarted node except watches, while holding_requests is set. */
 static enum request_fault hold_requests_of_restarted_node(struct world *world, int node,
                                                           const struct http_client_request *request)
--- a/tests/test_world.c
+++ b/tests/test_world.c
@@ -300,6 +300,7 @@
 }
 
 static int responses_to_lose;
+
 /* Loses the responses to the next responses_to_lose transactions that write a job. */
 static enum request_fault lose_job_txn_responses(struct world *world, int node,
                                                  const struct http_client_request *request)
@@ -331,6 +332,7 @@
 }
 
 static int partitioned_node = -1;
+
 /* Drops all requests of the partitioned node to the state service. */
 static enum request_fault
 partition_node_from_state_service(struct world *world, int node,
