--- a/tests/test_cluster.c
+++ b/tests/test_cluster.c
@@ -1,10 +1,10 @@
 /**
  * @file
- * The modules of the cluster package by themselves: the bytes of their messages, the owners in the
- * shard map, and the bounds of what a node remembers of cancellations.
+ * Unit tests of the cluster package: the wire format of its messages, the owners in the shard map,
+ * and the limits on the cancellations that a node remembers.
  *
- * Messages and owners are those of version 0.4.0 (commit 2e591e3), as nodes of different versions
- * serve side by side.
+ * The expected messages and owners are those of version 0.4.0 (commit 2e591e3). Nodes of different
+ * versions run in one cluster, so a change to either would break a rolling upgrade.
  */
 #include "json_messages.h"
 #include "world.h"
@@ -18,7 +18,7 @@
     return notice;
 }
 
-/* ---- messages ---- */
+/* ---- wire format ---- */
 
 static void peer_requests_keep_their_wire_format(void **state)
 {
@@ -30,7 +30,7 @@
     assert_int_equal(decoded.number, 7);
     assert_int_equal(decoded.replica_revision.value, 15);
     cJSON_Delete(message);
-    message = json_message_parse("{\"from\":\"mast-0\"}"); /* of an earlier version */
+    message = json_message_parse("{\"from\":\"mast-0\"}"); /* from a version without these fields */
     decoded = peer_request_decode(message);
     assert_int_equal(decoded.number, 0);
     assert_int_equal(decoded.replica_revision.value, 0);
@@ -127,7 +127,7 @@
         cJSON *message = json_message_parse(text);
         struct health_report report;
         assert_true(health_report_decode(message, &report));
-        assert_int_equal(report.request_number, 0); /* none has this number */
+        assert_int_equal(report.request_number, 0); /* missing; no request has number 0 */
         assert_false(report.has_all_cancels);
         assert_int_equal(report.cancels->len, cases[i].cancel_count);
         health_report_clear(&report);
@@ -169,9 +169,9 @@
         assert_string_equal(shard_map_get_owner(replica, expected[i].machine), expected[i].owner);
 }
 
-/* ---- what a node remembers of cancellations ---- */
+/* ---- remembered cancellations ---- */
 
-/** Confirms cancellations of so many jobs, at the revisions from 1 on. */
+/** Confirms the cancellation of `count` jobs: wk-N at revision N, from 1 on. */
 static void confirm_cancellations(struct cancel_broadcast *broadcast, int count)
 {
     for (int i = 1; i <= count; i++) {
@@ -182,7 +182,10 @@
     }
 }
 
-/** Whether a node whose replica stands at that revision would be told of all that it may lack. */
+/**
+ * Collects the notices for a peer whose replica is at `replica_revision` and checks their number.
+ * Returns whether they include every cancellation that the peer may lack.
+ */
 static bool collects_all_notices(struct cancel_broadcast *broadcast, uint64_t replica_revision,
                                  guint expected_count)
 {
@@ -213,7 +216,7 @@
 {
     struct world *world = *state;
     struct cancel_broadcast *broadcast = world->nodes[0]->cancel_broadcast;
-    confirm_cancellations(broadcast, 4010); /* the first ten are forgotten */
+    confirm_cancellations(broadcast, 4010); /* the ten oldest are evicted */
     assert_int_equal(cancel_broadcast_get_status(broadcast, make_notice("wk-10", 0).job),
                      CANCEL_NONE);
     assert_int_equal(cancel_broadcast_get_status(broadcast, make_notice("wk-11", 0).job),
@@ -232,7 +235,7 @@
     cancel_broadcast_finish_txn(broadcast, possible, &(struct txn_outcome){.status = TXN_UNKNOWN});
     assert_int_equal(cancel_broadcast_get_status(broadcast, possible), CANCEL_POSSIBLE);
     confirm_cancellations(broadcast, 3999);
-    assert_true(collects_all_notices(broadcast, 3999, 1)); /* it is still known */
+    assert_true(collects_all_notices(broadcast, 3999, 1)); /* not evicted yet */
     confirm_cancellations(broadcast, 4000);
     assert_int_equal(cancel_broadcast_get_status(broadcast, possible), CANCEL_NONE);
     assert_false(collects_all_notices(broadcast, 4000, 0));
--- a/tests/test_duty_history.c
+++ b/tests/test_duty_history.c
@@ -1,4 +1,9 @@
-/* The checker of histories finds each thing that can be wrong, and nothing in what is right. */
+/**
+ * @file
+ * Tests of the duty history, which checks what holders of singleton roles did: it must report each
+ * kind of violation and accept valid histories. A violation that it misses would stay hidden in all
+ * tests of singleton roles.
+ */
 #include "duty_history.h"
 
 #include <setjmp.h>
@@ -10,11 +15,11 @@
 
 static const char holder_value[] = "{\"n\":\"mast-0\",\"i\":1}";
 
-/* What a history has happen, one after the other; the revision counts up. */
+/** One event of a history; each event has the next revision unless it states its own. */
 struct event {
     enum { END, KEY, RENTED, RETURNED } kind;
     const char *name, *value;
-    uint64_t revision; /* 0: the next */
+    uint64_t revision; /* 0: one after the previous event's */
 };
 
 #define ROLE_KEY "ll/duty/fleet"
@@ -23,8 +28,9 @@
 #define RETURN_INTENT "{\"t\":1,\"return\":[\"host-000001\"],\"rent\":[]}"
 #define PLACED(attempt) "{\"t\":\"@host-000001 #wk-1 *" attempt " 0 \",\"d\":\"\"}"
 
+/** A history and the violation that must be reported for it. */
 struct history_case {
-    const char *expected_violation; /* of what is wrong; NULL: nothing is */
+    const char *expected_violation; /* part of the message; NULL: the history is valid */
     struct event events[6];
 };
 
@@ -37,14 +43,16 @@
      {{KEY, ROLE_KEY, holder_value, 0},
       {KEY, INTENT_KEY, RETURN_INTENT, 0},
       {RETURNED, "host-000001", "", 0}}},
-    /* Late, after another holder came: it was on record under the token of then. */
+    /* A return carried out after the role changed hands: its intent was recorded under the token
+       valid at that time. */
     {NULL,
      {{KEY, ROLE_KEY, holder_value, 0},
       {KEY, INTENT_KEY, RETURN_INTENT, 0},
       {KEY, ROLE_KEY, NULL, 0},
       {KEY, ROLE_KEY, holder_value, 0},
       {RETURNED, "host-000001", "", 0}}},
-    /* What was placed before may run on, also when its record goes to another page. */
+    /* A task placed before the return intent may keep running, also when its run record moves to
+       another page. */
     {NULL,
      {{KEY, ROLE_KEY, holder_value, 0},
       {KEY, "ll/p/mast-0/0", PLACED("7"), 0},
@@ -64,7 +72,7 @@
       {KEY, INTENT_KEY, RENT_INTENT, 0}}},
     {"cannot be read", {{KEY, ROLE_KEY, holder_value, 0}, {KEY, INTENT_KEY, "{\"t\":1}", 0}}},
     {"rented host-1 for r-2", {{KEY, ROLE_KEY, holder_value, 0}, {RENTED, "r-2", "host-1", 0}}},
-    /* The record has to come first. */
+    /* The intent must be recorded before the machine is rented. */
     {"rented host-1 for r-1",
      {{KEY, ROLE_KEY, holder_value, 0},
       {RENTED, "r-1", "host-1", 0},
@@ -97,10 +105,10 @@
     const char *violation = duty_history_get_violation(history);
     if (history_case->expected_violation &&
         (!violation || !strstr(violation, history_case->expected_violation)))
-        fail_msg("not found: %s (%s)", history_case->expected_violation,
+        fail_msg("not reported: %s (got %s)", history_case->expected_violation,
                  violation ? violation : "nothing");
     if (!history_case->expected_violation && violation)
-        fail_msg("nothing is wrong: %s", violation);
+        fail_msg("a valid history was reported: %s", violation);
     duty_history_free(history);
 }
 
--- a/tests/test_feature_set.c
+++ b/tests/test_feature_set.c
@@ -1,4 +1,8 @@
-/* The features file: what can be used, and the one message for what cannot. */
+/**
+ * @file
+ * Tests of the features file: valid files are parsed, and an invalid one is rejected with a message
+ * of one line that names the field or the position.
+ */
 #include "feature_set.h"
 
 #include <glib/gstdio.h>
@@ -88,7 +92,7 @@
     }
 }
 
-/* A file that cannot be read is named by the system's message only. */
+/* An unreadable file is named only by GLib's message; a schema error is prefixed with the path. */
 static void file_errors_name_the_file(void **state)
 {
     (void)state;
--- a/tests/test_http.c
+++ b/tests/test_http.c
@@ -1,4 +1,8 @@
-/* The HTTP parser and the codecs at their edges. */
+/**
+ * @file
+ * Tests of the HTTP parser, of the JSON codecs and of the HTTP client: incomplete, malformed and
+ * oversized input, numbers at the end of their range, and the client's connection limits.
+ */
 #include "codec.h"
 #include "http.h"
 #include "node_rpc.h"
@@ -30,7 +34,7 @@
     assert_int_equal(head.content_length, 12);
     assert_true(head.closes_connection);
     assert_int_equal(head.head_bytes, strlen(text) - 4);
-    /* Cut anywhere, it asks for more. */
+    /* A head truncated at any byte is incomplete. */
     for (size_t n = 0; n < head.head_bytes; n++) {
         struct http_head partial;
         assert_int_equal(http_parse_head(text, n, false, &partial), HTTP_PARSE_INCOMPLETE);
@@ -57,7 +61,7 @@
         "\x16\x03\x01 binary"};
     for (size_t i = 0; i < G_N_ELEMENTS(malformed); i++)
         if (parse_request_head(malformed[i], &head) != HTTP_PARSE_MALFORMED)
-            fail_msg("taken: %s", malformed[i]);
+            fail_msg("accepted: %s", malformed[i]);
     char *oversized = g_malloc(9001);
     memset(oversized, 'A', 9000);
     oversized[9000] = 0;
@@ -105,17 +109,17 @@
         "", "{", "{} x", "{\"a\":1,}", "nul", "[1 2]", "{\"a\":\"\xff\"}", "{'a':1}"};
     for (size_t i = 0; i < G_N_ELEMENTS(malformed); i++)
         if (parse_json(malformed[i]))
-            fail_msg("taken: %s", malformed[i]);
+            fail_msg("accepted: %s", malformed[i]);
     json_object *object =
         parse_json(" {\"a\":18446744073709551615,\"b\":-1,\"c\":1.5,\"d\":9007199254740993} \n");
     uint64_t value = 0;
     assert_true(json_get_u64(object, "a", &value));
-    assert_true(value == UINT64_MAX); /* counts reach 2^64 */
+    assert_true(value == UINT64_MAX); /* 64-bit counters use the whole range */
     assert_true(json_get_u64(object, "d", &value) && value == 9007199254740993ULL);
     assert_false(json_get_u64(object, "b", &value) || json_get_u64(object, "c", &value) ||
                  json_get_u64(object, "e", &value));
     json_object_put(object);
-    /* Between our own processes, where numbers are doubles, they go as texts. */
+    /* Messages between nodes carry 64-bit numbers as strings, as cJSON numbers are doubles. */
     cJSON *message = cJSON_CreateObject();
     node_rpc_put_u64(message, "a", UINT64_MAX);
     assert_true(node_rpc_get_u64(message, "a", &value) && value == UINT64_MAX);
@@ -165,9 +169,10 @@
         "", "wk-1", "/3", "wk-1/", "wk-1/x", "wk-1/-1", "wk-1/99999999999", "a b/1"};
     for (size_t i = 0; i < G_N_ELEMENTS(malformed); i++)
         if (task_name_parse(malformed[i], &job, &task_index))
-            fail_msg("taken: %s", malformed[i]);
+            fail_msg("accepted: %s", malformed[i]);
 }
 
+/** A valid job as JSON, with the first occurrence of `from` replaced by `to`. */
 static char *format_job_with(const char *from, const char *to)
 {
     const char *text =
@@ -182,7 +187,7 @@
     return out;
 }
 
-/* What is kept in the state service reads back the same. */
+/** Checks that a job survives encoding, as for the state service, and decoding. */
 static void expect_round_trip(const struct job_spec *spec)
 {
     json_object *encoded = job_spec_encode(spec);
@@ -194,7 +199,7 @@
     json_object_put(encoded);
 }
 
-/* Whether the job is accepted with one text in place of another. */
+/** Checks whether the job with `from` replaced by `to` is accepted. */
 static void expect_job_decoding(const char *from, const char *to, bool is_valid)
 {
     char *text = format_job_with(from, to);
@@ -263,7 +268,7 @@
     }
 }
 
-/* Limits to come are read like those of now, and each may be missing. */
+/* Upcoming limits are validated like the current ones, which they default to. */
 static void upcoming_state_service_limits_are_validated(void **state)
 {
     (void)state;
@@ -271,7 +276,7 @@
         "[deployment.state]\nrps = 100\nwrite_rps = 25\nvalue_kb = 8\n"
         "txn_ops = 16\n";
     static const struct {
-        const char *next, *why; /* NULL: nothing is wrong there */
+        const char *next, *why; /* NULL: the settings are valid */
     } cases[] = {
         {"[deployment.state.next]\nvalue_kb = 0.5\n", "deployment.state.next.value_kb: must be"},
         {"[deployment.state.next]\ntxn_ops = 5.5\n", "deployment.state.next.txn_ops: must be"},
@@ -307,8 +312,9 @@
     }
 }
 
-/* ---- the client, over loopback ---- */
+/* ---- HTTP client over loopback ---- */
 
+/** A client that sends a series of requests, each once the previous one is answered. */
 struct client_test {
     struct loop *loop;
     struct http_client *client;
@@ -342,6 +348,7 @@
     test->client->request(test->client, &request, handle_response, test);
 }
 
+/** A port of the loopback interface that nothing listens on. */
 static int find_free_port(void)
 {
     struct sockaddr_in address = {.sin_family = AF_INET, .sin_addr.s_addr = htonl(INADDR_LOOPBACK)};
@@ -353,8 +360,8 @@
     return ntohs(address.sin_port);
 }
 
-/* At its limit the client closes a connection that idles to make room for another: never the one
- * that it is about to use. Seen on a fleet of 1,357 machines, where it ended the process. */
+/* At its connection limit the client closes an idle connection to make room for another. It must
+ * not close the one that it is about to use: with 1,357 machines that terminated the process. */
 static void client_at_its_connection_limit_reuses_its_connection(void **state)
 {
     (void)state;
@@ -386,8 +393,8 @@
     (void)response;
 }
 
-/* A peer that takes connections and never answers holds all that the client may have. What
- * everything hangs on is reached all the same. */
+/* A peer that accepts connections and never answers uses up the client's connections and queue. The
+ * state service is exempt from these limits and must still be reached. */
 static void unresponsive_peers_do_not_block_the_state_service(void **state)
 {
     (void)state;
@@ -405,7 +412,7 @@
     struct http_server_limits server_limits = {10, 1000, 30000, 30000},
                               no_connections = {0, 1000, 30000, 30000};
     char *error = NULL;
-    struct loop *stopped_loop = loop_new(); /* which nobody runs */
+    struct loop *stopped_loop = loop_new(); /* never run, so its server answers nothing */
     struct http_server *server =
         http_server_new(test.loop, test.address, server_limits, respond_ok, NULL, &error);
     struct http_server *unresponsive_server = http_server_new(
--- a/tests/test_loopback.c
+++ b/tests/test_loopback.c
@@ -1,6 +1,10 @@
-/* Three real processes on loopback, which are stopped and continued (SIGSTOP, SIGCONT) while they
- * rent and return machines of a stand-in cloud. What the stand-ins carried out is judged; the
- * verdict depends on no timing, only on the history. */
+/**
+ * @file
+ * Runs three real node processes on loopback and pauses them with SIGSTOP and SIGCONT while they
+ * rent and return machines of a simulated cloud. A process that is paused for longer than its lease
+ * may go on to act on a role that it has lost. The requests that the simulated services carried out
+ * are checked against the history of role holders, so the verdict does not depend on timing.
+ */
 #include "duty_history.h"
 #include "world.h"
 
@@ -14,10 +18,11 @@
 
 enum {
     NODE_COUNT = 3,
+    /* The test ends once it has seen this many pauses and rented or returned machines. */
     MIN_PAUSES = 60,
     MIN_CLOUD_EFFECTS = 12,
-    TIMEOUT_S = 180, /* then it has failed */
-    STEP_MS = 2,
+    TIMEOUT_S = 180, /* the test fails when it takes longer */
+    STEP_MS = 2,     /* interval at which the simulated world catches up with real time */
     JOB_COUNT = 4,
 };
 
@@ -26,14 +31,15 @@
     "\"FetchGbPerS\":1.0,\"Price\":1.0,\"MarketPrice\":0.4,\"ReadyS\":0.1,\"Yards\":[\"a\",\"b\"]}]"
     "}";
 
-/* A server on loopback that passes requests on to the world. */
+/** A server on loopback that forwards requests to the simulated world. */
 struct fake_service {
     struct loopback_test *test;
-    const char *address; /* as the world knows it */
+    const char *address; /* of the service in the simulated world */
 };
 
+/** The processes, the simulated services and the history of one run. */
 struct loopback_test {
-    struct loop *loop; /* real */
+    struct loop *loop; /* runs in real time */
     struct world *world;
     struct duty_history *history;
     struct world_observer observer;
@@ -48,9 +54,9 @@
     struct timer step_timer;
 };
 
-/* ---- the stand-ins ---- */
+/* ---- simulated services ---- */
 
-/* A request of a process, until it is answered. */
+/** A request of a node process that the world has not answered yet. */
 struct pending_forward {
     struct http_responder *responder;
     connection_ref connection;
@@ -82,6 +88,7 @@
 
 /* ---- processes ---- */
 
+/** A port of the loopback interface that nothing listens on. */
 static int find_free_port(void)
 {
     struct sockaddr_in address = {.sin_family = AF_INET, .sin_addr.s_addr = htonl(INADDR_LOOPBACK)};
@@ -93,6 +100,7 @@
     return ntohs(address.sin_port);
 }
 
+/** Writes the settings file of a node. Returns its path. */
 static char *write_settings(struct loopback_test *test, int node)
 {
     GString *text = g_string_new(NULL);
@@ -135,23 +143,25 @@
     g_free(features);
 }
 
+/** Checks that the process of a node is still running, then kills it. */
 static void kill_process(struct loopback_test *test, int node)
 {
     int status = 0;
-    assert_int_equal(waitpid(test->processes[node], &status, WNOHANG), 0); /* it ran until now */
+    assert_int_equal(waitpid(test->processes[node], &status, WNOHANG), 0); /* has not exited */
     kill(test->processes[node], SIGKILL);
     waitpid(test->processes[node], &status, 0);
 }
 
 /* ---- the driver ---- */
 
+/** Pauses a random node when the next pause is due: 30 % of the pauses may exceed the lease. */
 static void pause_random_node(struct loopback_test *test)
 {
     mono_time now = loop_now(test->loop);
     int node = g_rand_int_range(test->random, 0, NODE_COUNT);
     if (time_before(now, test->next_pause_at) || test->paused[node])
         return;
-    bool exceeds_lease = g_rand_double(test->random) < 0.3; /* of 4 s */
+    bool exceeds_lease = g_rand_double(test->random) < 0.3; /* 4 s */
     int64_t duration_ms = exceeds_lease ? g_rand_int_range(test->random, 3500, 6000)
                                         : g_rand_int_range(test->random, 20, 400);
     test->paused[node] = true;
@@ -170,7 +180,7 @@
         }
 }
 
-/* The world's clock follows the real one. */
+/** Advances the simulated world by the real time elapsed, and pauses and resumes nodes. */
 static void run_step(void *arg)
 {
     struct loopback_test *test = arg;
@@ -213,14 +223,14 @@
     }
 }
 
-/* Machines that are rented never come up here: they are returned after a while, and others are
- * rented in their place. */
+/* Rented machines never start in this test: they are returned after a while and others are rented
+ * in their place, so rentals and returns continue throughout. */
 static void role_holders_paused_by_signals_never_act_on_a_lost_role(void **state)
 {
     (void)state;
     struct loopback_test test = {.loop = loop_new(), .history = duty_history_new()};
     struct world_config config = world_default_config();
-    config.worker_count = 400; /* the cloud's machines */
+    config.worker_count = 400; /* machines available in the cloud */
     test.world = world_new_with_config(&config);
     test.world->machine_types = machine_types_json;
     test.world->cloud_capacity = config.worker_count;
--- a/tests/test_policy.c
+++ b/tests/test_policy.c
@@ -1,4 +1,8 @@
-/* The expression language and its checker. */
+/**
+ * @file
+ * Tests of the policy language: evaluation of its expressions, and the errors that its checker
+ * reports for policies that are not valid.
+ */
 #include "policy.h"
 
 #include <glib/gstdio.h>
@@ -10,6 +14,7 @@
 
 #include <cmocka.h>
 
+/** The value of a numeric expression, where used_cpus is 10 and peak_cpus is 40. */
 static double evaluate_number(const char *expression)
 {
     struct policy_value value[POLICY_INPUTS] = {0};
@@ -26,6 +31,7 @@
     return result;
 }
 
+/** The value of a boolean expression, where team is "red" and priority is "high". */
 static bool evaluate_flag(const char *expression)
 {
     struct policy_value value[POLICY_INPUTS] = {0};
@@ -42,6 +48,7 @@
     return result;
 }
 
+/** Checks that a policy is rejected with a message that contains `message_part`. */
 static void expect_error(const char *text, const char *message_part)
 {
     GError *error = NULL;
@@ -70,11 +77,11 @@
     assert_true(evaluate_number("-5") == 0);
     assert_true(evaluate_number("1 / 0") == 1e6);
     assert_true(evaluate_number("0 / 0") == 0);
-    /* No order is known to a value that is no number: it compares as equal. */
+    /* NaN has no order: comparisons treat it as equal to any number. */
     assert_true(evaluate_number("if 0 / 0 == 1 then 7 else 8") == 7);
     assert_true(evaluate_number("if 0 / 0 < 1 then 7 else 8") == 8);
     assert_true(evaluate_number("min(0 / 0, 7) + max(7, 0 / 0)") == 14);
-    /* Of 0 and -0 the first is the lesser as well as the greater. */
+    /* Of 0 and -0, both min and max return the first argument. */
     assert_true(evaluate_number("1 / min(0, -0)") == 1e6 && evaluate_number("1 / min(-0, 0)") == 0);
     assert_true(evaluate_number("1 / max(0, -0)") == 1e6 && evaluate_number("1 / max(-0, 0)") == 0);
 }
@@ -217,7 +224,7 @@
     {"idle_s = type", "line 1, column 10: expected a number, found a text"},
 };
 
-/* The whole message, so that neither its words nor its place can change unseen. */
+/* Compares whole messages, so that a change of their wording or position is noticed. */
 static void each_error_has_its_exact_message(void **state)
 {
     (void)state;
@@ -254,7 +261,7 @@
             fail_msg("'%s': code %d", cases[i].text, error->code);
         g_error_free(error);
     }
-    assert_null(policy_parse("idle = 3", NULL)); /* the error need not be wanted */
+    assert_null(policy_parse("idle = 3", NULL)); /* the error argument is optional */
     g_free(deep_text);
     g_free(deep);
 }
@@ -274,7 +281,7 @@
     static const struct {
         const char *before, *part, *after;
         int times;
-        const char *message; /* NULL: nothing is wrong there */
+        const char *message; /* NULL: the policy is valid */
     } cases[] = {
         {"idle_s = ", "(", "", 391, "line 1, column 74: nested too deep"},
         {"idle_s = ", "-", "1", 63, NULL},
@@ -314,7 +321,7 @@
     static const struct {
         const char *before, *part;
         int times;
-        const char *message; /* after the file's name; NULL: nothing is wrong there */
+        const char *message; /* after the path of the file; NULL: the policy is valid */
     } cases[] = {
         {"idle_s = 3", "", 0, NULL},
         {"idle = 3", "", 0, "line 1, column 1: idle is no setting"},
--- a/tests/test_role_feature_switch.c
+++ b/tests/test_role_feature_switch.c
@@ -1,4 +1,8 @@
-/** Singleton roles begin once all nodes know them, and end once no node's operators want them. */
+/**
+ * @file
+ * Tests of the switch for singleton roles: they are enabled once every node supports them, and
+ * disabled once no node's features file enables them.
+ */
 #include "role_scenario.h"
 
 static void restart_node(struct role_scenario *scenario, int node)
@@ -9,6 +13,7 @@
     world_run(scenario->world, 3000);
 }
 
+/** Checks that a new job completes and that machines are returned to the cloud. */
 static void expect_job_completes(struct role_scenario *scenario)
 {
     int returned_before = scenario->world->returned_count;
@@ -20,13 +25,16 @@
     assert_true(scenario->world->returned_count > returned_before);
 }
 
-/* The last node that wants duties goes away while a request to rent has no answer and machines are
- * to be returned: they stay on until that is settled. */
+/**
+ * Restarts the last node that still enables singleton roles, now with the roles disabled, while a
+ * rental request has no response and machines are to be returned. The roles must stay enabled until
+ * these intents are settled.
+ */
 static void expect_unsettled_intents_keep_roles_enabled(struct role_scenario *scenario)
 {
     struct world *world = scenario->world;
     role_scenario_add_job(scenario);
-    world_run(world, 3000); /* its machines are up and idle soon */
+    world_run(world, 3000); /* its machines are up and soon idle */
     world->cloud_down = true;
     role_scenario_add_job(scenario);
     world_run(world, 1000);
@@ -40,14 +48,15 @@
         assert_false(world->workers[i].up);
 }
 
-/* A fleet in which one node after the other learns of duties: they begin when all have. They end
- * once no node's operators want them. */
+/* Nodes are upgraded one after the other to a version with singleton roles, which are enabled only
+ * after the last one. Then one node after the other restarts with the roles disabled in its
+ * features; they stay enabled until the last one has. */
 static void singleton_roles_are_switched_once_all_nodes_agree(void **state)
 {
     (void)state;
     struct role_scenario *scenario = role_scenario_new(1);
     struct world *world = scenario->world;
-    world->observer = NULL; /* without duties acts are on no record */
+    world->observer = NULL; /* while roles are disabled, no intents are recorded */
     for (int i = 0; i < WORLD_NODES; i++)
         world_kill(world, i);
     world_run(world, 6000);
--- a/tests/test_role_handover.c
+++ b/tests/test_role_handover.c
@@ -1,10 +1,16 @@
-/** Who holds a singleton role: claims, hand-over, restarts and outages. */
+/**
+ * @file
+ * Tests of who holds a singleton role: concurrent claims, hand-over, restarts of the holder and
+ * outages of the state service. With an argument, the program measures instead for how long a role
+ * has no holder.
+ */
 #include "delay_histogram.h"
 #include "role_scenario.h"
 #include "scheduler_internal.h"
 
 #include <stdio.h>
 
+/* All nodes claim a role at the same time: exactly one of them must become its holder. */
 static void one_of_several_concurrent_claims_succeeds(void **state)
 {
     (void)state;
@@ -14,7 +20,7 @@
         world_remove_key(world, "ll/duty/cleanup");
         for (int i = 0; i < WORLD_NODES; i++)
             role_manager_claim(world->nodes[i]->role_manager, ROLE_GARBAGE_COLLECTOR);
-        /* All claims are answered by the time that the first holder is known. */
+        /* All claims have been answered by the time the first holder is known. */
         unsigned holders = duty_history_count_holders(scenario->history);
         while (duty_history_count_holders(scenario->history) == holders)
             world_run(world, 1);
@@ -48,16 +54,16 @@
     assert_true(role_manager_hand_over(world->nodes[before]->role_manager, ROLE_GARBAGE_COLLECTOR,
                                        &successor));
     assert_int_equal(role_scenario_get_holder(world, ROLE_GARBAGE_COLLECTOR),
-                     -1); /* it stops at once */
+                     -1); /* the holder stops at once */
     world_run(world, 20);
     assert_true(role_scenario_get_token(world, ROLE_GARBAGE_COLLECTOR) > token);
-    /* The keeper of the third node gives it back to the one that is chosen. */
+    /* The role manager of the third node returns the role to the node chosen for it. */
     world_run(world, 2000);
     assert_int_equal(role_scenario_get_holder(world, ROLE_GARBAGE_COLLECTOR), before);
     role_scenario_end(scenario);
 }
 
-/* A duty is not handed to a process that is no more: the holder goes on. */
+/* A role handed over to a process that no longer exists stays with its holder. */
 static void hand_over_to_a_dead_process_has_no_effect(void **state)
 {
     (void)state;
@@ -72,6 +78,8 @@
     role_scenario_end(scenario);
 }
 
+/* A holder that restarts before its old lease expires is a new process: it must claim the role
+ * again and get a new token. */
 static void restarted_holder_gets_a_new_token(void **state)
 {
     (void)state;
@@ -83,15 +91,17 @@
         world_kill(world, leader);
         world_run(world, 50);
         world_start(world, leader);
-        world_run(world, 1500); /* less than the lease of the process before */
+        world_run(world, 1500); /* less than the lease of the previous process */
         assert_true(role_scenario_get_holder(world, ROLE_AUTOSCALER) >= 0);
         assert_true(role_scenario_get_token(world, ROLE_AUTOSCALER) > token);
     }
     role_scenario_end(scenario);
 }
 
-/* The holder cannot reach the state service, nor does the cloud serve it: it asks again, but no
- * more once its lease has run out. */
+/**
+ * Checks that a holder that reaches neither the state service nor the cloud retries its cloud
+ * requests, but sends none once its lease has expired.
+ */
 static void expect_requests_stop_with_the_lease(struct role_scenario *scenario, int node,
                                                 int64_t ms)
 {
@@ -103,7 +113,7 @@
     assert_int_equal(scenario->cloud_requests[node], before);
 }
 
-/* The state service is away for that long for the holder alone, or for all. */
+/** Makes the state service unavailable to the holder alone or to all nodes. */
 static void run_state_service_outage(bool for_all_nodes)
 {
     struct role_scenario *scenario = role_scenario_new(1);
@@ -135,7 +145,7 @@
     run_state_service_outage(true);
 }
 
-/* ---- a measurement, which is no test ---- */
+/* ---- measurement of the time without a holder ---- */
 
 enum holder_end {
     ENDS_BY_CRASH,
@@ -145,6 +155,7 @@
     HOLDER_END_COUNT
 };
 
+/** Ends the holder's tenure of its role in one of the ways of `enum holder_end`. */
 static void end_holder(struct role_scenario *scenario, enum holder_end end, int holder)
 {
     struct world *world = scenario->world;
@@ -174,6 +185,7 @@
     }
 }
 
+/** The index of the running node that may act in the role, or -1. */
 static int find_live_holder(struct world *world, enum singleton_role role)
 {
     for (int i = 0; i < WORLD_NODES; i++)
@@ -183,6 +195,7 @@
     return -1;
 }
 
+/** Measures for how long a role has no holder after its holder ends as stated. */
 static void measure_gap(enum holder_end end, const char *name, int rounds)
 {
     struct delay_histogram *gaps = delay_histogram_new();
@@ -212,7 +225,7 @@
     return 0;
 }
 
-/** test_role_handover [ROUNDS]: the tests, or a measurement of that many rounds. */
+/** test_role_handover [ROUNDS]: runs the tests, or a measurement of that many rounds. */
 int main(int argc, char **argv)
 {
     if (argc > 1)
--- a/tests/test_role_pauses.c
+++ b/tests/test_role_pauses.c
@@ -1,15 +1,22 @@
-/** Holders of singleton roles that are paused at every step of an act, and go on after their lease
- * or their successor's. */
+/**
+ * @file
+ * Pauses holders of singleton roles at each step of renting and returning machines, and resumes
+ * them after their own lease or their successor's has expired. A resumed holder must not act under
+ * a token that is no longer valid.
+ */
 #include "role_failures.h"
 #include "role_scenario.h"
 
 enum {
     SEED_COUNT = 60,
-    SEED_DURATION_MS = 70000,
-    MIN_PAUSES = 2000,
+    SEED_DURATION_MS = 70000, /* simulated time per seed */
+    MIN_PAUSES = 2000,        /* over all seeds */
 };
 
-/* A job needs machines, ends, and they are returned. */
+/**
+ * Runs jobs whose machines are rented and returned, with a pause or a fault at the given point.
+ * Checks that the point was reached and that all jobs complete.
+ */
 static void run_with_pause_point(const struct pause_point *pause_point)
 {
     struct role_scenario *scenario =
@@ -23,7 +30,8 @@
     role_scenario_settle(scenario);
     role_scenario_expect_settled(scenario);
     if (!scenario->pause_points_reached)
-        fail_msg("never sent: %s %s", pause_point->path, pause_point->body_substring);
+        fail_msg("the pause point was not reached: %s %s", pause_point->path,
+                 pause_point->body_substring);
     for (int i = 0; i < 3; i++) {
         char id[24];
         g_snprintf(id, sizeof id, "wk-%05d", i + 1);
@@ -55,7 +63,7 @@
             }
 }
 
-/* The answer is lost, or comes late, or what was sent is carried out much later. */
+/* A response is lost or delayed, or the request is lost or carried out much later. */
 static void lost_and_delayed_requests_do_no_harm(void **state)
 {
     (void)state;
@@ -76,8 +84,9 @@
         }
 }
 
-/* Thousands of times a holder stands still as it claims, records, rents, returns or waits for the
- * answer, and goes on later, at times under another's token. */
+/* Holders are paused thousands of times while they claim a role, record intents, rent or return
+ * machines or wait for a response, and are resumed later, at times when another holder's token is
+ * valid. */
 static void holders_paused_at_random_do_no_harm(void **state)
 {
     (void)state;
--- a/tests/test_role_returns.c
+++ b/tests/test_role_returns.c
@@ -1,4 +1,7 @@
-/** Machines that the holder of a singleton role returns to the cloud. */
+/**
+ * @file
+ * Tests of the machines that the holder of the autoscaler role returns to the cloud.
+ */
 #include "role_scenario.h"
 #include "scheduler_internal.h"
 
@@ -18,7 +21,7 @@
     return is_autoscaler_claim(request) ? FAULT_UNAVAILABLE : FAULT_NONE;
 }
 
-/* A machine that is there from the beginning, on which nothing ever ran. */
+/** Adds a running machine that has never had a task. */
 static struct worker *add_idle_machine(struct role_scenario *scenario, int i)
 {
     struct worker *worker = world_add_worker(scenario->world, i, "a", true);
@@ -26,7 +29,8 @@
     return worker;
 }
 
-/* A new leader decides to return an idle machine before it has the duty. */
+/* A new leader decides to return an idle machine before its claim of the autoscaler role succeeds.
+ * The return must wait for the claim and must not be lost. */
 static void returns_decided_before_the_claim_are_done_after_it(void **state)
 {
     (void)state;
@@ -47,7 +51,7 @@
     role_scenario_end(scenario);
 }
 
-/* Nothing is returned by itself. */
+/** A scenario whose policy keeps idle machines for a day, so that tests request each return. */
 static struct role_scenario *new_scenario_without_idle_returns(void)
 {
     struct role_scenario *scenario = role_scenario_new(1);
@@ -82,7 +86,8 @@
     return FAULT_REQUEST_HELD;
 }
 
-/* A machine is to be returned while a task is being recorded on it. */
+/* A machine is to be returned while the record of a task start on it is being written. The return
+ * must wait for that write. */
 static void return_waits_for_a_task_start_being_recorded(void **state)
 {
     (void)state;
@@ -96,18 +101,19 @@
     while (!scenario->pause_points_reached)
         world_run(world, 1);
     request_return(scenario, worker);
-    world_run(world, 1800); /* longer than a return waits for others */
+    world_run(world, 1800); /* returns are delayed by 1 s to be batched */
     world_deliver_held_requests(world);
     world->inject_fault = NULL;
     role_scenario_settle(scenario);
     assert_false(worker->up);
     role_scenario_expect_no_violation(scenario);
-    scenario->cloud_capacity = CLOUD_MACHINES; /* for the tasks that had none */
+    scenario->cloud_capacity = CLOUD_MACHINES; /* for the tasks left without a machine */
     world_run(world, 20000);
     role_scenario_end(scenario);
 }
 
-/* More returns than a page holds, where values are short and transactions small. */
+/* More returns than fit on one page, where the state service's limits on values and transactions
+ * are low: they take a second page, and all are carried out. */
 static void many_returns_are_stored_on_several_pages(void **state)
 {
     (void)state;
--- a/tests/test_rules.c
+++ b/tests/test_rules.c
@@ -1,18 +1,27 @@
-/* The rules that the test world judges by can be broken, each of them: what happens is told to them
- * line by line, and the rule that they name is compared. */
+/**
+ * @file
+ * Tests of the rules that the test world checks. Each case reports a sequence of events to the
+ * rules and compares the rule that is reported as broken. A violation that the rules miss would
+ * stay hidden in all tests that use the test world.
+ */
 #include "world.h"
 
 #include <stdio.h>
 
-/* What a case consists of: words, the first of which says what happens.
- *   submit ID MORE STATUS STAGE   MORE: fields of its own, which replace the usual ones
+/**
+ * A sequence of events, one a line, and the rule that it breaks. Events:
+ *   submit ID FIELDS STATUS STAGE   FIELDS: replace those of the default job; "-" for none
  *   poll ID STATUS STAGE, abort ID STATUS STAGE
  *   start TASK MACHINE SENT_S, exit TASK MACHINE, done TASK MACHINE
- *   wait S, look, shares
- * SENT_S: when the command was sent. */
+ *   wait SECONDS
+ *   look                            checks for jobs that wait although there is room for them
+ *   shares                          checks the shares of jobs started
+ * STATUS and STAGE are those of the response; SENT_S is the time at which the start command was
+ * sent.
+ */
 struct rule_case {
     const char *name, *events;
-    const char *rule; /* NULL: nothing is broken */
+    const char *rule; /* NULL: no rule is broken */
 };
 
 static const struct rules_machine machines[] = {
@@ -26,38 +35,38 @@
     "{\"Label\":\"x9\",\"Vcpus\":4,\"Cards\":0,\"MemoryGb\":8,\"Yards\":[\"a\"]}]}";
 
 static const struct rule_case cases[] = {
-    {"all is well",
+    {"no rule is broken",
      "submit wk-1 - 201 queued\nstart wk-1/0 a1 0\nstart wk-1/1 b1 0\npoll wk-1 200 running\n"
      "done wk-1/0 a1\ndone wk-1/1 b1\npoll wk-1 200 done\nwait 100\npoll wk-1 200 done",
      NULL},
     {"a start by a command sent after the cancellation",
      "submit wk-1 - 201 queued\nabort wk-1 200 cancelled\nwait 1\nstart wk-1/0 a1 1",
      "ran_cancelled"},
-    {"a start that was on its way",
+    {"a start by a command sent before the cancellation",
      "submit wk-1 - 201 queued\nwait 1\nabort wk-1 200 cancelled\nwait 20\nstart wk-1/0 a1 0\n"
      "wait 9\nexit wk-1/0 a1",
      NULL},
-    {"a start that was on its way for too long",
+    {"a start by an earlier command, too long after the cancellation",
      "submit wk-1 - 201 queued\nwait 1\nabort wk-1 200 cancelled\nwait 31\nstart wk-1/0 a1 0",
      "ran_cancelled"},
-    {"a task that leaves too late",
+    {"a task that exits too long after the cancellation",
      "submit wk-1 - 201 queued\nstart wk-1/0 a1 0\nabort wk-1 200 cancelled\nwait 31\n"
      "exit wk-1/0 a1",
      "ran_cancelled"},
-    {"a task that is there at the end",
+    {"a task of a cancelled job that still runs at the end",
      "submit wk-1 - 201 queued\nstart wk-1/0 a1 0\nabort wk-1 200 cancelled\nwait 31",
      "ran_cancelled"},
-    {"a task that leaves in time",
+    {"a task that exits in time after the cancellation",
      "submit wk-1 - 201 queued\nstart wk-1/0 a1 0\nabort wk-1 200 cancelled\nwait 29\n"
      "exit wk-1/0 a1\nwait 10",
      NULL},
-    {"a cancellation that only a poll told",
+    {"a cancellation reported only by a poll",
      "submit wk-1 - 201 queued\nabort wk-1 503 -\nwait 1\npoll wk-1 200 cancelled\nwait 1\n"
      "start wk-1/0 a1 2",
      "ran_cancelled"},
-    {"a cancellation that nobody was told of yet",
+    {"a cancellation that no response has reported",
      "submit wk-1 - 201 queued\nabort wk-1 503 -\nwait 1\nstart wk-1/0 a1 1", NULL},
-    {"cancelled with one that it awaits",
+    {"cancelled together with a job that it depends on",
      "submit wk-0 - 201 queued\nsubmit wk-1 \"Awaits\":[\"wk-0\"] 201 queued\n"
      "abort wk-0 200 cancelled\npoll wk-1 200 cancelled",
      NULL},
@@ -80,8 +89,9 @@
      "submit wk-1 \"Pieces\":1 201 queued\nstart wk-1/0 a1 0\ndone wk-1/0 a1\npoll wk-1 200 done\n"
      "wait 1\nsubmit wk-1 \"Pieces\":1 201 queued",
      "went_back"},
-    {"cancelled by nobody", "submit wk-1 - 201 queued\npoll wk-1 200 cancelled", "went_back"},
-    {"cancelled with another that is not awaited",
+    {"cancelled without a request", "submit wk-1 - 201 queued\npoll wk-1 200 cancelled",
+     "went_back"},
+    {"cancelled together with a job that it does not depend on",
      "submit wk-0 - 201 queued\nsubmit wk-1 - 201 queued\nabort wk-0 200 cancelled\n"
      "poll wk-1 200 cancelled",
      "went_back"},
@@ -91,25 +101,25 @@
     {"accepted, then 422", "submit wk-1 - 201 queued\nwait 1\nsubmit wk-1 - 422 -", "forgotten"},
     {"accepted, then 400", "submit wk-1 - 201 queued\nwait 1\nsubmit wk-1 - 400 -", "forgotten"},
     {"accepted, then 503", "submit wk-1 - 201 queued\nwait 1\nsubmit wk-1 - 503 -", NULL},
-    {"404 while it was not known whether it was accepted",
+    {"404 while the outcome of the submission was unknown",
      "submit wk-1 - 503 -\npoll wk-1 404 -\npoll wk-1 200 queued", NULL},
     {"never submitted", "poll wk-1 200 queued", "invented"},
     {"never submitted, and cancelled", "abort wk-1 200 cancelled", "invented"},
-    {"refused, and known", "submit wk-1 - 422 -\npoll wk-1 200 queued", "invented"},
+    {"rejected, then reported as queued", "submit wk-1 - 422 -\npoll wk-1 200 queued", "invented"},
     {"a task that nobody submitted", "start wk-1/0 a1 0", "invented"},
-    {"a task behind the last one", "submit wk-1 - 201 queued\nstart wk-1/2 a1 0", "invented"},
+    {"a task beyond the last one", "submit wk-1 - 201 queued\nstart wk-1/2 a1 0", "invented"},
     {"done too early",
      "submit wk-1 - 201 queued\nstart wk-1/0 a1 0\nstart wk-1/1 a1 0\ndone wk-1/0 a1\n"
      "exit wk-1/1 a1\npoll wk-1 200 done",
      "not_done"},
-    {"a task done twice is not two",
+    {"a task done twice counts once",
      "submit wk-1 - 201 queued\nstart wk-1/0 a1 0\ndone wk-1/0 a1\nstart wk-1/0 a2 0\n"
      "done wk-1/0 a2\npoll wk-1 200 done",
      "not_done"},
     {"accepted without a field", "submit wk-1 \"Mould\":null 201 queued", "accepted"},
-    {"accepted with a text for a number", "submit wk-1 \"Vcpus\":\"2\" 201 queued", "accepted"},
+    {"accepted with a string for a number", "submit wk-1 \"Vcpus\":\"2\" 201 queued", "accepted"},
     {"accepted with no task", "submit wk-1 \"Pieces\":0 201 queued", "accepted"},
-    {"accepted in no known form", "submit wk-1 \"Form\":\"pile\" 201 queued", "accepted"},
+    {"accepted with an unknown form", "submit wk-1 \"Form\":\"pile\" 201 queued", "accepted"},
     {"accepted of an unknown team", "submit wk-1 \"Crew\":\"green\" 201 queued", "accepted"},
     {"accepted though it fits no type", "submit wk-1 \"Vcpus\":9.0 201 queued", "accepted"},
     {"accepted though it fits no allowed type",
@@ -131,7 +141,7 @@
      "queued\n"
      "start wk-1/0 a1 0\nstart wk-1/1 a2 0\nstart wk-2/0 b1 0",
      "quota"},
-    {"one leaves before the next one",
+    {"one task exits before the next one starts",
      "submit wk-1 \"Crew\":\"red\",\"Vcpus\":8.0,\"Pieces\":3 201 queued\nstart wk-1/0 a1 0\n"
      "start wk-1/1 a2 0\nexit wk-1/0 a1\nstart wk-1/2 b1 0",
      NULL},
@@ -158,22 +168,22 @@
      NULL},
     {"on two machines", "submit wk-1 - 201 queued\nstart wk-1/0 a1 0\nstart wk-1/0 b1 0",
      "ran_twice"},
-    {"before what it awaits",
+    {"started before the job that it depends on",
      "submit wk-0 - 201 queued\nsubmit wk-1 \"Awaits\":[\"wk-0\"] 201 queued\nstart wk-1/0 a1 0",
      "too_early"},
-    {"left waiting with room for it", "submit wk-1 - 201 queued\nlook\nwait 90\nlook", "waits"},
-    {"a gang left waiting with room for it",
+    {"waits although there is room", "submit wk-1 - 201 queued\nlook\nwait 90\nlook", "waits"},
+    {"a gang waits although there is room",
      "submit wk-1 \"Form\":\"gang\" 201 queued\nlook\nwait 90\nlook", "waits"},
-    {"left waiting, not for long enough", "submit wk-1 - 201 queued\nlook\nwait 89\nlook", NULL},
-    {"left waiting while there was no room",
+    {"waits for less than the limit", "submit wk-1 - 201 queued\nlook\nwait 89\nlook", NULL},
+    {"waits while there is no room",
      "submit wk-1 \"Vcpus\":8.0,\"Builds\":[\"g8\"],\"Loaners\":false,\"Pieces\":4 201 queued\n"
      "start wk-1/0 a1 0\nstart wk-1/1 a2 0\nstart wk-1/2 b1 0\nlook\nwait 90\nlook",
      NULL},
-    {"left waiting at its team's limit",
+    {"waits at its team's quota",
      "submit wk-1 \"Crew\":\"red\",\"Vcpus\":8.0,\"Pieces\":3 201 queued\nstart wk-1/0 a1 0\n"
      "start wk-1/1 a2 0\nlook\nwait 90\nlook",
      NULL},
-    {"a gang for which there is room for a part only",
+    {"a gang waits while there is room for only a part of it",
      "submit wk-1 \"Form\":\"gang\",\"Vcpus\":8.0,\"Yard\":\"b\" 201 queued\nlook\nwait 90\nlook",
      NULL},
     {"a third of a class served",
@@ -195,7 +205,7 @@
      NULL},
 };
 
-/* The usual job, some of whose fields are replaced. */
+/** The default job as JSON, with some of its fields replaced. */
 static char *format_job_with(const char *id, const char *replaced_fields)
 {
     char *default_job = world_format_job(id, "sweep", 2, "blue", 2.0, "");
@@ -213,6 +223,7 @@
     return job;
 }
 
+/** Reports a user's request and its response, whose status and stage are given as two words. */
 static void report_request_and_response(struct rules *rules, mono_time now, const char *method,
                                         const char *path, const char *body, char **status_and_stage)
 {
@@ -275,7 +286,7 @@
     g_strfreev(words);
 }
 
-/* Whether all complaints are of that rule. */
+/** Whether all violations are of the given rule. */
 static bool all_violations_break(const char *violations, const char *rule)
 {
     char **lines = g_strsplit(violations, "\n", -1), *prefix = g_strconcat(rule, ": ", NULL);
@@ -290,7 +301,7 @@
 static void each_rule_reports_its_violations(void **state)
 {
     (void)state;
-    struct world *world = world_new(); /* for its settings */
+    struct world *world = world_new(); /* provides the settings */
     int failed_cases = 0;
     for (guint i = 0; i < G_N_ELEMENTS(cases); i++) {
         const struct rule_case *rule_case = &cases[i];
@@ -316,7 +327,8 @@
     world_free(world);
 }
 
-/* What a test writes by hand is known from then on, and not more than that. */
+/* Jobs and tasks that a test stores directly, without a request, are known to the rules: they count
+ * for quotas, and nothing else is assumed of them. */
 static void existing_jobs_and_tasks_are_known(void **state)
 {
     (void)state;
@@ -334,7 +346,8 @@
     rules_add_existing_task(rules, now, find_machine("a1"), "wk-3", 0);
     rules_add_existing_task(rules, now, find_machine("a2"), "wk-3", 1);
     assert_null(rules_finish(rules, now));
-    report_event(rules, &now, "start wk-3/2 b1 0"); /* what is there by hand counts */
+    /* The two existing tasks count towards the quota. */
+    report_event(rules, &now, "start wk-3/2 b1 0");
     assert_non_null(strstr(rules_finish(rules, now), "quota: "));
     report_event(rules, &now, "poll wk-1 404 -");
     assert_non_null(strstr(rules_finish(rules, now), "forgotten: "));
@@ -346,7 +359,7 @@
     world_free(world);
 }
 
-/* The world tells the rules of what happens in it: a lie by hand is seen. */
+/* The test world reports its events to the rules: false states stored by the test are noticed. */
 static void events_of_the_test_world_reach_the_rules(void **state)
 {
     struct world *world = *state;
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -1,4 +1,8 @@
-/* The settings file: what is read from it, and the one message for what cannot be used. */
+/**
+ * @file
+ * Tests of the settings file: every field is parsed, and an invalid file is rejected with one
+ * message that names the field or the position.
+ */
 #include "address.h"
 #include "settings.h"
 
@@ -50,17 +54,18 @@
                                      "ram_mb = 64\n"
                                      "fd_limit = 800\n";
 
-/* The good text with one change, which stands in it once. */
+/** The valid settings with `from`, which must occur exactly once, replaced by `to`. */
 static char *replace_in_valid_settings(const char *from, const char *to)
 {
     char **parts = g_strsplit(valid_settings, from, -1);
     if (g_strv_length(parts) != 2)
-        fail_msg("'%s' does not stand once in the text", from);
+        fail_msg("'%s' does not occur exactly once in the valid settings", from);
     char *text = g_strjoinv(to, parts);
     g_strfreev(parts);
     return text;
 }
 
+/** Parses the valid settings with `from` replaced by `to`, which must succeed. */
 static struct settings *parse_changed_settings(const char *from, const char *to)
 {
     char *text = replace_in_valid_settings(from, to);
@@ -117,7 +122,7 @@
     settings_free(settings);
 }
 
-/* Limits of teams are rounded down to a thousandth. */
+/* Limits are stored in thousandths; rounding up would exceed the configured limit. */
 static void team_limits_are_rounded_down_to_thousandths(void **state)
 {
     (void)state;
@@ -321,7 +326,7 @@
      "line 1, column 8: Error while parsing key-value pair: expected value, saw '\\n'"},
 };
 
-/* The whole message of the first fault, in the order of the file's parts. */
+/* Compares the whole message of the first error, in the order of the sections of the file. */
 static void each_error_has_its_exact_message(void **state)
 {
     (void)state;
--- a/tests/test_shard_messages.c
+++ b/tests/test_shard_messages.c
@@ -1,5 +1,8 @@
-/* The messages between the leader and the shards: their bytes, which older nodes read and write as
- * well, and what becomes of malformed ones. */
+/**
+ * @file
+ * Tests of the messages between the leader and the shards: their wire format, which nodes of older
+ * versions read and write too, and the handling of malformed messages and items.
+ */
 #include "json_messages.h"
 #include "shard_messages.h"
 
@@ -59,7 +62,7 @@
     assert_true(stop->grace_s == 0);
     assert_int_equal(message.returned->len, 1);
     assert_string_equal(message.returned->pdata[0], "m-3");
-    assert_non_null(message.to_cordon); /* empty, but there: it is answered */
+    assert_non_null(message.to_cordon); /* an empty list is still a request, which is answered */
     assert_int_equal(message.to_cordon->len, 0);
     dispatch_message_clear(&message);
     cJSON_Delete(json);
--- a/tests/test_stored_data.c
+++ b/tests/test_stored_data.c
@@ -1,14 +1,17 @@
-/** What version 0.4.0 (commit 2e591e3) stored and sent is served by this one.
+/**
+ * @file
+ * Tests that this version reads the data and the messages of version 0.4.0 (commit 2e591e3).
  *
- * The values were written by nodes of that version in this test world: jobs of all kinds, machines,
- * an inventory, pages, the map, roles, the features switch, and an intent that its holder had
- * recorded and not settled. The messages are those that its nodes sent one another. */
+ * The stored values were written by nodes of that version in the test world: jobs of all kinds,
+ * machines, an inventory, record pages, the shard map, role holders, the features switch, and an
+ * intent that its holder had recorded and not settled. The messages were sent between its nodes.
+ */
 #include "stored_fixtures.h"
 #include "world.h"
 
 #include <string.h>
 
-/* What hangs on no lease. */
+/* Keys that are not attached to a lease. */
 static const struct stored_key persistent_keys[] = {
     {"ll/a/mast-1/0",
      "{\"a\":\"@host-000002 =10.1.0.2:9000,g8,a,1 @host-000004 =10.1.0.4:9000,g8,a,1 \"}"},
@@ -78,7 +81,7 @@
     {"ll/v/mast-2", "{\"v\":2}"},
 };
 
-/* What hangs on the leases of processes that are gone. */
+/* Keys attached to the leases of processes that have ended. */
 static const struct stored_key leased_keys[] = {
     {"ll/duty/cleanup", "{\"n\":\"mast-1\",\"i\":2}"},
     {"ll/duty/fleet", "{\"n\":\"mast-0\",\"i\":1}"},
@@ -90,7 +93,8 @@
 
 enum { MACHINE_COUNT = 6, LEASE_MS = 4000, DEADLINE_JOB_TASKS = 20 };
 
-/* All nodes of that version are gone; their machines go on with what the pages name. */
+/** A world whose nodes of the old version have stopped and whose machines run the recorded tasks.
+ */
 static struct world *create_world_with_stored_data(void)
 {
     struct world_config config = world_default_config();
@@ -102,7 +106,7 @@
         world_add_worker(world, i, "a", true);
     stored_put_all(world, persistent_keys, G_N_ELEMENTS(persistent_keys));
     stored_put_all(world, leased_keys, G_N_ELEMENTS(leased_keys));
-    rules_task_completed(world->rules, "wk-array", 0); /* as the pages say */
+    rules_task_completed(world->rules, "wk-array", 0); /* recorded as completed */
     return world;
 }
 
@@ -134,7 +138,7 @@
     assert_int_equal(world_count_active_tasks(world, "wk-service"), 3);
     assert_int_equal(world_count_active_tasks(world, "wk-saves"), 2);
     assert_int_equal(world_count_active_tasks(world, "wk-deadline"), DEADLINE_JOB_TASKS);
-    assert_int_equal(world_count_active_tasks(world, "wk-needs"), 0); /* until wk-array is done */
+    assert_int_equal(world_count_active_tasks(world, "wk-needs"), 0); /* depends on wk-array */
     world_expect_stage(world, 0, "wk-needs", "queued");
     world_expect_stage(world, 1, "wk-cancelled", "cancelled");
     world_expect_stage(world, 2, "wk-done", "done");
@@ -160,8 +164,8 @@
     world_run(world, LEASE_MS);
     expire_leases_of_stored_processes(world);
     world_run(world, 6000);
-    /* The two machines of that intent, under its own request id, and none besides: there are no
-     * more in the cloud. */
+    /* The two machines of that intent are rented under its own request id, and no others: the cloud
+     * has no more. */
     assert_int_equal(world->cloud_capacity, 0);
     assert_true(world->rental_requests->len >= 2);
     assert_string_equal(world->rental_requests->pdata[0], "mast-0-1-9");
@@ -169,7 +173,7 @@
     world_end(world);
 }
 
-/* A message between nodes, and what the answer of that version held. */
+/** A message between nodes, and a part of the response that the old version gave. */
 struct stored_message {
     const char *kind, *body, *expected_response;
 };
@@ -205,6 +209,7 @@
                response->body);
 }
 
+/** Sends a message to a node as a peer would. Returns its response. */
 static struct received_response send_message(struct world *world, int node, const char *kind,
                                              const char *body)
 {
@@ -228,7 +233,7 @@
 static void stored_messages_between_nodes_are_accepted(void **state)
 {
     struct world *world = *state;
-    assert_int_equal(world_get_leader_index(world), 0); /* it is sent what is not from itself */
+    assert_int_equal(world_get_leader_index(world), 0); /* gets the messages that are not its own */
     for (guint i = 0; i < G_N_ELEMENTS(messages); i++) {
         struct received_response received = send_message(
             world, strstr(messages[i].body, "mast-0") ? 1 : 0, messages[i].kind, messages[i].body);
--- a/tests/test_upgrade.c
+++ b/tests/test_upgrade.c
@@ -1,6 +1,10 @@
-/* The version in production (0.3.0, what is called version 0 here) and this one on each other's
- * data, and limits of the state service that fall. The values below were written by that version,
- * in this world, and are what a node of it leaves behind. */
+/**
+ * @file
+ * Tests of upgrades from version 0.3.0, which is in production and is called version 0 here, and of
+ * reductions of the state service's limits. Both versions must work on each other's data, and no
+ * record may be lost when pages are split to fit lower limits. The stored values were written by
+ * nodes of version 0.3.0 in the test world.
+ */
 #include "run_records_internal.h"
 #include "stored_fixtures.h"
 #include "world.h"
@@ -43,7 +47,7 @@
      "\"Yards\":[\"a\",\"b\"]}]}"},
 };
 
-/* The usual world, with limits that are to come. */
+/** The default configuration, with lower upcoming limits of the state service. */
 static struct world_config config_with_upcoming_limits(double value_kb, int txn_ops)
 {
     struct world_config config = world_default_config();
@@ -54,6 +58,7 @@
     return config;
 }
 
+/** The number of run records in a node's replica. */
 static int count_recorded_runs(struct world *world, int node)
 {
     GHashTableIter it;
@@ -65,7 +70,7 @@
     return count;
 }
 
-/* No page is longer than the state service takes by now. */
+/** Checks that no page exceeds the reduced size limit of values. */
 static void expect_pages_within_limit(struct world *world, int node)
 {
     GHashTableIter it;
@@ -76,6 +81,7 @@
             fail_msg("%s: %zu", page->key, page->size_bytes);
 }
 
+/** A world with running machines and an exhausted cloud, whose nodes are not started. */
 static struct world *create_world_with_machines(struct world_config config, int machines)
 {
     struct world *world = world_new_with_config(&config);
@@ -85,21 +91,21 @@
     return world;
 }
 
-/* All nodes ran the old version and are gone; the new one comes up on what they left. */
+/* All nodes ran version 0.3.0 and have stopped; nodes of this version start on their data. */
 static void data_of_version_0_3_is_served(void **state)
 {
     (void)state;
     struct world *world = create_world_with_machines(config_with_upcoming_limits(2, 5), 6);
     stored_put_all(world, version_0_3_keys, G_N_ELEMENTS(version_0_3_keys));
-    rules_task_completed(world->rules, "wk-000001", 1); /* as the pages say */
+    rules_task_completed(world->rules, "wk-000001", 1); /* recorded as completed */
     rules_task_completed(world->rules, "wk-000003", 7);
     for (int i = 0; i < WORLD_NODES; i++)
         world_start(world, i);
     world_run(world, 8000);
-    /* Nothing that ran is started again; only the task that was done is not on a machine. */
+    /* No running task is started again; only the completed task is on no machine. */
     assert_int_equal(world_count_active_tasks(world, "wk-000001"), 5);
     assert_int_equal(world_count_active_tasks(world, "wk-000003"),
-                     32); /* 16 processors, the team's limit */
+                     32); /* 32 tasks of 0.5 CPUs: the team's quota of 16 */
     world_expect_stage(world, 0, "wk-000002", "cancelled");
     world_expect_stage(world, 1, "wk-000004", "done");
     for (int round = 0; round < 6; round++) {
@@ -110,13 +116,16 @@
     world_expect_stage(world, 2, "wk-000001", "done");
     world_expect_stage(world, 0, "wk-000003", "done");
     assert_int_equal(world_count_task_starts(world),
-                     7); /* tasks 33 to 39, which had waited for the limit */
+                     7); /* tasks 33 to 39, which had waited for quota */
     world_end(world);
 }
 
 enum { LONG_PAGE_JOBS = 132 };
 
-/* Pages of production at their longest: jobs of one task each, with long names, on six machines. */
+/**
+ * Stores two record pages of the old version at their largest: jobs of one task each, with long
+ * names, on six machines.
+ */
 static void store_long_pages(struct world *world, const char *first, const char *second)
 {
     world_put_key(world, "ll/types", version_0_3_keys[G_N_ELEMENTS(version_0_3_keys) - 1].value);
@@ -128,7 +137,7 @@
         char *spec = world_format_job(id, "sweep", 1, "blue", 0.2, "");
         char *value = g_strdup_printf("{\"t\":1700000000000,\"w\":%s}", spec);
         world_put_job(world, id, value);
-        int host = i * 6 / LONG_PAGE_JOBS; /* three machines a page */
+        int host = i * 6 / LONG_PAGE_JOBS; /* three machines per page */
         GString *page = text[host / 3];
         if (i == 0 || host != (i - 1) * 6 / LONG_PAGE_JOBS)
             g_string_append_printf(page, "@host-00000%d =10.1.0.%d:9000,g8,a,1 ", host + 1,
@@ -137,7 +146,7 @@
         g_free(spec);
         g_free(value);
     }
-    /* Marks of jobs that are long over take room, too, until the page is written again. */
+    /* Completions of finished jobs also take space until the page is rewritten. */
     for (int k = 0; k < 2; k++) {
         g_string_append(text[k], "\",\"d\":\"");
         for (int i = 0; text[k]->len < 8100 && i < 2000; i++)
@@ -149,6 +158,7 @@
     }
 }
 
+/** Completes all tasks and checks that every job is done. */
 static void complete_long_page_jobs(struct world *world)
 {
     for (int i = 0; i < world->config.worker_count; i++) {
@@ -165,9 +175,11 @@
     }
 }
 
-/* The limits fall at some moment while nodes take over, split, and are killed and started: every
- * record is kept, nothing is started again, and no value or transaction is refused (the state
- * service's stand-in fails the test). */
+/**
+ * Reduces the limits after `reduction_ms` while nodes take over pages and split them, and restarts
+ * a node after `kill_ms`. Checks that every record is kept and that no task is started again; the
+ * simulated state service fails the test if a value or a transaction exceeds its limits.
+ */
 static void run_long_pages(struct world_config config, int reduction_ms, int kill_ms)
 {
     struct world *world = create_world_with_machines(config, 6);
@@ -204,6 +216,7 @@
                        i % 2 ? 1100 + 50 * (int)i : 2651);
 }
 
+/* Jobs and timeline of the runs with mixed versions, in seconds from the start of submissions. */
 enum { MAX_MIXED_JOBS = 40, MIXED_VERSIONS_S = 60, ALL_UPGRADED_S = 40, LIMITS_REDUCED_S = 45 };
 
 static void complete_random_tasks(struct world *world, GRand *random)
@@ -218,7 +231,7 @@
     }
 }
 
-/* Kills nodes at random; some come back as new ones, some at once. */
+/** Kills nodes at random; some of them are upgraded, and some are restarted at once. */
 static void kill_random_nodes(struct world *world, GRand *random)
 {
     for (int turn = 0; turn < 2; turn++) {
@@ -226,15 +239,15 @@
         if (node >= WORLD_NODES || !world->nodes[node])
             continue;
         world_kill(world, node);
-        /* Its turn may have come; what is new stays so. */
+        /* One kill in three upgrades the node; upgrades are final. */
         world->runs_old_version[node] =
             world->runs_old_version[node] && g_rand_int_range(random, 0, 3) > 0;
         if (g_rand_boolean(random))
-            world_start(world, node); /* back at once */
+            world_start(world, node);
     }
 }
 
-/* Starts the nodes that are down: all of them, or some at random. */
+/** Starts all stopped nodes, or some of them at random. */
 static void start_stopped_nodes(struct world *world, GRand *random, bool all)
 {
     for (int i = 0; i < WORLD_NODES; i++)
@@ -242,6 +255,7 @@
             world_start(world, i);
 }
 
+/** Restarts every node of the old version as the new one. */
 static void upgrade_remaining(struct world *world)
 {
     for (int i = 0; i < WORLD_NODES; i++)
@@ -257,7 +271,7 @@
     g_snprintf(id, size, "wk-%03d-a-long-name-that-takes-much-of-the-page", number);
 }
 
-/* Submits a job at the first node that accepts it. Returns whether one did. */
+/** Submits job `number` to the first node that accepts it. Returns whether one did. */
 static bool submit_mixed_job(struct world *world, int number)
 {
     char id[48];
@@ -271,7 +285,7 @@
     return response.status == 201 || response.status == 200;
 }
 
-/* All jobs complete. */
+/** Checks that all jobs complete. */
 static void expect_mixed_jobs_done(struct world *world, GRand *random, int jobs)
 {
     for (int s = 0; s < 60; s++) {
@@ -286,10 +300,12 @@
     }
 }
 
-/* A node that is not heard to say its version writes plainly, and so do all others while it may
- * come back. Nodes are killed and started in any order, of either kind, two at once and a moment
- * apart, until all are new; then the limits fall. Jobs come all the time: none is lost, no task
- * runs twice. */
+/**
+ * Kills and starts nodes of both versions in random order, at times two at once or shortly after
+ * one another, until all are upgraded; then the limits are reduced. While a node may return as the
+ * old version, which does not announce its version, all nodes must write the legacy format. Jobs
+ * are submitted throughout: none may be lost, and no task may run twice.
+ */
 static void run_mixed_versions(guint32 seed)
 {
     GRand *random = g_rand_new_with_seed(seed);
@@ -326,19 +342,19 @@
         run_mixed_versions(seed);
 }
 
-/* So little is allowed that a page cannot be split in one transaction. */
+/* The transaction limit is so low that a page cannot be split in one transaction. */
 static void pages_are_copied_when_a_split_exceeds_one_transaction(void **state)
 {
     (void)state;
     struct world_config config = config_with_upcoming_limits(1, 4);
     run_long_pages(config, 0, 100000);
     run_long_pages(config, 1050, 2700);
-    for (int kill = 2551; kill < 3600; kill += 150) /* in the middle of it */
+    for (int kill = 2551; kill < 3600; kill += 150) /* while pages are being copied */
         run_long_pages(config, 500, kill);
 }
 
-/* One node of the old version lives. It takes its machines over from the page on which it noted
- * them: they stay there, while what belongs to others may move. */
+/* One node of the old version is live. It takes its machines over from the page on which it
+ * recorded them, so their records must stay there, while those of other owners may move. */
 static void machines_of_an_old_version_owner_stay_on_their_page(void **state)
 {
     (void)state;
@@ -356,7 +372,7 @@
     g_hash_table_iter_init(&it, replica->machines);
     while (g_hash_table_iter_next(&it, NULL, (gpointer *)&machine)) {
         struct record_page *page = NULL;
-        for (guint i = 0; i < machine->run_records->len; i++) { /* one page a machine */
+        for (guint i = 0; i < machine->run_records->len; i++) { /* all on one page */
             struct run_record *run_record = machine->run_records->pdata[i];
             assert_true(!page || page == run_record->page);
             page = run_record->page;
@@ -369,7 +385,7 @@
     }
     assert_true(old_owner_machines > 0);
     assert_int_equal(count_recorded_runs(world, 1), LONG_PAGE_JOBS);
-    /* Then it is started again, as the new version. */
+    /* That node restarts as the new version. */
     world_remove_key(world, "ll/n/mast-2");
     world_start(world, 2);
     world_lower_state_limits(world);
@@ -393,8 +409,8 @@
                : FAULT_NONE;
 }
 
-/* A node that is to take machines over from a long page looks up where their records are when it
- * does so: meanwhile another one splits that page. */
+/* A node takes over machines from a large page while another node is splitting that page. It must
+ * look up the location of their records when it takes over, as they may have moved. */
 static void page_is_split_while_its_machines_are_taken_over(void **state)
 {
     (void)state;
@@ -415,8 +431,8 @@
     world_end(world);
 }
 
-/* A description that was stored when more was allowed: what is stored of the cancelled job is
- * shorter, and goes on counting its tasks. */
+/* A job description that was stored under higher limits exceeds the current ones. The value stored
+ * for the cancelled job is shorter and still holds the number of its tasks. */
 static void job_with_an_oversized_description_can_be_cancelled(void **state)
 {
     (void)state;
@@ -432,7 +448,7 @@
     char *spec = world_format_job("wk-1", "daemon", 4, "blue", 2.0, type_names->str);
     char *value = g_strdup_printf("{\"t\":1700000000000,\"w\":%s}", spec);
     assert_true(strlen(value) > 2048);
-    /* A new one would not be taken. */
+    /* A new job of this size is rejected. */
     assert_int_equal(world_send_user_request(world, 0, "POST", "/work", spec).status, 422);
     world_put_job(world, "wk-1", value);
     world_lower_state_limits(world);
@@ -451,7 +467,7 @@
     world_end(world);
 }
 
-/* More machine types than one value takes: all nodes learn all of them. */
+/* More machine types than fit into one value: all nodes must read all of them. */
 static void many_machine_types_are_stored_in_parts(void **state)
 {
     (void)state;
@@ -475,7 +491,7 @@
         assert_int_equal(world->nodes[i]->replica->machine_types->len, 12);
     }
     assert_non_null(world_get_key(world, "ll/types/1"));
-    world_kill(world, 1); /* and so does one that reads everything anew */
+    world_kill(world, 1); /* a restarted node reads all types anew */
     world_start(world, 1);
     world_run(world, 2000);
     char *job = world_format_job("wk-1", "sweep", 1, "blue", 1.0, ",\"Builds\":[\"other-11\"]");
@@ -485,6 +501,7 @@
     g_string_free(types, TRUE);
 }
 
+/** The number of writes that the state service still rejects with 429. */
 static int remaining_rejections;
 
 static enum request_fault rate_limit_writes(struct world *world, int node,
@@ -497,7 +514,8 @@
                                                                         : FAULT_NONE;
 }
 
-/* One 429 is nothing; several say that fewer writes are granted by now. None is lost. */
+/* A single 429 is ignored; several mean that the state service's write limit was reduced, so the
+ * client lowers its rate. No write may be lost. */
 static void rate_limited_writes_slow_down_the_writer(void **state)
 {
     (void)state;
@@ -521,8 +539,8 @@
     world_end(world);
 }
 
-/* Marks of a long job within short values: its last tasks are not said behind a long word of zeros.
- */
+/* With a low size limit, the completions of a job's last tasks must not be preceded by a long run
+ * of zeros. */
 static void completions_of_a_large_job_are_encoded_compactly(void **state)
 {
     (void)state;
@@ -541,8 +559,8 @@
     g_byte_array_unref(bits);
 }
 
-/* A job of many tasks within values of 1 KiB: all its marks find room, on many pages, and it ends.
- */
+/* With values of at most 1 KiB, the completions of a job of many tasks are spread over many pages,
+ * and the job completes. */
 static void large_job_completes_with_small_values(void **state)
 {
     (void)state;
