--- a/tests/test_duty_history.c
+++ b/tests/test_duty_history.c
@@ -17,7 +17,7 @@
 
 /** One event of a history; each event has the next revision unless it states its own. */
 struct event {
-    enum { END, KEY, RENTED, RETURNED } kind;
+    enum { END_OF_EVENTS, KEY_CHANGED, RENTED, RETURNED } kind;
     const char *name, *value;
     uint64_t revision; /* 0: one after the previous event's */
 };
@@ -36,66 +36,69 @@
 
 static const struct history_case cases[] = {
     {NULL,
-     {{KEY, ROLE_KEY, holder_value, 0},
-      {KEY, INTENT_KEY, RENT_INTENT, 0},
+     {{KEY_CHANGED, ROLE_KEY, holder_value, 0},
+      {KEY_CHANGED, INTENT_KEY, RENT_INTENT, 0},
       {RENTED, "r-1", "host-1", 0}}},
     {NULL,
-     {{KEY, ROLE_KEY, holder_value, 0},
-      {KEY, INTENT_KEY, RETURN_INTENT, 0},
+     {{KEY_CHANGED, ROLE_KEY, holder_value, 0},
+      {KEY_CHANGED, INTENT_KEY, RETURN_INTENT, 0},
       {RETURNED, "host-000001", "", 0}}},
     /* A return carried out after the role changed hands: its intent was recorded under the token
        valid at that time. */
     {NULL,
-     {{KEY, ROLE_KEY, holder_value, 0},
-      {KEY, INTENT_KEY, RETURN_INTENT, 0},
-      {KEY, ROLE_KEY, NULL, 0},
-      {KEY, ROLE_KEY, holder_value, 0},
+     {{KEY_CHANGED, ROLE_KEY, holder_value, 0},
+      {KEY_CHANGED, INTENT_KEY, RETURN_INTENT, 0},
+      {KEY_CHANGED, ROLE_KEY, NULL, 0},
+      {KEY_CHANGED, ROLE_KEY, holder_value, 0},
       {RETURNED, "host-000001", "", 0}}},
     /* A task placed before the return intent may keep running, also when its run record moves to
        another page. */
     {NULL,
-     {{KEY, ROLE_KEY, holder_value, 0},
-      {KEY, "ll/p/mast-0/0", PLACED("7"), 0},
-      {KEY, INTENT_KEY, RETURN_INTENT, 0},
-      {KEY, "ll/p/mast-1/0", PLACED("7"), 0}}},
-    {"fell", {{KEY, ROLE_KEY, holder_value, 0}, {KEY, ROLE_KEY, holder_value, 1}}},
+     {{KEY_CHANGED, ROLE_KEY, holder_value, 0},
+      {KEY_CHANGED, "ll/p/mast-0/0", PLACED("7"), 0},
+      {KEY_CHANGED, INTENT_KEY, RETURN_INTENT, 0},
+      {KEY_CHANGED, "ll/p/mast-1/0", PLACED("7"), 0}}},
+    {"fell", {{KEY_CHANGED, ROLE_KEY, holder_value, 0}, {KEY_CHANGED, ROLE_KEY, holder_value, 1}}},
     {"fell",
-     {{KEY, ROLE_KEY, holder_value, 5},
-      {KEY, ROLE_KEY, NULL, 6},
-      {KEY, ROLE_KEY, holder_value, 3}}},
-    {"under token 1 while 0", {{KEY, INTENT_KEY, RENT_INTENT, 0}}},
+     {{KEY_CHANGED, ROLE_KEY, holder_value, 5},
+      {KEY_CHANGED, ROLE_KEY, NULL, 6},
+      {KEY_CHANGED, ROLE_KEY, holder_value, 3}}},
+    {"under token 1 while 0", {{KEY_CHANGED, INTENT_KEY, RENT_INTENT, 0}}},
     {"under token 1 while 2",
-     {{KEY, ROLE_KEY, holder_value, 2}, {KEY, INTENT_KEY, RENT_INTENT, 0}}},
+     {{KEY_CHANGED, ROLE_KEY, holder_value, 2}, {KEY_CHANGED, INTENT_KEY, RENT_INTENT, 0}}},
     {"under token 1 while 0",
-     {{KEY, ROLE_KEY, holder_value, 1},
-      {KEY, ROLE_KEY, NULL, 0},
-      {KEY, INTENT_KEY, RENT_INTENT, 0}}},
-    {"cannot be read", {{KEY, ROLE_KEY, holder_value, 0}, {KEY, INTENT_KEY, "{\"t\":1}", 0}}},
-    {"rented host-1 for r-2", {{KEY, ROLE_KEY, holder_value, 0}, {RENTED, "r-2", "host-1", 0}}},
+     {{KEY_CHANGED, ROLE_KEY, holder_value, 1},
+      {KEY_CHANGED, ROLE_KEY, NULL, 0},
+      {KEY_CHANGED, INTENT_KEY, RENT_INTENT, 0}}},
+    {"cannot be read",
+     {{KEY_CHANGED, ROLE_KEY, holder_value, 0}, {KEY_CHANGED, INTENT_KEY, "{\"t\":1}", 0}}},
+    {"rented host-1 for r-2",
+     {{KEY_CHANGED, ROLE_KEY, holder_value, 0}, {RENTED, "r-2", "host-1", 0}}},
     /* The intent must be recorded before the machine is rented. */
     {"rented host-1 for r-1",
-     {{KEY, ROLE_KEY, holder_value, 0},
+     {{KEY_CHANGED, ROLE_KEY, holder_value, 0},
       {RENTED, "r-1", "host-1", 0},
-      {KEY, INTENT_KEY, RENT_INTENT, 0}}},
-    {"returned host-000001", {{KEY, ROLE_KEY, holder_value, 0}, {RETURNED, "host-000001", "", 0}}},
+      {KEY_CHANGED, INTENT_KEY, RENT_INTENT, 0}}},
+    {"returned host-000001",
+     {{KEY_CHANGED, ROLE_KEY, holder_value, 0}, {RETURNED, "host-000001", "", 0}}},
     {"placed on a machine",
-     {{KEY, ROLE_KEY, holder_value, 0},
-      {KEY, INTENT_KEY, RETURN_INTENT, 0},
-      {KEY, "ll/p/mast-0/0", PLACED("7"), 0}}},
+     {{KEY_CHANGED, ROLE_KEY, holder_value, 0},
+      {KEY_CHANGED, INTENT_KEY, RETURN_INTENT, 0},
+      {KEY_CHANGED, "ll/p/mast-0/0", PLACED("7"), 0}}},
     {"placed on a machine",
-     {{KEY, ROLE_KEY, holder_value, 0},
-      {KEY, "ll/p/mast-0/0", PLACED("7"), 0},
-      {KEY, INTENT_KEY, RETURN_INTENT, 0},
-      {KEY, "ll/p/mast-0/0", PLACED("8"), 0}}},
+     {{KEY_CHANGED, ROLE_KEY, holder_value, 0},
+      {KEY_CHANGED, "ll/p/mast-0/0", PLACED("7"), 0},
+      {KEY_CHANGED, INTENT_KEY, RETURN_INTENT, 0},
+      {KEY_CHANGED, "ll/p/mast-0/0", PLACED("8"), 0}}},
 };
 
 static void run_case(const struct history_case *history_case)
 {
     struct duty_history *history = duty_history_new();
     uint64_t revision = 0;
-    for (const struct event *event = history_case->events; event->kind != END; event++) {
+    for (const struct event *event = history_case->events; event->kind != END_OF_EVENTS; event++) {
         revision = event->revision ? event->revision : revision + 1;
-        if (event->kind == KEY)
+        if (event->kind == KEY_CHANGED)
             duty_history_key_changed(history, event->name, event->value, revision);
         else if (event->kind == RENTED)
             duty_history_rented(history, event->name, event->value);
--- a/tests/test_http.c
+++ b/tests/test_http.c
@@ -250,7 +250,7 @@
 {
     (void)state;
     static const struct {
-        const char *text, *why;
+        const char *text, *message_part;
     } cases[] = {
         {"label = ", "line 1"},
         {"", "label: missing"},
@@ -262,8 +262,8 @@
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
         GError *error = NULL;
         assert_null(settings_parse(cases[i].text, &error));
-        if (!strstr(error->message, cases[i].why))
-            fail_msg("'%s' does not say '%s'", error->message, cases[i].why);
+        if (!strstr(error->message, cases[i].message_part))
+            fail_msg("'%s' does not say '%s'", error->message, cases[i].message_part);
         g_error_free(error);
     }
 }
@@ -276,7 +276,7 @@
         "[deployment.state]\nrps = 100\nwrite_rps = 25\nvalue_kb = 8\n"
         "txn_ops = 16\n";
     static const struct {
-        const char *next, *why; /* NULL: the settings are valid */
+        const char *next, *message_part; /* NULL: the settings are valid */
     } cases[] = {
         {"[deployment.state.next]\nvalue_kb = 0.5\n", "deployment.state.next.value_kb: must be"},
         {"[deployment.state.next]\ntxn_ops = 5.5\n", "deployment.state.next.txn_ops: must be"},
@@ -297,9 +297,9 @@
         char *text = g_strconcat(other_settings, current_limits, cases[i].next, NULL);
         GError *error = NULL;
         struct settings *settings = settings_parse(text, &error);
-        if (cases[i].why && (settings || !strstr(error->message, cases[i].why)))
-            fail_msg("'%s' does not say '%s'", error ? error->message : "", cases[i].why);
-        if (!cases[i].why) {
+        if (cases[i].message_part && (settings || !strstr(error->message, cases[i].message_part)))
+            fail_msg("'%s' does not say '%s'", error ? error->message : "", cases[i].message_part);
+        if (!cases[i].message_part) {
             if (error)
                 fail_msg("%s", error->message);
             assert_true(settings->kv_limits_next.writes_per_s == 25 &&
--- a/tests/test_upgrade.c
+++ b/tests/test_upgrade.c
@@ -349,8 +349,8 @@
     struct world_config config = config_with_upcoming_limits(1, 4);
     run_long_pages(config, 0, 100000);
     run_long_pages(config, 1050, 2700);
-    for (int kill = 2551; kill < 3600; kill += 150) /* while pages are being copied */
-        run_long_pages(config, 500, kill);
+    for (int kill_ms = 2551; kill_ms < 3600; kill_ms += 150) /* while pages are being copied */
+        run_long_pages(config, 500, kill_ms);
 }
 
 /* One node of the old version is live. It takes its machines over from the page on which it
