--- a/src/config/feature_check.cpp
+++ b/src/config/feature_check.cpp
@@ -15,7 +15,7 @@
 {
 
 /** The field of an error as operators write it, such as "duties.enabled". */
-std::string field_of(const valijson::ValidationResults::Error &error)
+std::string field_path(const valijson::ValidationResults::Error &error)
 {
     std::string field;
     for (std::string part : error.context) {
@@ -33,19 +33,19 @@
 extern "C" bool feature_check(const char *json, char *error, unsigned error_size)
 {
     try {
-        const nlohmann::json schema_text = nlohmann::json::parse(FEATURE_SCHEMA);
-        const nlohmann::json text = nlohmann::json::parse(json);
+        const nlohmann::json schema_json = nlohmann::json::parse(FEATURE_SCHEMA);
+        const nlohmann::json document = nlohmann::json::parse(json);
         valijson::Schema schema;
         valijson::SchemaParser parser;
-        parser.populateSchema(valijson::adapters::NlohmannJsonAdapter(schema_text), schema);
+        parser.populateSchema(valijson::adapters::NlohmannJsonAdapter(schema_json), schema);
         valijson::Validator validator;
         valijson::ValidationResults results;
-        valijson::adapters::NlohmannJsonAdapter target(text);
+        valijson::adapters::NlohmannJsonAdapter target(document);
         if (validator.validate(schema, target, &results))
             return true;
         valijson::ValidationResults::Error first;
         results.popError(first);
-        (void)std::snprintf(error, error_size, "%s: %s", field_of(first).c_str(),
+        (void)std::snprintf(error, error_size, "%s: %s", field_path(first).c_str(),
                             first.description.c_str());
     } catch (const std::exception &e) {
         (void)std::snprintf(error, error_size, "%s", e.what());
--- a/src/config/policy.c
+++ b/src/config/policy.c
@@ -10,7 +10,7 @@
 
 struct policy {
     /** One expression for each setting; none is NULL once the policy is complete. */
-    struct policy_expression *settings[POLICY_SETTINGS];
+    struct policy_expression *settings[POLICY_SETTING_COUNT];
 };
 
 G_DEFINE_QUARK(linenlanding_policy_error, policy_error)
@@ -29,7 +29,7 @@
 struct policy *policy_default(void)
 {
     GString *text = g_string_new(NULL);
-    for (int i = 0; i < POLICY_SETTINGS; i++) {
+    for (int i = 0; i < POLICY_SETTING_COUNT; i++) {
         const struct policy_setting_definition *setting =
             policy_schema_get_setting((enum policy_setting)i);
         g_string_append_printf(text, "%s = %s\n", setting->name, setting->default_expression);
@@ -47,7 +47,7 @@
     if (!policy)
         return NULL;
     struct policy *defaults = policy_default();
-    for (int i = 0; i < POLICY_SETTINGS; i++)
+    for (int i = 0; i < POLICY_SETTING_COUNT; i++)
         if (!policy->settings[i])
             policy->settings[i] = g_steal_pointer(&defaults->settings[i]);
     policy_free(defaults);
@@ -74,13 +74,13 @@
 
 void policy_free(struct policy *policy)
 {
-    for (int i = 0; i < POLICY_SETTINGS; i++)
+    for (int i = 0; i < POLICY_SETTING_COUNT; i++)
         policy_expression_free(policy->settings[i]);
     g_free(policy);
 }
 
-double policy_number(const struct policy *policy, enum policy_setting setting,
-                     const struct policy_value *inputs)
+double policy_evaluate_number(const struct policy *policy, enum policy_setting setting,
+                              const struct policy_value *inputs)
 {
     const struct policy_setting_definition *definition = policy_schema_get_setting(setting);
     double number = policy_evaluate(policy->settings[setting], inputs).number;
@@ -89,8 +89,8 @@
     return CLAMP(number, definition->min, definition->max);
 }
 
-bool policy_flag(const struct policy *policy, enum policy_setting setting,
-                 const struct policy_value *inputs)
+bool policy_evaluate_boolean(const struct policy *policy, enum policy_setting setting,
+                             const struct policy_value *inputs)
 {
-    return policy_evaluate(policy->settings[setting], inputs).flag;
+    return policy_evaluate(policy->settings[setting], inputs).boolean;
 }
--- a/src/config/policy.h
+++ b/src/config/policy.h
@@ -17,11 +17,11 @@
     /** Number: seconds that a machine may be idle before it is scaled in. */
     POLICY_IDLE_S,
     /** Flag: whether ordinary machines are rented for jobs that spot machines could run. */
-    POLICY_RENT_ORDINARY,
+    POLICY_RENT_ON_DEMAND,
     /** Flag: whether a job that does not fit may preempt jobs of lower priority. */
     POLICY_PREEMPT,
     /** How many there are. */
-    POLICY_SETTINGS
+    POLICY_SETTING_COUNT
 };
 
 /** What expressions can read. Which of them a setting allows is in policy_schema.c. */
@@ -42,15 +42,15 @@
     INPUT_BACKLOG_S,
     INPUT_PATIENCE_S,
     /** How many there are. */
-    POLICY_INPUTS
+    POLICY_INPUT_COUNT
 };
 
 /** The value of an input or of an expression. Only the member of its type has a meaning. */
 struct policy_value {
     double number;
     /** Borrowed; NULL is read as the empty text. */
-    const char *text;
-    bool flag;
+    const char *string;
+    bool boolean;
 };
 
 /** The domain of errors in the text of a policy. Files that cannot be read are in G_FILE_ERROR. */
@@ -87,13 +87,13 @@
 
 void policy_free(struct policy *policy);
 
-/** Evaluates a setting that is a number. `inputs` has POLICY_INPUTS entries. The result is clamped
- * to the setting's range; NaN, as of 0 / 0, becomes the lower bound. */
-double policy_number(const struct policy *policy, enum policy_setting setting,
-                     const struct policy_value *inputs);
+/** Evaluates a setting that is a number. `inputs` has POLICY_INPUT_COUNT entries. The result is
+ * clamped to the setting's range; NaN, as of 0 / 0, becomes the lower bound. */
+double policy_evaluate_number(const struct policy *policy, enum policy_setting setting,
+                              const struct policy_value *inputs);
 
 /** Evaluates a setting that is a flag. */
-bool policy_flag(const struct policy *policy, enum policy_setting setting,
-                 const struct policy_value *inputs);
+bool policy_evaluate_boolean(const struct policy *policy, enum policy_setting setting,
+                             const struct policy_value *inputs);
 
 #endif
--- a/src/config/policy_evaluator.c
+++ b/src/config/policy_evaluator.c
@@ -9,14 +9,14 @@
     return (struct policy_value){.number = number};
 }
 
-static struct policy_value text_value(const char *text)
+static struct policy_value string_value(const char *string)
 {
-    return (struct policy_value){.text = text};
+    return (struct policy_value){.string = string};
 }
 
-static struct policy_value flag_value(bool flag)
+static struct policy_value boolean_value(bool boolean)
 {
-    return (struct policy_value){.flag = flag};
+    return (struct policy_value){.boolean = boolean};
 }
 
 static double evaluate_number(const struct policy_expression *expression,
@@ -25,20 +25,20 @@
     return policy_evaluate(expression, inputs).number;
 }
 
-static bool evaluate_flag(const struct policy_expression *expression,
-                          const struct policy_value *inputs)
+static bool evaluate_boolean(const struct policy_expression *expression,
+                             const struct policy_value *inputs)
 {
-    return policy_evaluate(expression, inputs).flag;
+    return policy_evaluate(expression, inputs).boolean;
 }
 
 /** As fmin and fmax, but of operands that compare as equal always the left one, which C leaves open
  * for 0 and -0. Operands that are NaN are ignored. */
-static double smaller_number(double left, double right)
+static double min_number(double left, double right)
 {
     return isnan(right) || left <= right ? left : right;
 }
 
-static double larger_number(double left, double right)
+static double max_number(double left, double right)
 {
     return isnan(right) || left >= right ? left : right;
 }
@@ -58,9 +58,9 @@
     case POLICY_OP_DIVIDE:
         return left / right;
     case POLICY_OP_MIN:
-        return smaller_number(left, right);
+        return min_number(left, right);
     case POLICY_OP_MAX:
-        return larger_number(left, right);
+        return max_number(left, right);
     default:
         g_return_val_if_reached(0);
     }
@@ -74,10 +74,10 @@
     struct policy_value left = policy_evaluate(expression->left, inputs);
     struct policy_value right = policy_evaluate(expression->right, inputs);
     switch (expression->left->type) {
-    case POLICY_TYPE_TEXT:
-        return strcmp(left.text ? left.text : "", right.text ? right.text : "");
-    case POLICY_TYPE_FLAG:
-        return (int)left.flag - (int)right.flag;
+    case POLICY_TYPE_STRING:
+        return strcmp(left.string ? left.string : "", right.string ? right.string : "");
+    case POLICY_TYPE_BOOLEAN:
+        return (int)left.boolean - (int)right.boolean;
     case POLICY_TYPE_NUMBER:
         break;
     }
@@ -113,16 +113,16 @@
     switch (expression->operation) {
     case POLICY_OP_NUMBER:
         return number_value(expression->number);
-    case POLICY_OP_TEXT:
-        return text_value(expression->text);
-    case POLICY_OP_FLAG:
-        return flag_value(expression->flag);
+    case POLICY_OP_STRING:
+        return string_value(expression->string);
+    case POLICY_OP_BOOLEAN:
+        return boolean_value(expression->boolean);
     case POLICY_OP_INPUT:
         return inputs[expression->input];
     case POLICY_OP_NEGATE:
         return number_value(-evaluate_number(left, inputs));
     case POLICY_OP_NOT:
-        return flag_value(!evaluate_flag(left, inputs));
+        return boolean_value(!evaluate_boolean(left, inputs));
     case POLICY_OP_ADD:
     case POLICY_OP_SUBTRACT:
     case POLICY_OP_MULTIPLY:
@@ -136,13 +136,14 @@
     case POLICY_OP_LESS_EQUAL:
     case POLICY_OP_GREATER:
     case POLICY_OP_GREATER_EQUAL:
-        return flag_value(evaluate_comparison(expression, inputs));
+        return boolean_value(evaluate_comparison(expression, inputs));
     case POLICY_OP_AND:
-        return flag_value(evaluate_flag(left, inputs) && evaluate_flag(right, inputs));
+        return boolean_value(evaluate_boolean(left, inputs) && evaluate_boolean(right, inputs));
     case POLICY_OP_OR:
-        return flag_value(evaluate_flag(left, inputs) || evaluate_flag(right, inputs));
+        return boolean_value(evaluate_boolean(left, inputs) || evaluate_boolean(right, inputs));
     case POLICY_OP_CONDITIONAL:
-        return policy_evaluate(evaluate_flag(expression->condition, inputs) ? left : right, inputs);
+        return policy_evaluate(evaluate_boolean(expression->condition, inputs) ? left : right,
+                               inputs);
     }
     g_return_val_if_reached(number_value(0));
 }
--- a/src/config/policy_evaluator.h
+++ b/src/config/policy_evaluator.h
@@ -6,8 +6,8 @@
 
 /** Evaluates an expression that the parser has checked; it cannot fail.
  *
- * `inputs` has POLICY_INPUTS entries, of which only those that the setting allows are read. A text
- * in the result is borrowed from the expression or from the inputs. Arithmetic is that of IEEE
+ * `inputs` has POLICY_INPUT_COUNT entries, of which only those that the setting allows are read. A
+ * text in the result is borrowed from the expression or from the inputs. Arithmetic is that of IEEE
  * floating point: a division by zero yields an infinity or NaN, and NaN compares as equal to every
  * number. */
 struct policy_value policy_evaluate(const struct policy_expression *expression,
--- a/src/config/policy_expression.c
+++ b/src/config/policy_expression.c
@@ -17,17 +17,17 @@
     return expression;
 }
 
-struct policy_expression *policy_expression_new_text(char *text)
+struct policy_expression *policy_expression_new_string(char *string)
 {
-    struct policy_expression *expression = new_expression(POLICY_OP_TEXT, POLICY_TYPE_TEXT);
-    expression->text = text;
+    struct policy_expression *expression = new_expression(POLICY_OP_STRING, POLICY_TYPE_STRING);
+    expression->string = string;
     return expression;
 }
 
-struct policy_expression *policy_expression_new_flag(bool flag)
+struct policy_expression *policy_expression_new_boolean(bool boolean)
 {
-    struct policy_expression *expression = new_expression(POLICY_OP_FLAG, POLICY_TYPE_FLAG);
-    expression->flag = flag;
+    struct policy_expression *expression = new_expression(POLICY_OP_BOOLEAN, POLICY_TYPE_BOOLEAN);
+    expression->boolean = boolean;
     return expression;
 }
 
@@ -76,7 +76,7 @@
     policy_expression_free(expression->left);
     policy_expression_free(expression->right);
     policy_expression_free(expression->condition);
-    if (expression->operation == POLICY_OP_TEXT)
-        g_free(expression->text);
+    if (expression->operation == POLICY_OP_STRING)
+        g_free(expression->string);
     g_free(expression);
 }
--- a/src/config/policy_expression.h
+++ b/src/config/policy_expression.h
@@ -7,8 +7,8 @@
 enum policy_operation {
     /** Literals and inputs: leaves of the tree. */
     POLICY_OP_NUMBER,
-    POLICY_OP_TEXT,
-    POLICY_OP_FLAG,
+    POLICY_OP_STRING,
+    POLICY_OP_BOOLEAN,
     POLICY_OP_INPUT,
     /** Operations with one operand, `left`. */
     POLICY_OP_NEGATE,
@@ -42,18 +42,18 @@
     /** What a leaf holds: the member of its operation. */
     union {
         double number;
-        char *text;
-        bool flag;
+        char *string;
+        bool boolean;
         enum policy_input input;
     };
     /** Operands; NULL where the operation has none. */
     struct policy_expression *left, *right, *condition;
 };
 
-/** Leaves. policy_expression_new_text takes the text over. */
+/** Leaves. policy_expression_new_string takes the text over. */
 struct policy_expression *policy_expression_new_number(double number);
-struct policy_expression *policy_expression_new_text(char *text);
-struct policy_expression *policy_expression_new_flag(bool flag);
+struct policy_expression *policy_expression_new_string(char *string);
+struct policy_expression *policy_expression_new_boolean(bool boolean);
 struct policy_expression *policy_expression_new_input(enum policy_input input);
 
 /** Operations, which take their operands over. `type` is that of the result. */
--- a/src/config/policy_expression_parser.c
+++ b/src/config/policy_expression_parser.c
@@ -34,12 +34,12 @@
 };
 
 /** Left-associative operators of one precedence, whose operands and result have one type. */
-struct operator_chain {
+struct precedence_level {
     parse_function parse_operand;
     accept_function accept_operator;
     const struct operator_token *operators;
     size_t operator_count;
-    enum policy_type type;
+    enum policy_type operand_type;
 };
 
 static struct policy_expression *parse_disjunction(struct expression_parser *parser);
@@ -79,7 +79,7 @@
 
 /* ---- values ---- */
 
-static struct policy_expression *parse_number(struct expression_parser *parser)
+static struct policy_expression *parse_number_literal(struct expression_parser *parser)
 {
     double number;
     if (!policy_lexer_read_number(parser->lexer, &number))
@@ -87,10 +87,10 @@
     return policy_expression_new_number(number);
 }
 
-static struct policy_expression *parse_text(struct expression_parser *parser)
+static struct policy_expression *parse_string_literal(struct expression_parser *parser)
 {
-    char *text = policy_lexer_read_text(parser->lexer);
-    return text ? policy_expression_new_text(text) : NULL;
+    char *string = policy_lexer_read_string(parser->lexer);
+    return string ? policy_expression_new_string(string) : NULL;
 }
 
 /** The rest of "(" disjunction ")". */
@@ -133,7 +133,7 @@
 {
     const char *where = parser->lexer->position;
     struct policy_expression *condition =
-        require_type(parser, where, parse_disjunction(parser), POLICY_TYPE_FLAG);
+        require_type(parser, where, parse_disjunction(parser), POLICY_TYPE_BOOLEAN);
     struct policy_expression *if_true = NULL, *if_false = NULL;
     if (condition && expect_word(parser, "then"))
         if_true = parse_disjunction(parser);
@@ -168,19 +168,19 @@
     return policy_expression_new_input(input);
 }
 
-static struct policy_expression *parse_value(struct expression_parser *parser)
+static struct policy_expression *parse_primary(struct expression_parser *parser)
 {
     struct policy_lexer *lexer = parser->lexer;
     if (policy_lexer_is_at_number(lexer))
-        return parse_number(parser);
-    if (policy_lexer_is_at_text(lexer))
-        return parse_text(parser);
+        return parse_number_literal(parser);
+    if (policy_lexer_is_at_string(lexer))
+        return parse_string_literal(parser);
     if (policy_lexer_accept_symbol(lexer, "("))
         return parse_parentheses(parser);
     if (policy_lexer_accept_word(lexer, "true"))
-        return policy_expression_new_flag(true);
+        return policy_expression_new_boolean(true);
     if (policy_lexer_accept_word(lexer, "false"))
-        return policy_expression_new_flag(false);
+        return policy_expression_new_boolean(false);
     if (policy_lexer_accept_word(lexer, "if"))
         return parse_conditional(parser);
     if (policy_lexer_accept_word(lexer, "min"))
@@ -221,9 +221,9 @@
     if (policy_lexer_accept_symbol(lexer, "-"))
         expression = parse_unary_operand(parser, where, POLICY_OP_NEGATE, POLICY_TYPE_NUMBER);
     else if (policy_lexer_accept_word(lexer, "not"))
-        expression = parse_unary_operand(parser, where, POLICY_OP_NOT, POLICY_TYPE_FLAG);
+        expression = parse_unary_operand(parser, where, POLICY_OP_NOT, POLICY_TYPE_BOOLEAN);
     else
-        expression = parse_value(parser);
+        expression = parse_primary(parser);
     parser->nesting--;
     return expression;
 }
@@ -258,21 +258,21 @@
     return policy_expression_new_binary(operation, result_type, left, right);
 }
 
-static struct policy_expression *parse_chain(struct expression_parser *parser,
-                                             const struct operator_chain *chain)
+static struct policy_expression *parse_precedence_level(struct expression_parser *parser,
+                                                        const struct precedence_level *level)
 {
     struct policy_lexer *lexer = parser->lexer;
     const char *where = policy_lexer_next_token(lexer);
-    struct policy_expression *left = chain->parse_operand(parser);
+    struct policy_expression *left = level->parse_operand(parser);
     while (left) {
         const struct operator_token *operator_token =
-            accept_operator(lexer, chain->accept_operator, chain->operators, chain->operator_count);
+            accept_operator(lexer, level->accept_operator, level->operators, level->operator_count);
         if (!operator_token)
             return left;
-        left = require_type(parser, where, left, chain->type);
+        left = require_type(parser, where, left, level->operand_type);
         if (left)
-            left = parse_right_operand(parser, chain->parse_operand, operator_token->operation,
-                                       chain->type, left);
+            left = parse_right_operand(parser, level->parse_operand, operator_token->operation,
+                                       level->operand_type, left);
     }
     return NULL;
 }
@@ -283,11 +283,11 @@
         {"*", POLICY_OP_MULTIPLY},
         {"/", POLICY_OP_DIVIDE},
     };
-    static const struct operator_chain chain = {
+    static const struct precedence_level level = {
         parse_unary,        policy_lexer_accept_symbol, operators, G_N_ELEMENTS(operators),
         POLICY_TYPE_NUMBER,
     };
-    return parse_chain(parser, &chain);
+    return parse_precedence_level(parser, &level);
 }
 
 static struct policy_expression *parse_sum(struct expression_parser *parser)
@@ -296,11 +296,11 @@
         {"+", POLICY_OP_ADD},
         {"-", POLICY_OP_SUBTRACT},
     };
-    static const struct operator_chain chain = {
+    static const struct precedence_level level = {
         parse_product,           policy_lexer_accept_symbol, operators,
         G_N_ELEMENTS(operators), POLICY_TYPE_NUMBER,
     };
-    return parse_chain(parser, &chain);
+    return parse_precedence_level(parser, &level);
 }
 
 /** At most one comparison. Values of any type can be equal; only numbers have an order. */
@@ -325,27 +325,27 @@
         left = require_type(parser, where, left, POLICY_TYPE_NUMBER);
     if (!left)
         return NULL;
-    return parse_right_operand(parser, parse_sum, operation, POLICY_TYPE_FLAG, left);
+    return parse_right_operand(parser, parse_sum, operation, POLICY_TYPE_BOOLEAN, left);
 }
 
 static struct policy_expression *parse_conjunction(struct expression_parser *parser)
 {
     static const struct operator_token operators[] = {{"and", POLICY_OP_AND}};
-    static const struct operator_chain chain = {
+    static const struct precedence_level level = {
         parse_comparison,        policy_lexer_accept_word, operators,
-        G_N_ELEMENTS(operators), POLICY_TYPE_FLAG,
+        G_N_ELEMENTS(operators), POLICY_TYPE_BOOLEAN,
     };
-    return parse_chain(parser, &chain);
+    return parse_precedence_level(parser, &level);
 }
 
 static struct policy_expression *parse_disjunction(struct expression_parser *parser)
 {
     static const struct operator_token operators[] = {{"or", POLICY_OP_OR}};
-    static const struct operator_chain chain = {
+    static const struct precedence_level level = {
         parse_conjunction,       policy_lexer_accept_word, operators,
-        G_N_ELEMENTS(operators), POLICY_TYPE_FLAG,
+        G_N_ELEMENTS(operators), POLICY_TYPE_BOOLEAN,
     };
-    return parse_chain(parser, &chain);
+    return parse_precedence_level(parser, &level);
 }
 
 struct policy_expression *policy_expression_parse(struct policy_lexer *lexer,
--- a/src/config/policy_lexer.c
+++ b/src/config/policy_lexer.c
@@ -24,14 +24,14 @@
     g_free(message);
 }
 
-static bool is_blank(char c)
+static bool is_whitespace(char c)
 {
     return c == ' ' || c == '\t' || c == '\r';
 }
 
 const char *policy_lexer_next_token(struct policy_lexer *lexer)
 {
-    while (is_blank(*lexer->position))
+    while (is_whitespace(*lexer->position))
         lexer->position++;
     if (*lexer->position == '#')
         lexer->position += strcspn(lexer->position, "\n");
@@ -97,7 +97,7 @@
     return g_ascii_isdigit(*token) || *token == '.';
 }
 
-bool policy_lexer_is_at_text(struct policy_lexer *lexer)
+bool policy_lexer_is_at_string(struct policy_lexer *lexer)
 {
     return *policy_lexer_next_token(lexer) == '"';
 }
@@ -115,13 +115,13 @@
     return true;
 }
 
-char *policy_lexer_read_text(struct policy_lexer *lexer)
+char *policy_lexer_read_string(struct policy_lexer *lexer)
 {
-    const char *opening_mark = policy_lexer_next_token(lexer);
-    const char *start = opening_mark + 1;
+    const char *opening_quote = policy_lexer_next_token(lexer);
+    const char *start = opening_quote + 1;
     const char *end = start + strcspn(start, "\"\n");
     if (*end != '"') {
-        policy_lexer_fail(lexer, opening_mark, POLICY_ERROR_SYNTAX,
+        policy_lexer_fail(lexer, opening_quote, POLICY_ERROR_SYNTAX,
                           "expected a closing quotation mark");
         return NULL;
     }
--- a/src/config/policy_lexer.h
+++ b/src/config/policy_lexer.h
@@ -48,13 +48,13 @@
 
 /** Whether the next token begins a number, or a text in quotation marks. */
 bool policy_lexer_is_at_number(struct policy_lexer *lexer);
-bool policy_lexer_is_at_text(struct policy_lexer *lexer);
+bool policy_lexer_is_at_string(struct policy_lexer *lexer);
 
 /** Reads a finite number. Returns false with an error if it is malformed. */
 bool policy_lexer_read_number(struct policy_lexer *lexer, double *number);
 
 /** Reads a text, which has no escapes and ends on the same line. Returns what stands between the
  * quotation marks, to be freed with g_free, or NULL with an error. */
-char *policy_lexer_read_text(struct policy_lexer *lexer);
+char *policy_lexer_read_string(struct policy_lexer *lexer);
 
 #endif
--- a/src/config/policy_parser.c
+++ b/src/config/policy_parser.c
@@ -26,7 +26,7 @@
 /** Parses setting "=" expression, up to the end of the line. */
 static void parse_line(struct policy_lexer *lexer, struct policy_expression **settings)
 {
-    enum policy_setting setting = POLICY_SETTINGS;
+    enum policy_setting setting = POLICY_SETTING_COUNT;
     if (!parse_setting_name(lexer, settings, &setting))
         return;
     /* "==" is reported as what follows the first "=". */
--- a/src/config/policy_schema.c
+++ b/src/config/policy_schema.c
@@ -21,17 +21,17 @@
 
 static const char *const type_names[] = {
     [POLICY_TYPE_NUMBER] = "a number",
-    [POLICY_TYPE_TEXT] = "a text",
-    [POLICY_TYPE_FLAG] = "true or false",
+    [POLICY_TYPE_STRING] = "a text",
+    [POLICY_TYPE_BOOLEAN] = "true or false",
 };
 
-static const struct policy_input_definition inputs[POLICY_INPUTS] = {
-    [INPUT_TEAM] = {"team", POLICY_TYPE_TEXT},
-    [INPUT_CLASS] = {"class", POLICY_TYPE_TEXT},
-    [INPUT_PRIORITY] = {"priority", POLICY_TYPE_TEXT},
-    [INPUT_TYPE] = {"type", POLICY_TYPE_TEXT},
-    [INPUT_ZONE] = {"zone", POLICY_TYPE_TEXT},
-    [INPUT_SPOT] = {"spot", POLICY_TYPE_FLAG},
+static const struct policy_input_definition inputs[POLICY_INPUT_COUNT] = {
+    [INPUT_TEAM] = {"team", POLICY_TYPE_STRING},
+    [INPUT_CLASS] = {"class", POLICY_TYPE_STRING},
+    [INPUT_PRIORITY] = {"priority", POLICY_TYPE_STRING},
+    [INPUT_TYPE] = {"type", POLICY_TYPE_STRING},
+    [INPUT_ZONE] = {"zone", POLICY_TYPE_STRING},
+    [INPUT_SPOT] = {"spot", POLICY_TYPE_BOOLEAN},
     [INPUT_CPUS] = {"cpus", POLICY_TYPE_NUMBER},
     [INPUT_USED_CPUS] = {"used_cpus", POLICY_TYPE_NUMBER},
     [INPUT_PEAK_CPUS] = {"peak_cpus", POLICY_TYPE_NUMBER},
@@ -39,7 +39,7 @@
     [INPUT_PATIENCE_S] = {"patience_s", POLICY_TYPE_NUMBER},
 };
 
-static const struct policy_setting_definition settings[POLICY_SETTINGS] = {
+static const struct policy_setting_definition settings[POLICY_SETTING_COUNT] = {
     [POLICY_SPARE_CPUS] = {.name = "spare_cpus",
                            .default_expression = "0.12 * peak_cpus",
                            .type = POLICY_TYPE_NUMBER,
@@ -58,13 +58,13 @@
                        .input_mask = LOAD_INPUTS | MACHINE_INPUTS,
                        .min = MIN_IDLE_S,
                        .max = MAX_IDLE_S},
-    [POLICY_RENT_ORDINARY] = {.name = "rent_ordinary",
-                              .default_expression = "backlog_s > 1.5 * patience_s",
-                              .type = POLICY_TYPE_FLAG,
-                              .input_mask = JOB_INPUTS | LOAD_INPUTS | BACKLOG_INPUTS},
+    [POLICY_RENT_ON_DEMAND] = {.name = "rent_ordinary",
+                               .default_expression = "backlog_s > 1.5 * patience_s",
+                               .type = POLICY_TYPE_BOOLEAN,
+                               .input_mask = JOB_INPUTS | LOAD_INPUTS | BACKLOG_INPUTS},
     [POLICY_PREEMPT] = {.name = "preempt",
                         .default_expression = "priority == \"prod\" or priority == \"high\"",
-                        .type = POLICY_TYPE_FLAG,
+                        .type = POLICY_TYPE_BOOLEAN,
                         .input_mask = JOB_INPUTS | LOAD_INPUTS},
 };
 
@@ -96,7 +96,7 @@
 
 bool policy_schema_find_input(const char *name, size_t length, enum policy_input *input)
 {
-    for (int i = 0; i < POLICY_INPUTS; i++) {
+    for (int i = 0; i < POLICY_INPUT_COUNT; i++) {
         if (name_equals(inputs[i].name, name, length)) {
             *input = (enum policy_input)i;
             return true;
@@ -107,7 +107,7 @@
 
 bool policy_schema_find_setting(const char *name, size_t length, enum policy_setting *setting)
 {
-    for (int i = 0; i < POLICY_SETTINGS; i++) {
+    for (int i = 0; i < POLICY_SETTING_COUNT; i++) {
         if (name_equals(settings[i].name, name, length)) {
             *setting = (enum policy_setting)i;
             return true;
--- a/src/config/policy_schema.h
+++ b/src/config/policy_schema.h
@@ -7,7 +7,7 @@
 #include <stddef.h>
 
 /** The types of the expression language. */
-enum policy_type { POLICY_TYPE_NUMBER, POLICY_TYPE_TEXT, POLICY_TYPE_FLAG };
+enum policy_type { POLICY_TYPE_NUMBER, POLICY_TYPE_STRING, POLICY_TYPE_BOOLEAN };
 
 /** An input: a value that the scheduler supplies when it evaluates an expression. */
 struct policy_input_definition {
--- a/src/config/settings.c
+++ b/src/config/settings.c
@@ -12,7 +12,7 @@
     MAX_TOML_ERROR_BYTES = 256,
     BYTES_PER_MB = 1024 * 1024,
     /** An HTTP response may take this fraction of the memory. */
-    MEMORY_PER_RESPONSE = 8,
+    RESPONSE_MEMORY_DIVISOR = 8,
     MILLI_PER_UNIT = 1000,
 };
 
@@ -96,8 +96,8 @@
 
 static void read_node(struct settings_reader *reader, struct settings *settings, json_object *root)
 {
-    settings->label = settings_reader_get_text(reader, root, "label");
-    settings->zone = settings_reader_get_text(reader, root, "domain");
+    settings->label = settings_reader_get_string(reader, root, "label");
+    settings->zone = settings_reader_get_string(reader, root, "domain");
     settings->api_address = settings_reader_get_address(reader, root, "api_addr");
     settings->rpc_address = settings_reader_get_address(reader, root, "back");
 }
@@ -117,8 +117,8 @@
     for (size_t i = 0; list && i < json_object_array_length(list); i++) {
         json_object *object = json_object_array_get_idx(list, i);
         struct sibling sibling = {0};
-        sibling.label = settings_reader_get_text(reader, object, "label");
-        sibling.zone = settings_reader_get_text(reader, object, "domain");
+        sibling.label = settings_reader_get_string(reader, object, "label");
+        sibling.zone = settings_reader_get_string(reader, object, "domain");
         sibling.endpoint = settings_reader_get_address(reader, object, "endpoint");
         if (strcmp(sibling.label, settings->label) == 0)
             settings_reader_fail(reader, SETTINGS_ERROR_CONFLICT, "siblings.label",
@@ -130,8 +130,8 @@
     }
 }
 
-static void read_services(struct settings_reader *reader, struct settings *settings,
-                          json_object *root)
+static void read_service_addresses(struct settings_reader *reader, struct settings *settings,
+                                   json_object *root)
 {
     settings->cloud_address = settings_reader_get_address(reader, root, "outside.cloud");
     settings->kv_address = settings_reader_get_address(reader, root, "outside.state");
@@ -184,7 +184,7 @@
     for (size_t i = 0; list && i < json_object_array_length(list); i++) {
         json_object *object = json_object_array_get_idx(list, i);
         struct team team = {0};
-        team.name = settings_reader_get_text(reader, object, "name");
+        team.name = settings_reader_get_string(reader, object, "name");
         team.cpus = read_quota(reader, object, "cpus");
         team.cpus_max = read_quota(reader, object, "cpus_max");
         team.gpus = read_quota(reader, object, "gpus");
@@ -196,7 +196,7 @@
 
 static enum objective_kind read_objective_kind(struct settings_reader *reader, json_object *object)
 {
-    char *name = settings_reader_get_text(reader, object, "kind");
+    char *name = settings_reader_get_string(reader, object, "kind");
     enum objective_kind kind = OBJECTIVE_OTHER;
     if (strcmp(name, "wait") == 0)
         kind = OBJECTIVE_WAIT;
@@ -218,7 +218,7 @@
         struct objective objective = {.kind = read_objective_kind(reader, object)};
         if (objective.kind == OBJECTIVE_OTHER || !settings_reader_find(object, "class"))
             continue;
-        objective.class = settings_reader_get_text(reader, object, "class");
+        objective.class = settings_reader_get_string(reader, object, "class");
         if (objective.kind != OBJECTIVE_DEADLINE)
             objective.within_s =
                 settings_reader_get_number(reader, object, "within_s", &OBJECTIVE_S);
@@ -272,9 +272,9 @@
 static void read_kv_service(struct settings_reader *reader, struct settings *settings,
                             json_object *root)
 {
-    const struct kv_limits_table now = {root, "deployment.state", false};
+    const struct kv_limits_table current = {root, "deployment.state", false};
     const struct kv_limits_table next = {root, "deployment.state.next", true};
-    read_kv_limits(reader, &now, &settings->kv_limits);
+    read_kv_limits(reader, &current, &settings->kv_limits);
     settings->kv_limits_next = settings->kv_limits;
     if (settings_reader_has_table(reader, root, next.path))
         read_kv_limits(reader, &next, &settings->kv_limits_next);
@@ -324,7 +324,7 @@
     struct settings *settings = settings_new();
     read_node(&reader, settings, root);
     read_siblings(&reader, settings, root);
-    read_services(&reader, settings, root);
+    read_service_addresses(&reader, settings, root);
     read_cluster(&reader, settings, root);
     read_teams(&reader, settings, root);
     read_objectives(&reader, settings, root);
@@ -374,7 +374,7 @@
 
 size_t settings_max_response_bytes(const struct settings *settings)
 {
-    return (size_t)(settings->ram_mb * BYTES_PER_MB / MEMORY_PER_RESPONSE);
+    return (size_t)(settings->ram_mb * BYTES_PER_MB / RESPONSE_MEMORY_DIVISOR);
 }
 
 int settings_find_team(const struct settings *settings, const char *name)
--- a/src/config/settings_reader.c
+++ b/src/config/settings_reader.c
@@ -31,8 +31,8 @@
     return object;
 }
 
-char *settings_reader_get_text(struct settings_reader *reader, json_object *object,
-                               const char *path)
+char *settings_reader_get_string(struct settings_reader *reader, json_object *object,
+                                 const char *path)
 {
     json_object *value = settings_reader_find(object, path);
     if (!value) {
@@ -49,13 +49,13 @@
 char *settings_reader_get_address(struct settings_reader *reader, json_object *object,
                                   const char *path)
 {
-    char *text = settings_reader_get_text(reader, object, path);
+    char *address = settings_reader_get_string(reader, object, path);
     uint32_t ip_be;
     uint16_t port;
-    if (*text && !address_parse(text, &ip_be, &port))
+    if (*address && !address_parse(address, &ip_be, &port))
         settings_reader_fail(reader, SETTINGS_ERROR_TYPE, path,
                              "must be an address such as 10.0.0.1:8080");
-    return text;
+    return address;
 }
 
 double settings_reader_get_number(struct settings_reader *reader, json_object *object,
--- a/src/config/settings_reader.h
+++ b/src/config/settings_reader.h
@@ -30,8 +30,8 @@
 json_object *settings_reader_find(json_object *object, const char *path);
 
 /** Returns a text that is not empty, or the empty text after an error; free it with g_free. */
-char *settings_reader_get_text(struct settings_reader *reader, json_object *object,
-                               const char *path);
+char *settings_reader_get_string(struct settings_reader *reader, json_object *object,
+                                 const char *path);
 
 /** The same for an address such as 10.0.0.1:8080; one that is malformed is returned as it is. */
 char *settings_reader_get_address(struct settings_reader *reader, json_object *object,
--- a/src/config/toml_reader.h
+++ b/src/config/toml_reader.h
@@ -10,7 +10,7 @@
 
 /** Returns JSON text, to be freed with free(). If the text is not TOML, returns NULL and writes a
  * message that names line and column to `error`, cut off to `error_size` bytes with its NUL. */
-char *toml_read_json(const char *text, char *error, unsigned error_size);
+char *toml_read_json(const char *toml, char *error, unsigned error_size);
 
 #ifdef __cplusplus
 }
--- a/src/scheduler/autoscaler_services.c
+++ b/src/scheduler/autoscaler_services.c
@@ -108,11 +108,12 @@
 /** Returns the number of service tasks for which each zone should have headroom. */
 static int64_t target_headroom_per_zone(struct leader *leader)
 {
-    struct policy_value inputs[POLICY_INPUTS] = {0};
+    struct policy_value inputs[POLICY_INPUT_COUNT] = {0};
     scheduling_policy_set_load_inputs(leader, inputs);
-    return (int64_t)round(
-        leader->autoscaler.service_tasks_per_s * scheduling_policy_slowest_boot_s(leader) *
-        policy_number(leader->policy, POLICY_SERVICE_SPARE, inputs) / leader->settings->zones->len);
+    return (int64_t)round(leader->autoscaler.service_tasks_per_s *
+                          scheduling_policy_slowest_boot_s(leader) *
+                          policy_evaluate_number(leader->policy, POLICY_SERVICE_SPARE, inputs) /
+                          leader->settings->zones->len);
 }
 
 /** Plans capacity for service tasks in a zone. Returns the number of tasks without capacity. */
--- a/src/scheduler/scheduling_policy.c
+++ b/src/scheduler/scheduling_policy.c
@@ -108,44 +108,44 @@
                            const struct job_spec *spec, struct policy_value *inputs)
 {
     scheduling_policy_set_load_inputs(leader, inputs);
-    inputs[INPUT_TEAM].text = spec->team_name;
-    inputs[INPUT_CLASS].text = spec->job_class;
-    inputs[INPUT_PRIORITY].text = job_priority_name(job->priority);
+    inputs[INPUT_TEAM].string = spec->team_name;
+    inputs[INPUT_CLASS].string = spec->job_class;
+    inputs[INPUT_PRIORITY].string = job_priority_name(job->priority);
 }
 
 double scheduling_policy_spare_cpus(struct leader *leader)
 {
-    struct policy_value inputs[POLICY_INPUTS] = {0};
+    struct policy_value inputs[POLICY_INPUT_COUNT] = {0};
     scheduling_policy_set_load_inputs(leader, inputs);
-    return floor(policy_number(leader->policy, POLICY_SPARE_CPUS, inputs));
+    return floor(policy_evaluate_number(leader->policy, POLICY_SPARE_CPUS, inputs));
 }
 
 bool scheduling_policy_may_rent_on_demand(struct leader *leader, const struct ledger_job *job,
                                           const struct job_spec *spec, double backlog_s)
 {
-    struct policy_value inputs[POLICY_INPUTS] = {0};
+    struct policy_value inputs[POLICY_INPUT_COUNT] = {0};
     set_job_inputs(leader, job, spec, inputs);
     inputs[INPUT_BACKLOG_S].number = backlog_s;
     inputs[INPUT_PATIENCE_S].number = job->patience_s;
-    return policy_flag(leader->policy, POLICY_RENT_ORDINARY, inputs);
+    return policy_evaluate_boolean(leader->policy, POLICY_RENT_ON_DEMAND, inputs);
 }
 
 bool scheduling_policy_may_preempt(struct leader *leader, const struct ledger_job *job,
                                    const struct job_spec *spec)
 {
-    struct policy_value inputs[POLICY_INPUTS] = {0};
+    struct policy_value inputs[POLICY_INPUT_COUNT] = {0};
     set_job_inputs(leader, job, spec, inputs);
-    return policy_flag(leader->policy, POLICY_PREEMPT, inputs);
+    return policy_evaluate_boolean(leader->policy, POLICY_PREEMPT, inputs);
 }
 
 double scheduling_policy_idle_timeout_ms(struct leader *leader,
                                          const struct ledger_machine *machine)
 {
-    struct policy_value inputs[POLICY_INPUTS] = {0};
+    struct policy_value inputs[POLICY_INPUT_COUNT] = {0};
     scheduling_policy_set_load_inputs(leader, inputs);
-    inputs[INPUT_TYPE].text = machine->type_name;
-    inputs[INPUT_ZONE].text = machine->zone;
-    inputs[INPUT_SPOT].flag = machine->is_spot;
+    inputs[INPUT_TYPE].string = machine->type_name;
+    inputs[INPUT_ZONE].string = machine->zone;
+    inputs[INPUT_SPOT].boolean = machine->is_spot;
     inputs[INPUT_CPUS].number = resources_cpus(machine->capacity);
-    return policy_number(leader->policy, POLICY_IDLE_S, inputs) * 1000;
+    return policy_evaluate_number(leader->policy, POLICY_IDLE_S, inputs) * 1000;
 }
--- a/tests/test_policy.c
+++ b/tests/test_policy.c
@@ -12,7 +12,7 @@
 
 static double number(const char *expression)
 {
-    struct policy_value value[POLICY_INPUTS] = {0};
+    struct policy_value value[POLICY_INPUT_COUNT] = {0};
     value[INPUT_USED_CPUS].number = 10;
     value[INPUT_PEAK_CPUS].number = 40;
     char *text = g_strdup_printf("spare_cpus = %s", expression);
@@ -20,7 +20,7 @@
     struct policy *policy = policy_parse(text, &error);
     if (!policy)
         fail_msg("%s", error->message);
-    double x = policy_number(policy, POLICY_SPARE_CPUS, value);
+    double x = policy_evaluate_number(policy, POLICY_SPARE_CPUS, value);
     policy_free(policy);
     g_free(text);
     return x;
@@ -28,15 +28,15 @@
 
 static bool flag(const char *expression)
 {
-    struct policy_value value[POLICY_INPUTS] = {0};
-    value[INPUT_TEAM].text = "red";
-    value[INPUT_PRIORITY].text = "high";
+    struct policy_value value[POLICY_INPUT_COUNT] = {0};
+    value[INPUT_TEAM].string = "red";
+    value[INPUT_PRIORITY].string = "high";
     char *text = g_strdup_printf("# who may\npreempt = %s # end\n", expression);
     GError *error = NULL;
     struct policy *policy = policy_parse(text, &error);
     if (!policy)
         fail_msg("%s", error->message);
-    bool x = policy_flag(policy, POLICY_PREEMPT, value);
+    bool x = policy_evaluate_boolean(policy, POLICY_PREEMPT, value);
     policy_free(policy);
     g_free(text);
     return x;
@@ -344,11 +344,11 @@
     (void)state;
     GError *error = NULL;
     struct policy *policy = policy_parse("idle_s = if spot then 20 else 90\n", &error);
-    struct policy_value value[POLICY_INPUTS] = {0};
-    value[INPUT_SPOT].flag = true;
+    struct policy_value value[POLICY_INPUT_COUNT] = {0};
+    value[INPUT_SPOT].boolean = true;
     value[INPUT_PEAK_CPUS].number = 100;
-    assert_true(policy_number(policy, POLICY_IDLE_S, value) == 20);
-    assert_true(policy_number(policy, POLICY_SPARE_CPUS, value) == 12);
+    assert_true(policy_evaluate_number(policy, POLICY_IDLE_S, value) == 20);
+    assert_true(policy_evaluate_number(policy, POLICY_SPARE_CPUS, value) == 12);
     policy_free(policy);
 }
 
