--- a/src/config/feature_check.cpp
+++ b/src/config/feature_check.cpp
@@ -1,4 +1,4 @@
-/** JSON Schema by valijson. */
+/** Validation of a features file against its JSON Schema, with the valijson library. */
 #include "feature_check.h"
 
 #include "feature_schema.hpp"
@@ -14,7 +14,8 @@
 namespace
 {
 
-/** The field of an error as operators write it, such as "duties.enabled". */
+/** Returns the path of the field that an error is about, as operators write it, such as
+ * "duties.enabled". */
 std::string field_path(const valijson::ValidationResults::Error &error)
 {
     std::string field;
--- a/src/config/feature_check.h
+++ b/src/config/feature_check.h
@@ -1,6 +1,7 @@
-/** Check of a features file against its JSON Schema.
+/** Validation of a features file against its JSON Schema.
  *
- * It is in C++ for the library valijson. The schema is part of the program. */
+ * The implementation is in C++ because the valijson library is. The schema is compiled into the
+ * program. */
 #ifndef LL_FEATURE_CHECK_H
 #define LL_FEATURE_CHECK_H
 
@@ -10,8 +11,9 @@
 extern "C" {
 #endif
 
-/** Whether a JSON text conforms to the schema. Otherwise writes a message that names the first
- * wrong field to `error`, cut off to `error_size` bytes with its NUL. */
+/** Returns whether a JSON document conforms to the schema. If it does not, writes a message that
+ * names the first invalid field to `error`, truncated to `error_size` bytes including the
+ * terminating NUL. */
 bool feature_check(const char *json, char *error, unsigned error_size);
 
 #ifdef __cplusplus
--- a/src/config/feature_set.c
+++ b/src/config/feature_set.c
@@ -1,4 +1,4 @@
-/** Reads the features file. */
+/** Loads and validates the features file. */
 #include "feature_set.h"
 
 #include "feature_check.h"
@@ -7,7 +7,7 @@
 
 #include <stdlib.h>
 
-/** Longer messages of the TOML parser and of the schema's validator are cut off. */
+/** Longer messages of the TOML parser and of the schema validator are truncated. */
 enum { MAX_MESSAGE_BYTES = 400 };
 
 static const double DEFAULT_DELAY_REPORT_INTERVAL_S = 60;
@@ -21,7 +21,8 @@
                             .delay_report_interval_s = DEFAULT_DELAY_REPORT_INTERVAL_S}};
 }
 
-/** Takes the fields from a text that conforms to the schema; those that it lacks are unchanged. */
+/** Reads the fields of a JSON document that conforms to the schema. Fields that are missing from
+ * the document keep their values in `features`. */
 static void decode_features(const char *json, struct feature_set *features)
 {
     json_object *root = json_tokener_parse(json), *roles = NULL;
--- a/src/config/feature_set.h
+++ b/src/config/feature_set.h
@@ -1,42 +1,47 @@
-/** Features that operators switch on with a file of their own (TOML).
+/** Optional features, which operators enable in a TOML file of their own.
  *
- * The file is checked against schemas/features.schema.json. Without a file all features are off. */
+ * The file is validated against schemas/features.schema.json. Without a file, all features are
+ * disabled. */
 #ifndef LL_FEATURE_SET_H
 #define LL_FEATURE_SET_H
 
 #include <glib.h>
 #include <stdbool.h>
 
+/** Which features are enabled, and their parameters. */
 struct feature_set {
-    /** Scaling and clean-up under singleton roles with recorded intents; "duties" in the file. */
+    /** Scaling and garbage collection are done by holders of singleton roles, which record their
+     * intents. The table in the file is named "duties". */
     struct {
         bool is_enabled;
-        /** Between two log lines of the delays that roles cost. */
+        /** The time between two log lines that report the delays caused by the roles. */
         double delay_report_interval_s;
     } singleton_roles;
 };
 
-/** The domain of errors in the text of a features file. Files that cannot be read are in
- * G_FILE_ERROR. */
+/** The GError domain of errors in the contents of a features file. A file that cannot be read is
+ * reported in the domain G_FILE_ERROR. */
 #define FEATURE_SET_ERROR feature_set_error_quark()
 GQuark feature_set_error_quark(void);
 
+/** The error codes of FEATURE_SET_ERROR. */
 enum feature_set_error {
-    /** The text is not TOML. */
+    /** The contents are not valid TOML. */
     FEATURE_SET_ERROR_SYNTAX,
-    /** The text does not conform to the schema. */
+    /** The contents do not conform to the schema. */
     FEATURE_SET_ERROR_SCHEMA,
 };
 
-/** The features without a file: all are off. */
+/** Returns the features that apply without a file: all are disabled. */
 struct feature_set feature_set_default(void);
 
-/** Parses the text of a features file. Returns false with a FEATURE_SET_ERROR, whose message names
- * the first wrong field, or the line and column; `features` then has the defaults. */
+/** Parses the contents of a features file. If they are invalid, returns false with a
+ * FEATURE_SET_ERROR whose message names the first invalid field, or the line and column of a syntax
+ * error; `features` then has the defaults. */
 bool feature_set_parse(const char *toml, struct feature_set *features, GError **error);
 
-/** The same for a file; the message of a FEATURE_SET_ERROR begins with its path. `features` is
- * unchanged if the file cannot be read. */
+/** Reads a features file and parses it as feature_set_parse does. The message of a
+ * FEATURE_SET_ERROR begins with the path. `features` is unchanged if the file cannot be read. */
 bool feature_set_load(const char *path, struct feature_set *features, GError **error);
 
 #endif
--- a/src/config/policy.c
+++ b/src/config/policy.c
@@ -1,4 +1,5 @@
-/** Lifetime and evaluation of a policy; the language itself is in policy_*.c. */
+/** Creation, evaluation and release of a policy. The expression language is implemented in the
+ * policy_*.c files. */
 #include "policy.h"
 
 #include "policy_evaluator.h"
@@ -9,13 +10,13 @@
 enum { MAX_POLICY_KIB = 64, MAX_POLICY_BYTES = MAX_POLICY_KIB * 1024 };
 
 struct policy {
-    /** One expression for each setting; none is NULL once the policy is complete. */
+    /** The expression of each setting. Entries are NULL only while the policy is being parsed. */
     struct policy_expression *settings[POLICY_SETTING_COUNT];
 };
 
 G_DEFINE_QUARK(linenlanding_policy_error, policy_error)
 
-/** Parses a text; settings that it does not hold stay NULL. */
+/** Parses the contents of a policy file. Settings that it does not contain stay NULL. */
 static struct policy *parse_settings(const char *text, GError **error)
 {
     struct policy *policy = g_new0(struct policy, 1);
@@ -35,7 +36,7 @@
         g_string_append_printf(text, "%s = %s\n", setting->name, setting->default_expression);
     }
     struct policy *policy = parse_settings(text->str, NULL);
-    /* The default expressions are part of the program. */
+    /* The default expressions are compiled in, so they always parse. */
     g_assert(policy);
     g_string_free(text, TRUE);
     return policy;
--- a/src/config/policy_evaluator.c
+++ b/src/config/policy_evaluator.c
@@ -1,4 +1,4 @@
-/** Evaluates syntax trees by recursion; the parser bounds their depth. */
+/** Evaluates syntax trees recursively. The parser limits their depth. */
 #include "policy_evaluator.h"
 
 #include <math.h>
@@ -31,13 +31,14 @@
     return policy_evaluate(expression, inputs).boolean;
 }
 
-/** As fmin and fmax, but of operands that compare as equal always the left one, which C leaves open
- * for 0 and -0. Operands that are NaN are ignored. */
+/** Returns the smaller operand, as fmin does; an operand that is NaN is ignored. Of operands that
+ * compare as equal the left one is returned, whereas C leaves the choice between 0 and -0 open. */
 static double min_number(double left, double right)
 {
     return isnan(right) || left <= right ? left : right;
 }
 
+/** Returns the larger operand, as fmax does, with the same rules as min_number. */
 static double max_number(double left, double right)
 {
     return isnan(right) || left >= right ? left : right;
@@ -66,8 +67,8 @@
     }
 }
 
-/** Compares the operands, which have one type. Returns a negative number, 0 or a positive number
- * as strcmp does. An input without a text compares as the empty text. */
+/** Compares two operands of the same type. Returns a negative number, 0 or a positive number, as
+ * strcmp does. A string input that is NULL compares as the empty string. */
 static int compare_operands(const struct policy_expression *expression,
                             const struct policy_value *inputs)
 {
--- a/src/config/policy_expression.c
+++ b/src/config/policy_expression.c
@@ -1,4 +1,4 @@
-/** Construction and release of syntax trees. */
+/** Creation and release of syntax trees. */
 #include "policy_expression.h"
 
 static struct policy_expression *new_expression(enum policy_operation operation,
--- a/src/config/policy_expression.h
+++ b/src/config/policy_expression.h
@@ -4,71 +4,82 @@
 
 #include "policy_schema.h"
 
+/** What a node of the syntax tree computes. */
 enum policy_operation {
-    /** Literals and inputs: leaves of the tree. */
+    /** Leaves of the tree: literals and inputs. */
     POLICY_OP_NUMBER,
     POLICY_OP_STRING,
     POLICY_OP_BOOLEAN,
     POLICY_OP_INPUT,
-    /** Operations with one operand, `left`. */
+    /** Unary operations. The operand is `left`. */
     POLICY_OP_NEGATE,
     POLICY_OP_NOT,
-    /** Numbers to a number. */
+    /** Binary operations on numbers whose result is a number. */
     POLICY_OP_ADD,
     POLICY_OP_SUBTRACT,
     POLICY_OP_MULTIPLY,
     POLICY_OP_DIVIDE,
     POLICY_OP_MIN,
     POLICY_OP_MAX,
-    /** Two operands of one type to a flag. */
+    /** Comparisons of two operands of the same type. The result is a boolean. */
     POLICY_OP_EQUAL,
     POLICY_OP_UNEQUAL,
     POLICY_OP_LESS,
     POLICY_OP_LESS_EQUAL,
     POLICY_OP_GREATER,
     POLICY_OP_GREATER_EQUAL,
-    /** Flags to a flag. */
+    /** Binary operations on booleans whose result is a boolean. */
     POLICY_OP_AND,
     POLICY_OP_OR,
-    /** `left` if `condition` is true, otherwise `right`. */
+    /** The result is `left` if `condition` is true, otherwise `right`. */
     POLICY_OP_CONDITIONAL,
 };
 
-/** A node of the tree. It owns its operands. */
+/** A node of the syntax tree. It owns its operands. */
 struct policy_expression {
     enum policy_operation operation;
-    /** The type of the value that the whole expression has. */
+    /** The type of the value of the expression. */
     enum policy_type type;
-    /** What a leaf holds: the member of its operation. */
+    /** The value of a leaf. `operation` determines which member is in use. */
     union {
         double number;
         char *string;
         bool boolean;
         enum policy_input input;
     };
-    /** Operands; NULL where the operation has none. */
+    /** The operands. Those that the operation does not have are NULL. */
     struct policy_expression *left, *right, *condition;
 };
 
-/** Leaves. policy_expression_new_string takes the text over. */
+/** Creates a number literal. */
 struct policy_expression *policy_expression_new_number(double number);
+
+/** Creates a string literal, which takes ownership of the string. */
 struct policy_expression *policy_expression_new_string(char *string);
+
+/** Creates a boolean literal. */
 struct policy_expression *policy_expression_new_boolean(bool boolean);
+
+/** Creates a leaf that reads an input. */
 struct policy_expression *policy_expression_new_input(enum policy_input input);
 
-/** Operations, which take their operands over. `type` is that of the result. */
+/** Creates a unary operation with a result of type `type`. It takes ownership of its operand. */
 struct policy_expression *policy_expression_new_unary(enum policy_operation operation,
                                                       enum policy_type type,
                                                       struct policy_expression *operand);
+
+/** Creates a binary operation with a result of type `type`. It takes ownership of its operands. */
 struct policy_expression *policy_expression_new_binary(enum policy_operation operation,
                                                        enum policy_type type,
                                                        struct policy_expression *left,
                                                        struct policy_expression *right);
+
+/** Creates a conditional with the type of `if_true`. It takes ownership of its operands. */
 struct policy_expression *policy_expression_new_conditional(struct policy_expression *condition,
                                                             struct policy_expression *if_true,
                                                             struct policy_expression *if_false);
 
-/** Frees the whole tree; NULL is allowed. */
+/** Frees an expression with all its operands. NULL is allowed. */
 void policy_expression_free(struct policy_expression *expression);
 
 #endif
--- a/src/config/policy_expression_parser.c
+++ b/src/config/policy_expression_parser.c
@@ -1,39 +1,45 @@
-/** A recursive descent parser that checks types while it builds the tree.
+/** A recursive descent parser of expressions, which checks types while it builds the syntax tree.
  *
  *     disjunction = conjunction { "or" conjunction }
  *     conjunction = comparison { "and" comparison }
  *     comparison  = sum [ ( "==" | "!=" | "<=" | ">=" | "<" | ">" ) sum ]
  *     sum         = product { ( "+" | "-" ) product }
  *     product     = unary { ( "*" | "/" ) unary }
- *     unary       = "-" unary | "not" unary | value
- *     value       = number | text | "true" | "false" | input | "(" disjunction ")"
+ *     unary       = "-" unary | "not" unary | primary
+ *     primary     = number | string | "true" | "false" | input | "(" disjunction ")"
  *                 | "if" disjunction "then" disjunction "else" disjunction
  *                 | ( "min" | "max" ) "(" disjunction "," disjunction ")"
  *
- * A function that parses part of an expression returns a tree that the caller owns, or NULL after
- * it recorded an error in the lexer. */
+ * Each function that parses a part of an expression returns a tree that the caller owns, or records
+ * an error in the lexer and returns NULL. */
 #include "policy_expression_parser.h"
 
-/** Bounds the parser's and the evaluator's recursion. */
+/** Limits the depth of recursion in the parser and the evaluator. */
 enum { MAX_NESTING = 64 };
 
+/** The state of the parser while it parses one expression. */
 struct expression_parser {
     struct policy_lexer *lexer;
-    /** How many calls of parse_unary are under way. */
+    /** The number of calls of parse_unary that have not returned. */
     int nesting;
-    /** The setting whose expression is parsed. */
+    /** The setting whose expression is being parsed. */
     const struct policy_setting_definition *setting;
 };
 
+/** Parses a part of an expression. */
 typedef struct policy_expression *(*parse_function)(struct expression_parser *parser);
+
+/** Consumes a symbol or a word if it is the next token, and returns whether it was. */
 typedef bool (*accept_function)(struct policy_lexer *lexer, const char *token);
 
+/** The symbol or word of a binary operator, and the operation that it stands for. */
 struct operator_token {
     const char *token;
     enum policy_operation operation;
 };
 
-/** Left-associative operators of one precedence, whose operands and result have one type. */
+/** Left-associative binary operators of the same precedence. Their operands and their result all
+ * have the type `operand_type`. */
 struct precedence_level {
     parse_function parse_operand;
     accept_function accept_operator;
@@ -44,8 +50,8 @@
 
 static struct policy_expression *parse_disjunction(struct expression_parser *parser);
 
-/** Returns the expression if it has the type; otherwise frees it and records an error at `where`.
- * NULL stays NULL. */
+/** Returns the expression if it has the given type. Otherwise frees it, records an error at `where`
+ * and returns NULL. Also returns NULL if `expression` is NULL. */
 static struct policy_expression *require_type(struct expression_parser *parser, const char *where,
                                               struct policy_expression *expression,
                                               enum policy_type type)
@@ -77,7 +83,7 @@
     return false;
 }
 
-/* ---- values ---- */
+/* ---- primary expressions ---- */
 
 static struct policy_expression *parse_number_literal(struct expression_parser *parser)
 {
@@ -93,7 +99,7 @@
     return string ? policy_expression_new_string(string) : NULL;
 }
 
-/** The rest of "(" disjunction ")". */
+/** Parses the part of "(" disjunction ")" that follows the opening parenthesis. */
 static struct policy_expression *parse_parentheses(struct expression_parser *parser)
 {
     struct policy_expression *expression = parse_disjunction(parser);
@@ -104,14 +110,14 @@
     return expression;
 }
 
-/** An argument of min or max. A wrong type is reported where the preceding token ends. */
+/** Parses an argument of min or max. A type error is reported at the end of the preceding token. */
 static struct policy_expression *parse_number_argument(struct expression_parser *parser)
 {
     const char *where = parser->lexer->position;
     return require_type(parser, where, parse_disjunction(parser), POLICY_TYPE_NUMBER);
 }
 
-/** The rest of min(left, right) or max(left, right). */
+/** Parses the part of min(left, right) or max(left, right) that follows "min" or "max". */
 static struct policy_expression *parse_min_max(struct expression_parser *parser,
                                                enum policy_operation operation)
 {
@@ -128,7 +134,8 @@
     return policy_expression_new_binary(operation, POLICY_TYPE_NUMBER, left, right);
 }
 
-/** The rest of "if"; a condition of a wrong type is reported where "if" ends. */
+/** Parses the part of a conditional that follows "if". A condition of the wrong type is reported at
+ * the end of "if". */
 static struct policy_expression *parse_conditional(struct expression_parser *parser)
 {
     const char *where = parser->lexer->position;
@@ -198,7 +205,8 @@
 
 static struct policy_expression *parse_unary(struct expression_parser *parser);
 
-/** The rest of "-" unary or "not" unary; `where` is where the operator begins. */
+/** Parses the operand of "-" or "not". A type error is reported at `where`, the start of the
+ * operator. */
 static struct policy_expression *parse_unary_operand(struct expression_parser *parser,
                                                      const char *where,
                                                      enum policy_operation operation,
@@ -228,7 +236,8 @@
     return expression;
 }
 
-/** Consumes the first of the operators that is next; NULL if none is. */
+/** Consumes the next token if it is one of the operators and returns that operator. Otherwise
+ * returns NULL. */
 static const struct operator_token *accept_operator(struct policy_lexer *lexer,
                                                     accept_function accept,
                                                     const struct operator_token *operators,
@@ -240,8 +249,8 @@
     return NULL;
 }
 
-/** Parses the right operand of an operator and combines it with the left one, which is taken over
- * and has the type that the right one must have. */
+/** Parses the right operand of a binary operator, which must have the type of the left one, and
+ * returns the operation on both. Takes ownership of the left operand. */
 static struct policy_expression *parse_right_operand(struct expression_parser *parser,
                                                      parse_function parse_operand,
                                                      enum policy_operation operation,
@@ -258,6 +267,7 @@
     return policy_expression_new_binary(operation, result_type, left, right);
 }
 
+/** Parses operands that are joined by operators of one precedence level. */
 static struct policy_expression *parse_precedence_level(struct expression_parser *parser,
                                                         const struct precedence_level *level)
 {
@@ -303,10 +313,11 @@
     return parse_precedence_level(parser, &level);
 }
 
-/** At most one comparison. Values of any type can be equal; only numbers have an order. */
+/** Parses an expression with at most one comparison. Values of any type can be compared for
+ * equality; only numbers can be ordered. */
 static struct policy_expression *parse_comparison(struct expression_parser *parser)
 {
-    /* A longer symbol precedes the one that it begins with. */
+    /* "<=" and ">=" precede "<" and ">", which are prefixes of them. */
     static const struct operator_token operators[] = {
         {"==", POLICY_OP_EQUAL},         {"!=", POLICY_OP_UNEQUAL}, {"<=", POLICY_OP_LESS_EQUAL},
         {">=", POLICY_OP_GREATER_EQUAL}, {"<", POLICY_OP_LESS},     {">", POLICY_OP_GREATER},
--- a/src/config/policy_expression_parser.h
+++ b/src/config/policy_expression_parser.h
@@ -5,9 +5,10 @@
 #include "policy_expression.h"
 #include "policy_lexer.h"
 
-/** Parses the expression of a setting, which must have the setting's type and may read only its
- * inputs. Stops before the first token that does not belong to it. The caller owns the result;
- * NULL with an error in the lexer. */
+/** Parses the expression of a setting. The expression must have the type of the setting and may
+ * read only inputs that the setting allows. The lexer stops before the first token that is not part
+ * of the expression. The caller owns the result. Returns NULL after an error, which the lexer
+ * keeps. */
 struct policy_expression *policy_expression_parse(struct policy_lexer *lexer,
                                                   const struct policy_setting_definition *setting);
 
--- a/src/config/policy_lexer.c
+++ b/src/config/policy_lexer.c
@@ -1,4 +1,4 @@
-/** Tokens, places and errors of a policy file. */
+/** Reads tokens of a policy file and records errors with their line and column. */
 #include "policy_lexer.h"
 
 #include <math.h>
--- a/src/config/policy_parser.c
+++ b/src/config/policy_parser.c
@@ -5,7 +5,8 @@
 
 #include "policy_expression_parser.h"
 
-/** Reads the name of a setting that has no expression yet. Returns false after an error. */
+/** Parses the name of a setting, which must not have an expression yet. Returns false after an
+ * error. */
 static bool parse_setting_name(struct policy_lexer *lexer, struct policy_expression **settings,
                                enum policy_setting *setting)
 {
@@ -23,13 +24,13 @@
     return !lexer->error;
 }
 
-/** Parses setting "=" expression, up to the end of the line. */
+/** Parses a line of the form setting "=" expression, without its line end. */
 static void parse_line(struct policy_lexer *lexer, struct policy_expression **settings)
 {
     enum policy_setting setting = POLICY_SETTING_COUNT;
     if (!parse_setting_name(lexer, settings, &setting))
         return;
-    /* "==" is reported as what follows the first "=". */
+    /* For "==" the error is reported at the second "=". */
     if (!policy_lexer_accept_symbol(lexer, "=") || *lexer->position == '=') {
         policy_lexer_fail(lexer, lexer->position, POLICY_ERROR_SYNTAX, "expected =");
         return;
--- a/src/config/policy_schema.c
+++ b/src/config/policy_schema.c
@@ -1,11 +1,11 @@
-/** The tables of settings and inputs. docs/operations.md describes them to operators. */
+/** The tables of policy settings and inputs, which docs/operations.md documents for operators. */
 #include "policy_schema.h"
 
 #include <string.h>
 
 #define INPUT_BIT(input) (1U << (input))
 
-/** Inputs that describe a job, the cluster's load, and a machine. */
+/** Sets of inputs, which describe a job, the load of the cluster, a machine, and the backlog. */
 enum {
     JOB_INPUTS = INPUT_BIT(INPUT_TEAM) | INPUT_BIT(INPUT_CLASS) | INPUT_BIT(INPUT_PRIORITY),
     LOAD_INPUTS = INPUT_BIT(INPUT_USED_CPUS) | INPUT_BIT(INPUT_PEAK_CPUS),
--- a/src/config/settings.c
+++ b/src/config/settings.c
@@ -8,15 +8,16 @@
 #include <stdlib.h>
 
 enum {
-    /** Longer messages of the TOML parser are cut off. */
+    /** Longer messages of the TOML parser are truncated. */
     MAX_TOML_ERROR_BYTES = 256,
     BYTES_PER_MB = 1024 * 1024,
-    /** An HTTP response may take this fraction of the memory. */
+    /** An HTTP response may be as large as the memory limit divided by this number. */
     RESPONSE_MEMORY_DIVISOR = 8,
     MILLI_PER_UNIT = 1000,
 };
 
-/** Quotas such as 0.3 are not exact in binary, and must not be rounded down to 299 milli. */
+/** Quotas such as 0.3 have no exact binary representation; without this tolerance 0.3 could be
+ * rounded down to 299 milli. */
 static const double ROUNDING_TOLERANCE_MILLI = 1e-6;
 
 static const struct number_rule NODE_COUNT = {1, 1000, true};
@@ -38,7 +39,7 @@
 
 G_DEFINE_QUARK(linenlanding_settings_error, settings_error)
 
-/* ---- lifetime ---- */
+/* ---- creation and release ---- */
 
 static void clear_sibling(gpointer data)
 {
@@ -92,7 +93,7 @@
     g_free(settings);
 }
 
-/* ---- the node, its siblings and the services outside ---- */
+/* ---- the node, its siblings and the external services ---- */
 
 static void read_node(struct settings_reader *reader, struct settings *settings, json_object *root)
 {
@@ -155,7 +156,7 @@
         settings_reader_get_number(reader, root, "deployment.clock_error_ms", &CLOCK_ERROR_MS);
 }
 
-/** Reads a quota. It is rounded down, while what tasks request is rounded up. */
+/** Reads a quota. Quotas are rounded down, whereas what tasks request is rounded up. */
 static amount read_quota(struct settings_reader *reader, json_object *object, const char *path)
 {
     double quota = settings_reader_get_number(reader, object, path, &QUOTA);
@@ -208,7 +209,7 @@
     return kind;
 }
 
-/** Objectives of unknown kinds, and those that are not of a job class, are ignored. */
+/** Reads the objectives. Those of an unknown kind or without a job class are ignored. */
 static void read_objectives(struct settings_reader *reader, struct settings *settings,
                             json_object *root)
 {
@@ -241,11 +242,12 @@
         settings_reader_get_number(reader, root, "deployment.workers.cancel_s", &CANCEL_TIMEOUT_S);
 }
 
-/** A table of limits of the key-value service. */
+/** A table of the settings file that contains limits of the key-value service. */
 struct kv_limits_table {
     json_object *root;
     const char *path;
-    /** Whether a field that is missing has the value that it is read over. */
+    /** If set, the limit of a missing field keeps the value it had; otherwise a missing field is an
+     * error. */
     bool has_defaults;
 };
 
@@ -299,7 +301,8 @@
         reader, root, "deployment.machine_limits.fd_limit", &OPEN_FILES);
 }
 
-/** Checks fields against one another, once each is right by itself. */
+/** Checks that the fields are consistent with each other. Does nothing after an error, because the
+ * fields are then not all valid. */
 static void check_consistency(struct settings_reader *reader, const struct settings *settings)
 {
     if (reader->error)
@@ -317,7 +320,7 @@
 
 /* ---- the whole file ---- */
 
-/** The order in which the parts are read decides which error is reported. */
+/** Reads all tables. Only the first error is reported, so it depends on the order of the calls. */
 static struct settings *read_settings(json_object *root, GError **error)
 {
     struct settings_reader reader = {0};
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -1,23 +1,25 @@
-/** The settings file (TOML) that the platform gives each node. */
+/** The settings file (TOML), which the deployment platform provides to each node. */
 #ifndef LL_SETTINGS_H
 #define LL_SETTINGS_H
 
 #include "types.h"
 
-/** A team and its quota: what it is guaranteed, and the most that it may use. */
+/** A team and its quotas. */
 struct team {
     char *name;
+    /** The guaranteed amount of each resource, and the maximum that the team may use. */
     amount cpus, cpus_max, gpus, gpus_max;
 };
 
+/** What a service level objective measures. */
 enum objective_kind {
-    /** Tasks started within `within_s`. */
+    /** Tasks start within `within_s`. */
     OBJECTIVE_WAIT,
-    /** Jobs finished within `within_s`. */
+    /** Jobs finish within `within_s`. */
     OBJECTIVE_FINISHED,
-    /** Jobs finished by their own deadline. */
+    /** Jobs finish by their own deadline. */
     OBJECTIVE_DEADLINE,
-    /** Any other kind; ignored. */
+    /** Any other kind. Such objectives are ignored. */
     OBJECTIVE_OTHER,
 };
 
@@ -25,18 +27,18 @@
 struct objective {
     enum objective_kind kind;
     char *class;
-    /** 0 for OBJECTIVE_DEADLINE. */
+    /** The time limit; 0 for OBJECTIVE_DEADLINE. */
     double within_s;
 };
 
 /** Another node of the cluster. */
 struct sibling {
     char *label, *zone;
-    /** Where it accepts RPCs of nodes. */
+    /** The address at which it accepts RPCs from other nodes. */
     char *endpoint;
 };
 
-/** What the key-value service allows the whole cluster. */
+/** The limits that the key-value service sets for the whole cluster. */
 struct kv_service_limits {
     double requests_per_s, writes_per_s, max_value_kb;
     int max_txn_operations;
@@ -44,70 +46,81 @@
 
 /** All settings of a node. */
 struct settings {
-    /** This node: its name, its zone, and where it serves users and other nodes. */
+    /** This node: its name, its zone, and the addresses where it serves users and other nodes. */
     char *label, *zone, *api_address, *rpc_address;
-    /** struct sibling; all nodes but this one. */
+    /** Elements are struct sibling: all nodes of the cluster except this one. */
     GArray *siblings;
-    /** The cloud provider's API and the key-value service. */
+    /** The addresses of the cloud provider's API and of the key-value service. */
     char *cloud_address, *kv_address;
+    /** The number of nodes in the cluster, including this one. */
     int node_count;
-    /** char *; the zones in which machines can be rented. */
+    /** Elements are char *: the zones in which machines can be rented. */
     GPtrArray *zones;
-    /** The most by which a node's time of day differs from true time. */
+    /** The maximum difference between a node's wall clock and true time. */
     double clock_error_ms;
-    /** struct team */
+    /** Elements are struct team. */
     GArray *teams;
-    /** struct objective, without those of OBJECTIVE_OTHER. */
+    /** Elements are struct objective, of any kind except OBJECTIVE_OTHER. */
     GArray *objectives;
-    /** Agents on machines: their heartbeats, and the lease after which tasks end without a node. */
+    /** The interval between heartbeats of the agents on machines, and the lease after which an
+     * agent ends its tasks if no node has renewed it. */
     double heartbeat_interval_s, lease_s;
-    /** How long a gang's tasks wait until it is complete, and how soon they notice a lost one. */
+    /** How long the tasks of a gang wait for the gang to be complete, and the time within which
+     * they notice that one of them is lost. */
     double gang_wait_timeout_s, gang_peer_timeout_s;
-    /** How soon after its cancellation was confirmed a task must have stopped; more than lease_s.
-     */
+    /** The time within which a task must have stopped after its cancellation was confirmed. It is
+     * longer than lease_s. */
     double cancel_timeout_s;
+    /** The current limits of the key-value service. */
     struct kv_service_limits kv_limits;
-    /** Limits that will apply from an unknown time on; fields that are not set are those of now. */
+    /** Limits that will apply from an unknown time in the future. Those that the file does not set
+     * equal the current ones. */
     struct kv_service_limits kv_limits_next;
+    /** The rate of requests that the cloud provider's API allows. */
     double cloud_requests_per_s;
-    /** By how much the cloud's list of machines is out of date; at times it is twice that. */
+    /** The age of the cloud provider's list of machines; the list is sometimes twice as old. */
     double cloud_list_lag_s;
-    /** What this node itself may use. */
+    /** The resources that this node process itself may use. */
     double cpu_cores, ram_mb;
     int max_open_files;
 };
 
-/** The domain of errors in the text of settings. Files that cannot be read are in G_FILE_ERROR. */
+/** The GError domain of errors in the contents of a settings file. A file that cannot be read is
+ * reported in the domain G_FILE_ERROR. */
 #define SETTINGS_ERROR settings_error_quark()
 GQuark settings_error_quark(void);
 
+/** The error codes of SETTINGS_ERROR. */
 enum settings_error {
-    /** The text is not TOML. */
+    /** The contents are not valid TOML. */
     SETTINGS_ERROR_SYNTAX,
-    /** A field that is required is missing. */
+    /** A required field is missing. */
     SETTINGS_ERROR_MISSING,
-    /** A field holds something other than it must. */
+    /** A field has a value of the wrong type or format. */
     SETTINGS_ERROR_TYPE,
-    /** A number is out of its bounds. */
+    /** A number is out of range. */
     SETTINGS_ERROR_RANGE,
-    /** Fields contradict one another. */
+    /** Fields contradict each other. */
     SETTINGS_ERROR_CONFLICT,
 };
 
-/** Parses the text of a settings file. Returns NULL with a SETTINGS_ERROR, whose message names the
- * first wrong field, or the line and column. Free the settings with settings_free. */
+/** Parses the contents of a settings file. If they are invalid, returns NULL with a SETTINGS_ERROR
+ * whose message names the first invalid field, or the line and column of a syntax error. The caller
+ * frees the settings with settings_free. */
 struct settings *settings_parse(const char *toml, GError **error);
 
-/** The same for a file; the message begins with its path. */
+/** Reads a settings file and parses it as settings_parse does. Error messages begin with the path.
+ */
 struct settings *settings_load(const char *path, GError **error);
 
+/** Frees the settings. */
 void settings_free(struct settings *settings);
 
-/** How large one HTTP response may be. Parsed, it takes several times its size, so this is a
- * fraction of the memory that the node may use. */
+/** Returns the maximum size of an HTTP response. It is a fraction of the memory that the node may
+ * use, because a parsed response takes several times its size. */
 size_t settings_max_response_bytes(const struct settings *settings);
 
-/** The index of a team in `teams`, or -1. */
+/** Returns the index in `teams` of the team with this name, or -1 if there is none. */
 int settings_find_team(const struct settings *settings, const char *name);
 
 #endif
--- a/src/config/settings_reader.c
+++ b/src/config/settings_reader.c
@@ -1,4 +1,4 @@
-/** Fields of the settings file with their checks. */
+/** Reads fields of the settings file and validates them. */
 #include "settings_reader.h"
 
 #include "address.h"
--- a/src/config/toml_reader.cpp
+++ b/src/config/toml_reader.cpp
@@ -1,4 +1,4 @@
-/** TOML by toml++. */
+/** Conversion of TOML to JSON with the toml++ library. */
 #include "toml_reader.h"
 
 #include <cstdio>
--- a/src/config/toml_reader.h
+++ b/src/config/toml_reader.h
@@ -1,6 +1,7 @@
 /** Conversion of TOML to JSON.
  *
- * It is in C++ for the library toml++; the rest of the program reads JSON with json-c. */
+ * The implementation is in C++ because the toml++ library is. The rest of the program reads JSON
+ * with json-c. */
 #ifndef LL_TOML_READER_H
 #define LL_TOML_READER_H
 
@@ -8,8 +9,9 @@
 extern "C" {
 #endif
 
-/** Returns JSON text, to be freed with free(). If the text is not TOML, returns NULL and writes a
- * message that names line and column to `error`, cut off to `error_size` bytes with its NUL. */
+/** Converts a TOML document to JSON, which the caller frees with free(). If the document is not
+ * valid TOML, returns NULL and writes a message that names the line and column to `error`,
+ * truncated to `error_size` bytes including the terminating NUL. */
 char *toml_read_json(const char *toml, char *error, unsigned error_size);
 
 #ifdef __cplusplus
