--- a/src/config/policy.c
+++ b/src/config/policy.c
@@ -62,8 +62,8 @@
     struct policy *policy = NULL;
     if (g_file_get_contents(path, &text, &length_bytes, error)) {
         if (length_bytes > MAX_POLICY_BYTES)
-            g_set_error(error, POLICY_ERROR, POLICY_ERROR_SIZE, "is larger than %d KiB",
-                        MAX_POLICY_KIB);
+            g_set_error(error, POLICY_ERROR, POLICY_ERROR_SIZE,
+                        "the file is larger than the maximum of %d KiB", MAX_POLICY_KIB);
         else
             policy = policy_parse(text, error);
     }
--- a/src/config/policy_expression_parser.c
+++ b/src/config/policy_expression_parser.c
@@ -78,7 +78,7 @@
 {
     if (policy_lexer_accept_word(parser->lexer, word))
         return true;
-    policy_lexer_fail(parser->lexer, parser->lexer->position, POLICY_ERROR_SYNTAX, "expected %s",
+    policy_lexer_fail(parser->lexer, parser->lexer->position, POLICY_ERROR_SYNTAX, "expected '%s'",
                       word);
     return false;
 }
@@ -103,7 +103,7 @@
 static struct policy_expression *parse_parentheses(struct expression_parser *parser)
 {
     struct policy_expression *expression = parse_disjunction(parser);
-    if (expression && !expect_symbol(parser, ")", ")")) {
+    if (expression && !expect_symbol(parser, ")", "')'")) {
         policy_expression_free(expression);
         return NULL;
     }
@@ -121,12 +121,12 @@
 static struct policy_expression *parse_min_max(struct expression_parser *parser,
                                                enum policy_operation operation)
 {
-    if (!expect_symbol(parser, "(", "("))
+    if (!expect_symbol(parser, "(", "'('"))
         return NULL;
     struct policy_expression *left = parse_number_argument(parser), *right = NULL;
-    if (left && expect_symbol(parser, ",", "a comma"))
+    if (left && expect_symbol(parser, ",", "','"))
         right = parse_number_argument(parser);
-    if (!right || !expect_symbol(parser, ")", ")")) {
+    if (!right || !expect_symbol(parser, ")", "')'")) {
         policy_expression_free(left);
         policy_expression_free(right);
         return NULL;
@@ -163,11 +163,13 @@
     enum policy_input input;
     if (!policy_schema_find_input(name, name_length, &input)) {
         policy_lexer_fail(lexer, name, POLICY_ERROR_UNKNOWN_NAME,
-                          "expected a value; %.*s is no input", (int)name_length, name);
+                          "expected a value, found the unknown name '%.*s'", (int)name_length,
+                          name);
         return NULL;
     }
     if (!policy_setting_allows_input(parser->setting, input)) {
-        policy_lexer_fail(lexer, name, POLICY_ERROR_UNKNOWN_NAME, "%s is not known in this setting",
+        policy_lexer_fail(lexer, name, POLICY_ERROR_UNKNOWN_NAME,
+                          "the input '%s' is not available in this setting",
                           policy_schema_get_input(input)->name);
         return NULL;
     }
@@ -221,7 +223,8 @@
     struct policy_lexer *lexer = parser->lexer;
     const char *where = policy_lexer_next_token(lexer);
     if (parser->nesting == MAX_NESTING) {
-        policy_lexer_fail(lexer, where, POLICY_ERROR_NESTING, "nested too deep");
+        policy_lexer_fail(lexer, where, POLICY_ERROR_NESTING,
+                          "the expression is nested too deeply");
         return NULL;
     }
     parser->nesting++;
--- a/src/config/policy_lexer.c
+++ b/src/config/policy_lexer.c
@@ -108,7 +108,7 @@
     char *end = NULL;
     *number = g_ascii_strtod(start, &end);
     if (end == start || is_name_char(*end) || !isfinite(*number)) {
-        policy_lexer_fail(lexer, start, POLICY_ERROR_SYNTAX, "expected a number");
+        policy_lexer_fail(lexer, start, POLICY_ERROR_SYNTAX, "expected a finite number");
         return false;
     }
     lexer->position = end;
@@ -122,7 +122,7 @@
     const char *end = start + strcspn(start, "\"\n");
     if (*end != '"') {
         policy_lexer_fail(lexer, opening_quote, POLICY_ERROR_SYNTAX,
-                          "expected a closing quotation mark");
+                          "expected a closing quotation mark before the end of the line");
         return NULL;
     }
     lexer->position = end + 1;
--- a/src/config/policy_parser.c
+++ b/src/config/policy_parser.c
@@ -15,10 +15,12 @@
     if (name_length == 0)
         policy_lexer_fail(lexer, name, POLICY_ERROR_SYNTAX, "expected the name of a setting");
     else if (!policy_schema_find_setting(name, name_length, setting))
-        policy_lexer_fail(lexer, name, POLICY_ERROR_UNKNOWN_NAME, "%.*s is no setting",
+        policy_lexer_fail(lexer, name, POLICY_ERROR_UNKNOWN_NAME,
+                          "expected the name of a setting, found the unknown name '%.*s'",
                           (int)name_length, name);
     else if (settings[*setting])
-        policy_lexer_fail(lexer, name, POLICY_ERROR_DUPLICATE_SETTING, "%s is set twice",
+        policy_lexer_fail(lexer, name, POLICY_ERROR_DUPLICATE_SETTING,
+                          "expected each setting at most once, found '%s' again",
                           policy_schema_get_setting(*setting)->name);
     lexer->position += name_length;
     return !lexer->error;
@@ -32,7 +34,7 @@
         return;
     /* For "==" the error is reported at the second "=". */
     if (!policy_lexer_accept_symbol(lexer, "=") || *lexer->position == '=') {
-        policy_lexer_fail(lexer, lexer->position, POLICY_ERROR_SYNTAX, "expected =");
+        policy_lexer_fail(lexer, lexer->position, POLICY_ERROR_SYNTAX, "expected '='");
         return;
     }
     settings[setting] = policy_expression_parse(lexer, policy_schema_get_setting(setting));
--- a/src/config/policy_schema.c
+++ b/src/config/policy_schema.c
@@ -21,8 +21,8 @@
 
 static const char *const type_names[] = {
     [POLICY_TYPE_NUMBER] = "a number",
-    [POLICY_TYPE_STRING] = "a text",
-    [POLICY_TYPE_BOOLEAN] = "true or false",
+    [POLICY_TYPE_STRING] = "a string",
+    [POLICY_TYPE_BOOLEAN] = "a boolean",
 };
 
 static const struct policy_input_definition inputs[POLICY_INPUT_COUNT] = {
--- a/src/config/settings.c
+++ b/src/config/settings.c
@@ -123,10 +123,10 @@
         sibling.endpoint = settings_reader_get_address(reader, object, "endpoint");
         if (strcmp(sibling.label, settings->label) == 0)
             settings_reader_fail(reader, SETTINGS_ERROR_CONFLICT, "siblings.label",
-                                 "names this node itself");
+                                 "must not be the label of this node itself");
         if (has_sibling(settings, sibling.label))
             settings_reader_fail(reader, SETTINGS_ERROR_CONFLICT, "siblings.label",
-                                 "appears twice");
+                                 "must be unique, but appears twice");
         g_array_append_val(settings->siblings, sibling);
     }
 }
@@ -151,7 +151,8 @@
         g_ptr_array_add(settings->zones, g_strdup(json_object_get_string(zone)));
     }
     if (settings->zones->len == 0)
-        settings_reader_fail(reader, SETTINGS_ERROR_MISSING, "deployment.zones", "missing");
+        settings_reader_fail(reader, SETTINGS_ERROR_MISSING, "deployment.zones",
+                             "must contain at least one zone");
     settings->clock_error_ms =
         settings_reader_get_number(reader, root, "deployment.clock_error_ms", &CLOCK_ERROR_MS);
 }
@@ -168,20 +169,21 @@
 {
     if (settings_find_team(settings, team->name) >= 0)
         settings_reader_fail(reader, SETTINGS_ERROR_CONFLICT, "deployment.teams.name",
-                             "appears twice");
+                             "must be unique, but appears twice");
     if (team->cpus.milli > team->cpus_max.milli)
         settings_reader_fail(reader, SETTINGS_ERROR_CONFLICT, "deployment.teams.cpus",
-                             "is more than cpus_max");
+                             "must be at most cpus_max");
     if (team->gpus.milli > team->gpus_max.milli)
         settings_reader_fail(reader, SETTINGS_ERROR_CONFLICT, "deployment.teams.gpus",
-                             "is more than gpus_max");
+                             "must be at most gpus_max");
 }
 
 static void read_teams(struct settings_reader *reader, struct settings *settings, json_object *root)
 {
     json_object *list = settings_reader_get_list(reader, root, "deployment.teams");
     if (!list || json_object_array_length(list) == 0)
-        settings_reader_fail(reader, SETTINGS_ERROR_MISSING, "deployment.teams", "missing");
+        settings_reader_fail(reader, SETTINGS_ERROR_MISSING, "deployment.teams",
+                             "must contain at least one team");
     for (size_t i = 0; list && i < json_object_array_length(list); i++) {
         json_object *object = json_object_array_get_idx(list, i);
         struct team team = {0};
@@ -309,13 +311,13 @@
         return;
     if (settings->cancel_timeout_s <= settings->lease_s)
         settings_reader_fail(reader, SETTINGS_ERROR_CONFLICT, "deployment.workers.cancel_s",
-                             "must be more than lease_s");
+                             "must be greater than lease_s");
     if (settings->lease_s <= settings->heartbeat_interval_s)
         settings_reader_fail(reader, SETTINGS_ERROR_CONFLICT, "deployment.workers.lease_s",
-                             "must be more than report_s");
+                             "must be greater than report_s");
     if ((int)settings->siblings->len + 1 != settings->node_count)
         settings_reader_fail(reader, SETTINGS_ERROR_CONFLICT, "deployment.size",
-                             "does not match the number of siblings");
+                             "must be the number of siblings plus one");
 }
 
 /* ---- the whole file ---- */
@@ -355,7 +357,7 @@
     free(json);
     if (!root) {
         g_set_error_literal(error, SETTINGS_ERROR, SETTINGS_ERROR_SYNTAX,
-                            "holds numbers that cannot be read");
+                            "the file contains a number that cannot be read");
         return NULL;
     }
     struct settings *settings = read_settings(root, error);
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -109,8 +109,7 @@
  * frees the settings with settings_free. */
 struct settings *settings_parse(const char *toml, GError **error);
 
-/** Reads a settings file and parses it as settings_parse does. Error messages begin with the path.
- */
+/** Reads and parses a settings file, as settings_parse does. Error messages begin with its path. */
 struct settings *settings_load(const char *path, GError **error);
 
 /** Frees the settings. */
--- a/src/config/settings_reader.c
+++ b/src/config/settings_reader.c
@@ -36,11 +36,11 @@
 {
     json_object *value = settings_reader_find(object, path);
     if (!value) {
-        settings_reader_fail(reader, SETTINGS_ERROR_MISSING, path, "missing");
+        settings_reader_fail(reader, SETTINGS_ERROR_MISSING, path, "is required but missing");
         return g_strdup("");
     }
     if (!json_object_is_type(value, json_type_string) || json_object_get_string_len(value) == 0) {
-        settings_reader_fail(reader, SETTINGS_ERROR_TYPE, path, "must be a text that is not empty");
+        settings_reader_fail(reader, SETTINGS_ERROR_TYPE, path, "must be a non-empty string");
         return g_strdup("");
     }
     return g_strdup(json_object_get_string(value));
@@ -63,7 +63,7 @@
 {
     json_object *value = settings_reader_find(object, path);
     if (!value) {
-        settings_reader_fail(reader, SETTINGS_ERROR_MISSING, path, "missing");
+        settings_reader_fail(reader, SETTINGS_ERROR_MISSING, path, "is required but missing");
         return rule->min;
     }
     if (!json_object_is_type(value, json_type_double) &&
@@ -73,12 +73,12 @@
     }
     double number = json_object_get_double(value);
     if (!isfinite(number) || number < rule->min || number > rule->max) {
-        settings_reader_fail(reader, SETTINGS_ERROR_RANGE, path, "must be between %g and %g",
-                             rule->min, rule->max);
+        settings_reader_fail(reader, SETTINGS_ERROR_RANGE, path,
+                             "must be a number between %g and %g", rule->min, rule->max);
         return rule->min;
     }
     if (rule->must_be_integer && number != floor(number)) {
-        settings_reader_fail(reader, SETTINGS_ERROR_TYPE, path, "must be a whole number");
+        settings_reader_fail(reader, SETTINGS_ERROR_TYPE, path, "must be an integer");
         return rule->min;
     }
     return number;
@@ -89,7 +89,7 @@
 {
     json_object *value = settings_reader_find(object, path);
     if (value && !json_object_is_type(value, json_type_array)) {
-        settings_reader_fail(reader, SETTINGS_ERROR_TYPE, path, "must be a list");
+        settings_reader_fail(reader, SETTINGS_ERROR_TYPE, path, "must be an array");
         return NULL;
     }
     return value;
