--- a/src/config/policy_parser.c
+++ b/src/config/policy_parser.c
@@ -5,7 +5,8 @@
 
 #include "policy_expression_parser.h"
 
-/** Reads the name of a setting that has no expression yet. Returns false after an error. */
+/** Parses the name of a setting, which must not have an expression yet. Returns false after an
+ * error. */
 static bool parse_setting_name(struct policy_lexer *lexer, struct policy_expression **settings,
                                enum policy_setting *setting)
 {
@@ -14,24 +15,26 @@
     if (name_length == 0)
         policy_lexer_fail(lexer, name, POLICY_ERROR_SYNTAX, "expected the name of a setting");
     else if (!policy_schema_find_setting(name, name_length, setting))
-        policy_lexer_fail(lexer, name, POLICY_ERROR_UNKNOWN_NAME, "%.*s is no setting",
+        policy_lexer_fail(lexer, name, POLICY_ERROR_UNKNOWN_NAME,
+                          "expected the name of a setting, found the unknown name '%.*s'",
                           (int)name_length, name);
     else if (settings[*setting])
-        policy_lexer_fail(lexer, name, POLICY_ERROR_DUPLICATE_SETTING, "%s is set twice",
+        policy_lexer_fail(lexer, name, POLICY_ERROR_DUPLICATE_SETTING,
+                          "expected each setting at most once, found '%s' again",
                           policy_schema_get_setting(*setting)->name);
     lexer->position += name_length;
     return !lexer->error;
 }
 
-/** Parses setting "=" expression, up to the end of the line. */
+/** Parses a line of the form setting "=" expression, without its line end. */
 static void parse_line(struct policy_lexer *lexer, struct policy_expression **settings)
 {
-    enum policy_setting setting = POLICY_SETTINGS;
+    enum policy_setting setting = POLICY_SETTING_COUNT;
     if (!parse_setting_name(lexer, settings, &setting))
         return;
-    /* "==" is reported as what follows the first "=". */
+    /* For "==" the error is reported at the second "=". */
     if (!policy_lexer_accept_symbol(lexer, "=") || *lexer->position == '=') {
-        policy_lexer_fail(lexer, lexer->position, POLICY_ERROR_SYNTAX, "expected =");
+        policy_lexer_fail(lexer, lexer->position, POLICY_ERROR_SYNTAX, "expected '='");
         return;
     }
     settings[setting] = policy_expression_parse(lexer, policy_schema_get_setting(setting));
--- a/src/config/settings.c
+++ b/src/config/settings.c
@@ -8,15 +8,16 @@
 #include <stdlib.h>
 
 enum {
-    /** Longer messages of the TOML parser are cut off. */
+    /** Longer messages of the TOML parser are truncated. */
     MAX_TOML_ERROR_BYTES = 256,
     BYTES_PER_MB = 1024 * 1024,
-    /** An HTTP response may take this fraction of the memory. */
-    MEMORY_PER_RESPONSE = 8,
+    /** An HTTP response may be as large as the memory limit divided by this number. */
+    RESPONSE_MEMORY_DIVISOR = 8,
     MILLI_PER_UNIT = 1000,
 };
 
-/** Quotas such as 0.3 are not exact in binary, and must not be rounded down to 299 milli. */
+/** Quotas such as 0.3 have no exact binary representation; without this tolerance 0.3 could be
+ * rounded down to 299 milli. */
 static const double ROUNDING_TOLERANCE_MILLI = 1e-6;
 
 static const struct number_rule NODE_COUNT = {1, 1000, true};
@@ -38,7 +39,7 @@
 
 G_DEFINE_QUARK(linenlanding_settings_error, settings_error)
 
-/* ---- lifetime ---- */
+/* ---- creation and release ---- */
 
 static void clear_sibling(gpointer data)
 {
@@ -92,12 +93,12 @@
     g_free(settings);
 }
 
-/* ---- the node, its siblings and the services outside ---- */
+/* ---- the node, its siblings and the external services ---- */
 
 static void read_node(struct settings_reader *reader, struct settings *settings, json_object *root)
 {
-    settings->label = settings_reader_get_text(reader, root, "label");
-    settings->zone = settings_reader_get_text(reader, root, "domain");
+    settings->label = settings_reader_get_string(reader, root, "label");
+    settings->zone = settings_reader_get_string(reader, root, "domain");
     settings->api_address = settings_reader_get_address(reader, root, "api_addr");
     settings->rpc_address = settings_reader_get_address(reader, root, "back");
 }
@@ -117,21 +118,21 @@
     for (size_t i = 0; list && i < json_object_array_length(list); i++) {
         json_object *object = json_object_array_get_idx(list, i);
         struct sibling sibling = {0};
-        sibling.label = settings_reader_get_text(reader, object, "label");
-        sibling.zone = settings_reader_get_text(reader, object, "domain");
+        sibling.label = settings_reader_get_string(reader, object, "label");
+        sibling.zone = settings_reader_get_string(reader, object, "domain");
         sibling.endpoint = settings_reader_get_address(reader, object, "endpoint");
         if (strcmp(sibling.label, settings->label) == 0)
             settings_reader_fail(reader, SETTINGS_ERROR_CONFLICT, "siblings.label",
-                                 "names this node itself");
+                                 "must not be the label of this node itself");
         if (has_sibling(settings, sibling.label))
             settings_reader_fail(reader, SETTINGS_ERROR_CONFLICT, "siblings.label",
-                                 "appears twice");
+                                 "must be unique, but appears twice");
         g_array_append_val(settings->siblings, sibling);
     }
 }
 
-static void read_services(struct settings_reader *reader, struct settings *settings,
-                          json_object *root)
+static void read_service_addresses(struct settings_reader *reader, struct settings *settings,
+                                   json_object *root)
 {
     settings->cloud_address = settings_reader_get_address(reader, root, "outside.cloud");
     settings->kv_address = settings_reader_get_address(reader, root, "outside.state");
@@ -150,12 +151,13 @@
         g_ptr_array_add(settings->zones, g_strdup(json_object_get_string(zone)));
     }
     if (settings->zones->len == 0)
-        settings_reader_fail(reader, SETTINGS_ERROR_MISSING, "deployment.zones", "missing");
+        settings_reader_fail(reader, SETTINGS_ERROR_MISSING, "deployment.zones",
+                             "must contain at least one zone");
     settings->clock_error_ms =
         settings_reader_get_number(reader, root, "deployment.clock_error_ms", &CLOCK_ERROR_MS);
 }
 
-/** Reads a quota. It is rounded down, while what tasks request is rounded up. */
+/** Reads a quota. Quotas are rounded down, whereas what tasks request is rounded up. */
 static amount read_quota(struct settings_reader *reader, json_object *object, const char *path)
 {
     double quota = settings_reader_get_number(reader, object, path, &QUOTA);
@@ -167,24 +169,25 @@
 {
     if (settings_find_team(settings, team->name) >= 0)
         settings_reader_fail(reader, SETTINGS_ERROR_CONFLICT, "deployment.teams.name",
-                             "appears twice");
+                             "must be unique, but appears twice");
     if (team->cpus.milli > team->cpus_max.milli)
         settings_reader_fail(reader, SETTINGS_ERROR_CONFLICT, "deployment.teams.cpus",
-                             "is more than cpus_max");
+                             "must be at most cpus_max");
     if (team->gpus.milli > team->gpus_max.milli)
         settings_reader_fail(reader, SETTINGS_ERROR_CONFLICT, "deployment.teams.gpus",
-                             "is more than gpus_max");
+                             "must be at most gpus_max");
 }
 
 static void read_teams(struct settings_reader *reader, struct settings *settings, json_object *root)
 {
     json_object *list = settings_reader_get_list(reader, root, "deployment.teams");
     if (!list || json_object_array_length(list) == 0)
-        settings_reader_fail(reader, SETTINGS_ERROR_MISSING, "deployment.teams", "missing");
+        settings_reader_fail(reader, SETTINGS_ERROR_MISSING, "deployment.teams",
+                             "must contain at least one team");
     for (size_t i = 0; list && i < json_object_array_length(list); i++) {
         json_object *object = json_object_array_get_idx(list, i);
         struct team team = {0};
-        team.name = settings_reader_get_text(reader, object, "name");
+        team.name = settings_reader_get_string(reader, object, "name");
         team.cpus = read_quota(reader, object, "cpus");
         team.cpus_max = read_quota(reader, object, "cpus_max");
         team.gpus = read_quota(reader, object, "gpus");
@@ -196,7 +199,7 @@
 
 static enum objective_kind read_objective_kind(struct settings_reader *reader, json_object *object)
 {
-    char *name = settings_reader_get_text(reader, object, "kind");
+    char *name = settings_reader_get_string(reader, object, "kind");
     enum objective_kind kind = OBJECTIVE_OTHER;
     if (strcmp(name, "wait") == 0)
         kind = OBJECTIVE_WAIT;
@@ -208,7 +211,7 @@
     return kind;
 }
 
-/** Objectives of unknown kinds, and those that are not of a job class, are ignored. */
+/** Reads the objectives. Those of an unknown kind or without a job class are ignored. */
 static void read_objectives(struct settings_reader *reader, struct settings *settings,
                             json_object *root)
 {
@@ -218,7 +221,7 @@
         struct objective objective = {.kind = read_objective_kind(reader, object)};
         if (objective.kind == OBJECTIVE_OTHER || !settings_reader_find(object, "class"))
             continue;
-        objective.class = settings_reader_get_text(reader, object, "class");
+        objective.class = settings_reader_get_string(reader, object, "class");
         if (objective.kind != OBJECTIVE_DEADLINE)
             objective.within_s =
                 settings_reader_get_number(reader, object, "within_s", &OBJECTIVE_S);
@@ -241,11 +244,12 @@
         settings_reader_get_number(reader, root, "deployment.workers.cancel_s", &CANCEL_TIMEOUT_S);
 }
 
-/** A table of limits of the key-value service. */
+/** A table of the settings file that contains limits of the key-value service. */
 struct kv_limits_table {
     json_object *root;
     const char *path;
-    /** Whether a field that is missing has the value that it is read over. */
+    /** If set, the limit of a missing field keeps the value it had; otherwise a missing field is an
+     * error. */
     bool has_defaults;
 };
 
@@ -272,9 +276,9 @@
 static void read_kv_service(struct settings_reader *reader, struct settings *settings,
                             json_object *root)
 {
-    const struct kv_limits_table now = {root, "deployment.state", false};
+    const struct kv_limits_table current = {root, "deployment.state", false};
     const struct kv_limits_table next = {root, "deployment.state.next", true};
-    read_kv_limits(reader, &now, &settings->kv_limits);
+    read_kv_limits(reader, &current, &settings->kv_limits);
     settings->kv_limits_next = settings->kv_limits;
     if (settings_reader_has_table(reader, root, next.path))
         read_kv_limits(reader, &next, &settings->kv_limits_next);
@@ -299,32 +303,33 @@
         reader, root, "deployment.machine_limits.fd_limit", &OPEN_FILES);
 }
 
-/** Checks fields against one another, once each is right by itself. */
+/** Checks that the fields are consistent with each other. Does nothing after an error, because the
+ * fields are then not all valid. */
 static void check_consistency(struct settings_reader *reader, const struct settings *settings)
 {
     if (reader->error)
         return;
     if (settings->cancel_timeout_s <= settings->lease_s)
         settings_reader_fail(reader, SETTINGS_ERROR_CONFLICT, "deployment.workers.cancel_s",
-                             "must be more than lease_s");
+                             "must be greater than lease_s");
     if (settings->lease_s <= settings->heartbeat_interval_s)
         settings_reader_fail(reader, SETTINGS_ERROR_CONFLICT, "deployment.workers.lease_s",
-                             "must be more than report_s");
+                             "must be greater than report_s");
     if ((int)settings->siblings->len + 1 != settings->node_count)
         settings_reader_fail(reader, SETTINGS_ERROR_CONFLICT, "deployment.size",
-                             "does not match the number of siblings");
+                             "must be the number of siblings plus one");
 }
 
 /* ---- the whole file ---- */
 
-/** The order in which the parts are read decides which error is reported. */
+/** Reads all tables. Only the first error is reported, so it depends on the order of the calls. */
 static struct settings *read_settings(json_object *root, GError **error)
 {
     struct settings_reader reader = {0};
     struct settings *settings = settings_new();
     read_node(&reader, settings, root);
     read_siblings(&reader, settings, root);
-    read_services(&reader, settings, root);
+    read_service_addresses(&reader, settings, root);
     read_cluster(&reader, settings, root);
     read_teams(&reader, settings, root);
     read_objectives(&reader, settings, root);
@@ -352,7 +357,7 @@
     free(json);
     if (!root) {
         g_set_error_literal(error, SETTINGS_ERROR, SETTINGS_ERROR_SYNTAX,
-                            "holds numbers that cannot be read");
+                            "the file contains a number that cannot be read");
         return NULL;
     }
     struct settings *settings = read_settings(root, error);
@@ -374,7 +379,7 @@
 
 size_t settings_max_response_bytes(const struct settings *settings)
 {
-    return (size_t)(settings->ram_mb * BYTES_PER_MB / MEMORY_PER_RESPONSE);
+    return (size_t)(settings->ram_mb * BYTES_PER_MB / RESPONSE_MEMORY_DIVISOR);
 }
 
 int settings_find_team(const struct settings *settings, const char *name)
--- a/tests/test_policy.c
+++ b/tests/test_policy.c
@@ -17,7 +17,7 @@
 /** The value of a numeric expression, where used_cpus is 10 and peak_cpus is 40. */
 static double evaluate_number(const char *expression)
 {
-    struct policy_value value[POLICY_INPUTS] = {0};
+    struct policy_value value[POLICY_INPUT_COUNT] = {0};
     value[INPUT_USED_CPUS].number = 10;
     value[INPUT_PEAK_CPUS].number = 40;
     char *text = g_strdup_printf("spare_cpus = %s", expression);
@@ -25,7 +25,7 @@
     struct policy *policy = policy_parse(text, &error);
     if (!policy)
         fail_msg("%s", error->message);
-    double result = policy_number(policy, POLICY_SPARE_CPUS, value);
+    double result = policy_evaluate_number(policy, POLICY_SPARE_CPUS, value);
     policy_free(policy);
     g_free(text);
     return result;
@@ -34,15 +34,15 @@
 /** The value of a boolean expression, where team is "red" and priority is "high". */
 static bool evaluate_flag(const char *expression)
 {
-    struct policy_value value[POLICY_INPUTS] = {0};
-    value[INPUT_TEAM].text = "red";
-    value[INPUT_PRIORITY].text = "high";
+    struct policy_value value[POLICY_INPUT_COUNT] = {0};
+    value[INPUT_TEAM].string = "red";
+    value[INPUT_PRIORITY].string = "high";
     char *text = g_strdup_printf("# who may\npreempt = %s # end\n", expression);
     GError *error = NULL;
     struct policy *policy = policy_parse(text, &error);
     if (!policy)
         fail_msg("%s", error->message);
-    bool result = policy_flag(policy, POLICY_PREEMPT, value);
+    bool result = policy_evaluate_boolean(policy, POLICY_PREEMPT, value);
     policy_free(policy);
     g_free(text);
     return result;
@@ -351,11 +351,11 @@
     (void)state;
     GError *error = NULL;
     struct policy *policy = policy_parse("idle_s = if spot then 20 else 90\n", &error);
-    struct policy_value value[POLICY_INPUTS] = {0};
-    value[INPUT_SPOT].flag = true;
+    struct policy_value value[POLICY_INPUT_COUNT] = {0};
+    value[INPUT_SPOT].boolean = true;
     value[INPUT_PEAK_CPUS].number = 100;
-    assert_true(policy_number(policy, POLICY_IDLE_S, value) == 20);
-    assert_true(policy_number(policy, POLICY_SPARE_CPUS, value) == 12);
+    assert_true(policy_evaluate_number(policy, POLICY_IDLE_S, value) == 20);
+    assert_true(policy_evaluate_number(policy, POLICY_SPARE_CPUS, value) == 12);
     policy_free(policy);
 }
 
