--- a/tests/test_http.c
+++ b/tests/test_http.c
@@ -253,8 +253,8 @@
         const char *text, *message_part;
     } cases[] = {
         {"label = ", "line 1"},
-        {"", "label: missing"},
-        {"label = 3", "label: must be a text"},
+        {"", "label: is required but missing"},
+        {"label = 3", "label: must be a non-empty string"},
         {"label = \"a\"\ndomain = \"z\"\napi_addr = \"here\"", "api_addr: must be an address"},
         {"label = \"a\"\ndomain = \"z\"\napi_addr = \"10.0.0.1:80800\"",
          "api_addr: must be an address"},
--- a/tests/test_policy.c
+++ b/tests/test_policy.c
@@ -107,121 +107,131 @@
 {
     (void)state;
     expect_error("spare_cpus = 1 +", "line 1, column 17: expected a value");
-    expect_error("\nidle_s = true", "line 2, column 10: expected a number, found true or false");
-    expect_error("preempt = team", "expected true or false, found a text");
-    expect_error("preempt = team == 3", "column 19: expected a text, found a number");
+    expect_error("\nidle_s = true", "line 2, column 10: expected a number, found a boolean");
+    expect_error("preempt = team", "expected a boolean, found a string");
+    expect_error("preempt = team == 3", "column 19: expected a string, found a number");
     expect_error("idle_s = 3 4", "column 12: expected the end of the line");
-    expect_error("idle_s = backlog_s", "backlog_s is not known in this setting");
-    expect_error("idle_s = colour", "colour is no input");
-    expect_error("idle = 3", "line 1, column 1: idle is no setting");
-    expect_error("idle_s = 3\nidle_s = 4", "line 2, column 1: idle_s is set twice");
-    expect_error("idle_s 3", "expected =");
-    expect_error("idle_s = (3", "expected )");
-    expect_error("preempt = team == \"red", "expected a closing quotation mark");
-    expect_error("idle_s = if spot then 3", "expected else");
-    expect_error("idle_s = 3x", "expected a number");
+    expect_error("idle_s = backlog_s", "the input 'backlog_s' is not available in this setting");
+    expect_error("idle_s = colour", "expected a value, found the unknown name 'colour'");
+    expect_error("idle = 3",
+                 "line 1, column 1: expected the name of a setting, found the unknown name 'idle'");
+    expect_error("idle_s = 3\nidle_s = 4",
+                 "line 2, column 1: expected each setting at most once, found 'idle_s' again");
+    expect_error("idle_s 3", "expected '='");
+    expect_error("idle_s = (3", "expected ')'");
+    expect_error("preempt = team == \"red",
+                 "expected a closing quotation mark before the end of the line");
+    expect_error("idle_s = if spot then 3", "expected 'else'");
+    expect_error("idle_s = 3x", "expected a finite number");
     char deep[400];
     memset(deep, '(', sizeof deep);
     memcpy(deep, "idle_s = ", 9);
     deep[sizeof deep - 1] = 0;
-    expect_error(deep, "nested too deep");
+    expect_error(deep, "the expression is nested too deeply");
 }
 
 static const struct {
     const char *text, *message;
 } error_cases[] = {
     {"spare_cpus = 1 +", "line 1, column 17: expected a value"},
-    {"\nidle_s = true", "line 2, column 10: expected a number, found true or false"},
-    {"preempt = team", "line 1, column 11: expected true or false, found a text"},
-    {"preempt = team == 3", "line 1, column 19: expected a text, found a number"},
+    {"\nidle_s = true", "line 2, column 10: expected a number, found a boolean"},
+    {"preempt = team", "line 1, column 11: expected a boolean, found a string"},
+    {"preempt = team == 3", "line 1, column 19: expected a string, found a number"},
     {"idle_s = 3 4", "line 1, column 12: expected the end of the line"},
-    {"idle_s = backlog_s", "line 1, column 10: backlog_s is not known in this setting"},
-    {"idle_s = colour", "line 1, column 10: expected a value; colour is no input"},
-    {"idle = 3", "line 1, column 1: idle is no setting"},
-    {"idle_s = 3\nidle_s = 4", "line 2, column 1: idle_s is set twice"},
-    {"idle_s 3", "line 1, column 8: expected ="},
-    {"idle_s == 3", "line 1, column 9: expected ="},
-    {"idle_s = (3", "line 1, column 12: expected )"},
-    {"preempt = team == \"red", "line 1, column 19: expected a closing quotation mark"},
-    {"preempt = team == \"red\n\"", "line 1, column 19: expected a closing quotation mark"},
-    {"idle_s = if spot then 3", "line 1, column 24: expected else"},
-    {"idle_s = if spot 3", "line 1, column 18: expected then"},
-    {"idle_s = if 3 then 3 else 4", "line 1, column 12: expected true or false, found a number"},
-    {"idle_s = if  3 then 3 else 4", "line 1, column 12: expected true or false, found a number"},
-    {"idle_s = if spot then 3 else true",
-     "line 1, column 30: expected a number, found true or false"},
-    {"idle_s = if spot then 3 else   \"a\"", "line 1, column 32: expected a number, found a text"},
-    {"idle_s = if spot then true else 3",
-     "line 1, column 33: expected true or false, found a number"},
-    {"idle_s = 3x", "line 1, column 10: expected a number"},
-    {"idle_s = 1e400", "line 1, column 10: expected a number"},
-    {"idle_s = .", "line 1, column 10: expected a number"},
-    {"idle_s = min 3", "line 1, column 14: expected ("},
-    {"idle_s = min(3", "line 1, column 15: expected a comma"},
-    {"idle_s = min(3)", "line 1, column 15: expected a comma"},
-    {"idle_s = min(3, 4", "line 1, column 18: expected )"},
-    {"idle_s = min(true, 4)", "line 1, column 14: expected a number, found true or false"},
-    {"idle_s = min(3,  true)", "line 1, column 16: expected a number, found true or false"},
-    {"idle_s = max(\"a\", 4)", "line 1, column 14: expected a number, found a text"},
-    {"idle_s = max(3, 4,5)", "line 1, column 18: expected )"},
-    {"idle_s = - true", "line 1, column 10: expected a number, found true or false"},
+    {"idle_s = backlog_s",
+     "line 1, column 10: the input 'backlog_s' is not available in this setting"},
+    {"idle_s = colour", "line 1, column 10: expected a value, found the unknown name 'colour'"},
+    {"idle = 3", "line 1, column 1: expected the name of a setting, found the unknown name 'idle'"},
+    {"idle_s = 3\nidle_s = 4",
+     "line 2, column 1: expected each setting at most once, found 'idle_s' again"},
+    {"idle_s 3", "line 1, column 8: expected '='"},
+    {"idle_s == 3", "line 1, column 9: expected '='"},
+    {"idle_s = (3", "line 1, column 12: expected ')'"},
+    {"preempt = team == \"red",
+     "line 1, column 19: expected a closing quotation mark before the end of the line"},
+    {"preempt = team == \"red\n\"",
+     "line 1, column 19: expected a closing quotation mark before the end of the line"},
+    {"idle_s = if spot then 3", "line 1, column 24: expected 'else'"},
+    {"idle_s = if spot 3", "line 1, column 18: expected 'then'"},
+    {"idle_s = if 3 then 3 else 4", "line 1, column 12: expected a boolean, found a number"},
+    {"idle_s = if  3 then 3 else 4", "line 1, column 12: expected a boolean, found a number"},
+    {"idle_s = if spot then 3 else true", "line 1, column 30: expected a number, found a boolean"},
+    {"idle_s = if spot then 3 else   \"a\"",
+     "line 1, column 32: expected a number, found a string"},
+    {"idle_s = if spot then true else 3", "line 1, column 33: expected a boolean, found a number"},
+    {"idle_s = 3x", "line 1, column 10: expected a finite number"},
+    {"idle_s = 1e400", "line 1, column 10: expected a finite number"},
+    {"idle_s = .", "line 1, column 10: expected a finite number"},
+    {"idle_s = min 3", "line 1, column 14: expected '('"},
+    {"idle_s = min(3", "line 1, column 15: expected ','"},
+    {"idle_s = min(3)", "line 1, column 15: expected ','"},
+    {"idle_s = min(3, 4", "line 1, column 18: expected ')'"},
+    {"idle_s = min(true, 4)", "line 1, column 14: expected a number, found a boolean"},
+    {"idle_s = min(3,  true)", "line 1, column 16: expected a number, found a boolean"},
+    {"idle_s = max(\"a\", 4)", "line 1, column 14: expected a number, found a string"},
+    {"idle_s = max(3, 4,5)", "line 1, column 18: expected ')'"},
+    {"idle_s = - true", "line 1, column 10: expected a number, found a boolean"},
     {"idle_s = -", "line 1, column 11: expected a value"},
-    {"preempt = not 3", "line 1, column 11: expected true or false, found a number"},
-    {"preempt = not  3", "line 1, column 11: expected true or false, found a number"},
+    {"preempt = not 3", "line 1, column 11: expected a boolean, found a number"},
+    {"preempt = not  3", "line 1, column 11: expected a boolean, found a number"},
     {"preempt = not", "line 1, column 14: expected a value"},
-    {"preempt = 1 and true", "line 1, column 11: expected true or false, found a number"},
-    {"preempt = true and 1", "line 1, column 20: expected true or false, found a number"},
-    {"preempt = true and  1", "line 1, column 21: expected true or false, found a number"},
-    {"preempt = true or 1", "line 1, column 19: expected true or false, found a number"},
-    {"preempt = 1 or true", "line 1, column 11: expected true or false, found a number"},
+    {"preempt = 1 and true", "line 1, column 11: expected a boolean, found a number"},
+    {"preempt = true and 1", "line 1, column 20: expected a boolean, found a number"},
+    {"preempt = true and  1", "line 1, column 21: expected a boolean, found a number"},
+    {"preempt = true or 1", "line 1, column 19: expected a boolean, found a number"},
+    {"preempt = 1 or true", "line 1, column 11: expected a boolean, found a number"},
     {"preempt = true or", "line 1, column 18: expected a value"},
-    {"preempt = team < \"a\"", "line 1, column 11: expected a number, found a text"},
-    {"preempt = true < false", "line 1, column 11: expected a number, found true or false"},
-    {"preempt = true == 3", "line 1, column 19: expected true or false, found a number"},
-    {"preempt = 1 < true", "line 1, column 15: expected a number, found true or false"},
-    {"preempt = 1 <  true", "line 1, column 16: expected a number, found true or false"},
+    {"preempt = team < \"a\"", "line 1, column 11: expected a number, found a string"},
+    {"preempt = true < false", "line 1, column 11: expected a number, found a boolean"},
+    {"preempt = true == 3", "line 1, column 19: expected a boolean, found a number"},
+    {"preempt = 1 < true", "line 1, column 15: expected a number, found a boolean"},
+    {"preempt = 1 <  true", "line 1, column 16: expected a number, found a boolean"},
     {"preempt = 1 < 2 < 3", "line 1, column 17: expected the end of the line"},
     {"preempt = 1 == 2 == 3", "line 1, column 18: expected the end of the line"},
-    {"spare_cpus = true + 1", "line 1, column 14: expected a number, found true or false"},
-    {"spare_cpus = 1 + true", "line 1, column 18: expected a number, found true or false"},
-    {"spare_cpus = 1 * \"x\"", "line 1, column 18: expected a number, found a text"},
+    {"spare_cpus = true + 1", "line 1, column 14: expected a number, found a boolean"},
+    {"spare_cpus = 1 + true", "line 1, column 18: expected a number, found a boolean"},
+    {"spare_cpus = 1 * \"x\"", "line 1, column 18: expected a number, found a string"},
     {"spare_cpus = 1 / ", "line 1, column 18: expected a value"},
-    {"spare_cpus = 1 * team", "line 1, column 18: team is not known in this setting"},
-    {"spare_cpus = spot", "line 1, column 14: spot is not known in this setting"},
+    {"spare_cpus = 1 * team",
+     "line 1, column 18: the input 'team' is not available in this setting"},
+    {"spare_cpus = spot", "line 1, column 14: the input 'spot' is not available in this setting"},
     {"spare_cpus = _x", "line 1, column 14: expected a value"},
     {"3 = 4", "line 1, column 1: expected the name of a setting"},
     {"= 4", "line 1, column 1: expected the name of a setting"},
     {"_idle = 3", "line 1, column 1: expected the name of a setting"},
-    {"idle_s", "line 1, column 7: expected ="},
+    {"idle_s", "line 1, column 7: expected '='"},
     {"idle_s =", "line 1, column 9: expected a value"},
     {"idle_s = # nothing", "line 1, column 19: expected a value"},
     {"idle_s = 3;", "line 1, column 11: expected the end of the line"},
     {"idle_s = 3)", "line 1, column 11: expected the end of the line"},
-    {"preempt = truex", "line 1, column 11: expected a value; truex is no input"},
-    {"preempt = iffy", "line 1, column 11: expected a value; iffy is no input"},
-    {"idle_s = minimum(3)", "line 1, column 10: expected a value; minimum is no input"},
+    {"preempt = truex", "line 1, column 11: expected a value, found the unknown name 'truex'"},
+    {"preempt = iffy", "line 1, column 11: expected a value, found the unknown name 'iffy'"},
+    {"idle_s = minimum(3)",
+     "line 1, column 10: expected a value, found the unknown name 'minimum'"},
     {"idle_s = if spot then\n3 else 4", "line 1, column 22: expected a value"},
-    {"rent_ordinary = cpus > 3", "line 1, column 17: cpus is not known in this setting"},
+    {"rent_ordinary = cpus > 3",
+     "line 1, column 17: the input 'cpus' is not available in this setting"},
     {"rent_ordinary = backlog_s > 3 and zone == \"a\"",
-     "line 1, column 35: zone is not known in this setting"},
+     "line 1, column 35: the input 'zone' is not available in this setting"},
     {"preempt = class == \"x\" or not team != \"y\" and 1 + 2 >= 3 * 4 / -5",
-     "line 1, column 27: expected true or false, found a text"},
-    {"preempt = ((true)", "line 1, column 18: expected )"},
-    {"preempt = (true", "line 1, column 16: expected )"},
+     "line 1, column 27: expected a boolean, found a string"},
+    {"preempt = ((true)", "line 1, column 18: expected ')'"},
+    {"preempt = (true", "line 1, column 16: expected ')'"},
     {"preempt = ()", "line 1, column 12: expected a value"},
     {"preempt = !true", "line 1, column 11: expected a value"},
     {"preempt = true && true", "line 1, column 16: expected the end of the line"},
-    {"preempt = 1 = 1", "line 1, column 11: expected true or false, found a number"},
-    {"idle_s = min(3 4)", "line 1, column 16: expected a comma"},
+    {"preempt = 1 = 1", "line 1, column 11: expected a boolean, found a number"},
+    {"idle_s = min(3 4)", "line 1, column 16: expected ','"},
     {"idle_s = min(,4)", "line 1, column 14: expected a value"},
     {"idle_s = min( 3 , )", "line 1, column 19: expected a value"},
     {"idle_s = + 3", "line 1, column 10: expected a value"},
-    {"preempt = \"a\"", "line 1, column 11: expected true or false, found a text"},
-    {"idle_s = 3 + \"\"", "line 1, column 14: expected a number, found a text"},
+    {"preempt = \"a\"", "line 1, column 11: expected a boolean, found a string"},
+    {"idle_s = 3 + \"\"", "line 1, column 14: expected a number, found a string"},
     {"preempt = team == \"a\" b", "line 1, column 23: expected the end of the line"},
-    {"preempt = spot", "line 1, column 11: spot is not known in this setting"},
-    {"preempt = not spot == true", "line 1, column 15: spot is not known in this setting"},
-    {"idle_s = type", "line 1, column 10: expected a number, found a text"},
+    {"preempt = spot", "line 1, column 11: the input 'spot' is not available in this setting"},
+    {"preempt = not spot == true",
+     "line 1, column 15: the input 'spot' is not available in this setting"},
+    {"idle_s = type", "line 1, column 10: expected a number, found a string"},
 };
 
 /* Compares whole messages, so that a change of their wording or position is noticed. */
@@ -283,11 +293,13 @@
         int times;
         const char *message; /* NULL: the policy is valid */
     } cases[] = {
-        {"idle_s = ", "(", "", 391, "line 1, column 74: nested too deep"},
+        {"idle_s = ", "(", "", 391, "line 1, column 74: the expression is nested too deeply"},
         {"idle_s = ", "-", "1", 63, NULL},
-        {"idle_s = ", "-", "1", 64, "line 1, column 74: nested too deep"},
-        {"idle_s = ", "if true then 1 else ", "1", 70, "line 1, column 1273: nested too deep"},
-        {"preempt = ", "not ", "true", 80, "line 1, column 267: nested too deep"},
+        {"idle_s = ", "-", "1", 64, "line 1, column 74: the expression is nested too deeply"},
+        {"idle_s = ", "if true then 1 else ", "1", 70,
+         "line 1, column 1273: the expression is nested too deeply"},
+        {"preempt = ", "not ", "true", 80,
+         "line 1, column 267: the expression is nested too deeply"},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
         char *text = repeat(cases[i].before, cases[i].part, cases[i].times, cases[i].after);
@@ -324,9 +336,10 @@
         const char *message; /* after the path of the file; NULL: the policy is valid */
     } cases[] = {
         {"idle_s = 3", "", 0, NULL},
-        {"idle = 3", "", 0, "line 1, column 1: idle is no setting"},
+        {"idle = 3", "", 0,
+         "line 1, column 1: expected the name of a setting, found the unknown name 'idle'"},
         {"", "#", 65536, NULL},
-        {"", "#", 65537, "is larger than 64 KiB"},
+        {"", "#", 65537, "the file is larger than the maximum of 64 KiB"},
     };
     for (size_t i = 0; i < G_N_ELEMENTS(cases); i++) {
         char *text = repeat(cases[i].before, cases[i].part, cases[i].times, "");
