--- a/tests/support/rules.h
+++ b/tests/support/rules.h
@@ -1,7 +1,7 @@
 /**
  * Checks the rules of the protocol from the outside: from the responses that users get, and from
  * the tasks that start on machines and leave them. The first few violations of each rule are
- * recorded as strings. test_rules violates each rule deliberately.
+ * recorded as strings. test_world_rules violates each rule deliberately.
  */
 #ifndef LL_TEST_RULES_H
 #define LL_TEST_RULES_H
--- a/tests/transcript.sh
+++ b/tests/transcript.sh
@@ -11,10 +11,10 @@
 # BUILD is "target" unless given; it is built first. JOBS plays run at once (2). TESTS names the tests to play.
 set -eu
 cd "$(dirname "$0")/.."
-TESTS=${TESTS:-"test_world test_scheduling test_troubles test_partitions_and_outages test_restarts
-    test_record_pages test_user_answers test_gap test_combined_leader_changes
-    test_combined_machine_failures test_combined_user_requests test_gangs test_gangs_anew
-    test_gang_failures test_pipeline test_upgrade test_load test_role_pauses test_role_handover
+TESTS=${TESTS:-"test_node_failures test_scheduling test_message_faults test_partitions_and_outages test_restarts
+    test_record_pages test_user_responses test_cancellations_in_outages test_combined_leader_changes
+    test_combined_machine_failures test_combined_user_requests test_gangs test_gang_restarts
+    test_gang_failures test_job_dependencies test_upgrade test_load_fairness test_role_pauses test_role_handover
     test_role_feature_switch test_role_returns"}
 JOBS=${JOBS:-2}
 verb=${1:-check}
