--- a/src/wire/job_codec.c
+++ b/src/wire/job_codec.c
@@ -1,21 +1,25 @@
-/** Codec of the user protocol: see job_codec.h. */
+/** Codec of the protocol of users: see job_codec.h. */
 #include "job_codec.h"
 #include "protocol_words.h"
 
 #include <stdlib.h>
 
 enum {
+    /** The limit applies before duplicates are removed. */
     MAX_DEPENDENCIES = 100,
     MAX_TASKS = 100000,
-    MAX_NAME_CHARS = 200,
-    MAX_MACHINE_TYPE_NAMES = 64,
-    MAX_MACHINE_TYPE_NAME_CHARS = 100,
+    MAX_NAME_BYTES = 200,
+    MAX_MACHINE_TYPES = 64,
+    MAX_MACHINE_TYPE_NAME_BYTES = 100,
 };
 
-static const double MAX_NUMBER = 1e9;
+/** Sizes in GB and times in seconds must be less than this. */
+static const double SIZE_AND_TIME_LIMIT = 1e9;
 
-/** Names in the protocol, indexed by enum job_form and by enum job_priority. */
+/** Values in the protocol, indexed by enum job_form. The protocol calls an array job a sweep, and a
+ * service a daemon. */
 static const char *const form_names[] = {"sweep", "gang", "daemon"};
+/** Values in the protocol, indexed by enum job_priority. */
 static const char *const priority_names[] = {"prod", "high", "normal", "best_effort"};
 
 const char *job_priority_name(enum job_priority priority)
@@ -35,17 +39,18 @@
     memset(spec, 0, sizeof *spec);
 }
 
+/** Decodes a string that is not empty and not too long. */
 static bool decode_name(json_object *object, const char *field, char **out)
 {
     const char *text;
-    if (!json_get_string(object, field, &text) || !*text || strlen(text) > MAX_NAME_CHARS)
+    if (!json_get_string(object, field, &text) || !*text || strlen(text) > MAX_NAME_BYTES)
         return false;
     *out = g_strdup(text);
     return true;
 }
 
-/** Decodes and interns an image name: placing a task looks its image up on every candidate machine.
- */
+/** Decodes and interns an image name. Interned names are compared by address, which is faster:
+ * placing a task looks its image up on every candidate machine. */
 static bool decode_image(json_object *object, char **out)
 {
     char *name = NULL;
@@ -56,24 +61,27 @@
     return true;
 }
 
-static bool decode_non_negative(json_object *object, const char *field, double *out)
+/** Decodes a size or a time. */
+static bool decode_size_or_time(json_object *object, const char *field, double *out)
 {
-    return json_get_number(object, field, out) && *out >= 0 && *out < MAX_NUMBER;
+    return json_get_number(object, field, out) && *out >= 0 && *out < SIZE_AND_TIME_LIMIT;
 }
 
+/** Decodes the names of the machine types that the tasks may use. If the field is absent, `*out`
+ * stays NULL. If the field is malformed, `*out` may be set and is freed by job_spec_clear(). */
 static bool decode_machine_type_names(json_object *object, char ***out)
 {
     if (json_is_absent(object, FIELD_MACHINE_TYPES))
         return true;
     json_object *list = json_get_array(object, FIELD_MACHINE_TYPES);
-    if (!list || json_object_array_length(list) > MAX_MACHINE_TYPE_NAMES)
+    if (!list || json_object_array_length(list) > MAX_MACHINE_TYPES)
         return false;
     GPtrArray *names = g_ptr_array_new();
     bool ok = true;
     for (size_t i = 0; i < json_object_array_length(list); i++) {
         json_object *item = json_object_array_get_idx(list, i);
         ok = ok && json_object_is_type(item, json_type_string) &&
-             json_object_get_string_len(item) <= MAX_MACHINE_TYPE_NAME_CHARS;
+             json_object_get_string_len(item) <= MAX_MACHINE_TYPE_NAME_BYTES;
         g_ptr_array_add(names, g_strdup(json_object_get_string(item)));
     }
     g_ptr_array_add(names, NULL);
@@ -81,7 +89,8 @@
     return ok;
 }
 
-static bool decode_user_job_id(job_id *out, const char *text)
+/** Parses a job id that must consist of JOB_ID_PREFIX and at least one more character. */
+static bool parse_prefixed_job_id(job_id *out, const char *text)
 {
     return g_str_has_prefix(text, JOB_ID_PREFIX) && text[strlen(JOB_ID_PREFIX)] &&
            job_id_parse(out, text);
@@ -90,12 +99,12 @@
 bool job_spec_decode_id(json_object *object, job_id *out)
 {
     const char *text;
-    return json_get_string(object, FIELD_ID, &text) && decode_user_job_id(out, text);
+    return json_get_string(object, FIELD_ID, &text) && parse_prefixed_job_id(out, text);
 }
 
-/** Decodes the fields that identify the job, its team and its image, and its form, priority and
- * size. */
-static bool decode_identity(json_object *object, struct job_spec *spec)
+/** Decodes the fields that describe the job as a whole: its id, class, team, image, form, priority
+ * and number of tasks. */
+static bool decode_job_fields(json_object *object, struct job_spec *spec)
 {
     int form = 0, priority = 0;
     uint64_t task_count = 0;
@@ -113,13 +122,13 @@
     return ok;
 }
 
-/** Decodes the resources that each task needs, and the placement constraints. */
+/** Decodes the resources that each task needs, and the constraints on where tasks may run. */
 static bool decode_requirements(json_object *object, struct job_spec *spec)
 {
     return json_get_amount(object, FIELD_CPUS, &spec->cpus) &&
            json_get_amount(object, FIELD_GPUS, &spec->gpus) &&
            json_get_amount(object, FIELD_MEMORY_GB, &spec->memory) &&
-           decode_non_negative(object, FIELD_IMAGE_GB, &spec->image_gb) &&
+           decode_size_or_time(object, FIELD_IMAGE_GB, &spec->image_gb) &&
            decode_machine_type_names(object, &spec->machine_type_names) &&
            (json_is_absent(object, FIELD_ZONE) || decode_name(object, FIELD_ZONE, &spec->zone)) &&
            json_get_bool(object, FIELD_SINGLE_ZONE, &spec->needs_single_zone) &&
@@ -127,20 +136,21 @@
            json_get_bool(object, FIELD_SPOT, &spec->may_use_spot);
 }
 
+/** Decodes the expected run time, the times of checkpoints, and the deadline. */
 static bool decode_times(json_object *object, struct job_spec *spec)
 {
-    return decode_non_negative(object, FIELD_EXPECTED_RUN_S, &spec->expected_run_s) &&
-           decode_non_negative(object, FIELD_CHECKPOINT_INTERVAL_S, &spec->checkpoint_interval_s) &&
-           decode_non_negative(object, FIELD_CHECKPOINT_SAVE_S, &spec->checkpoint_save_s) &&
+    return decode_size_or_time(object, FIELD_EXPECTED_RUN_S, &spec->expected_run_s) &&
+           decode_size_or_time(object, FIELD_CHECKPOINT_INTERVAL_S, &spec->checkpoint_interval_s) &&
+           decode_size_or_time(object, FIELD_CHECKPOINT_SAVE_S, &spec->checkpoint_save_s) &&
            (json_is_absent(object, FIELD_DEADLINE_S) ||
-            decode_non_negative(object, FIELD_DEADLINE_S, &spec->deadline_s));
+            decode_size_or_time(object, FIELD_DEADLINE_S, &spec->deadline_s));
 }
 
 bool job_spec_decode(json_object *object, struct job_spec *spec)
 {
     memset(spec, 0, sizeof *spec);
-    spec->deadline_s = -1;
-    bool ok = decode_identity(object, spec) && decode_requirements(object, spec) &&
+    spec->deadline_s = -1; /* no deadline */
+    bool ok = decode_job_fields(object, spec) && decode_requirements(object, spec) &&
               decode_times(object, spec);
     if (!ok)
         job_spec_clear(spec);
@@ -164,7 +174,7 @@
 {
     bool is_empty = json_object_array_length(job_ids) == 0;
     json_object_object_add(object, FIELD_DEPENDENCIES, job_ids);
-    if (is_empty)
+    if (is_empty) /* deleting the field also releases the array */
         json_object_object_del(object, FIELD_DEPENDENCIES);
 }
 
@@ -180,10 +190,11 @@
     for (size_t i = 0; i < count; i++) {
         json_object *item = json_object_array_get_idx(list, i);
         job_id id;
-        const char *name =
+        const char *id_text =
             json_object_is_type(item, json_type_string) ? json_object_get_string(item) : "";
-        if (strlen(name) != (size_t)json_object_get_string_len(item) ||
-            !decode_user_job_id(&id, name) || job_id_equal(id, spec->id))
+        /* The lengths differ if the string contains a NUL byte. */
+        if (strlen(id_text) != (size_t)json_object_get_string_len(item) ||
+            !parse_prefixed_job_id(&id, id_text) || job_id_equal(id, spec->id))
             return false;
         if (!has_dependency(spec, id))
             spec->dependencies[spec->dependency_count++] = id;
@@ -232,6 +243,7 @@
 
 char *job_status_encode(job_id id, enum job_stage stage, long completed, long running)
 {
+    /* Indexed by enum job_stage. */
     static const char *const stage_names[] = {"queued", "running", "done", "cancelled"};
     json_object *object = json_object_new_object();
     json_put_string(object, FIELD_ID, id.text);
@@ -249,13 +261,13 @@
     if (!slash || slash == text || slash - text >= (int)sizeof job->text ||
         !g_ascii_isdigit(slash[1]))
         return false;
-    char name[sizeof job->text];
-    memcpy(name, text, slash - text);
-    name[slash - text] = 0;
+    char job_text[sizeof job->text];
+    memcpy(job_text, text, slash - text);
+    job_text[slash - text] = 0;
     char *end;
-    unsigned long number = strtoul(slash + 1, &end, 10);
-    if (*end || number > MAX_TASKS)
+    unsigned long parsed_index = strtoul(slash + 1, &end, 10);
+    if (*end || parsed_index > MAX_TASKS)
         return false;
-    *index = (uint32_t)number;
-    return job_id_parse(job, name);
+    *index = (uint32_t)parsed_index;
+    return job_id_parse(job, job_text);
 }
