--- a/src/api/api.c
+++ b/src/api/api.c
@@ -63,9 +63,9 @@
     if (failure_detector_find_node_with_kv_access(api->failure_detector))
         return true;
     mono_time now = loop_now(api->loop);
-    mono_time cancels_known_until = cancel_broadcast_get_complete_until(api->cancel_broadcast);
-    return (cancels_known_until.us &&
-            time_ms_since(now, cancels_known_until) < MAX_READY_STALENESS_MS / 2) ||
+    mono_time cancels_complete_until = cancel_broadcast_get_complete_until(api->cancel_broadcast);
+    return (cancels_complete_until.us &&
+            time_ms_since(now, cancels_complete_until) < MAX_READY_STALENESS_MS / 2) ||
            time_ms_since(now, api->replica->fresh_at) < MAX_READY_STALENESS_MS;
 }
 
--- a/src/scheduler/job_completion.c
+++ b/src/scheduler/job_completion.c
@@ -54,8 +54,8 @@
     struct job_end_write *end_write = g_new(struct job_end_write, 1);
     *end_write = (struct job_end_write){leader, job->id, job_record->state == JOB_CANCELLED};
     leader->cancelled_ends_in_flight += end_write->is_cancelled;
-    enum kv_priority lane = end_write->is_cancelled ? KV_PRIORITY_NORMAL : KV_PRIORITY_URGENT;
-    kv_client_commit(leader->kv, lane, txn, on_end_committed, end_write);
+    enum kv_priority priority = end_write->is_cancelled ? KV_PRIORITY_NORMAL : KV_PRIORITY_URGENT;
+    kv_client_commit(leader->kv, priority, txn, on_end_committed, end_write);
 }
 
 void job_completion_check(struct leader *leader, struct ledger_job *job)
--- a/src/scheduler/job_queue.c
+++ b/src/scheduler/job_queue.c
@@ -21,8 +21,8 @@
  * group contains services and the jobs within the guarantee of their team.
  */
 enum {
-    RANK_SERVICE = 0,
-    RANK_BORROWED = RANK_SERVICE + PRIORITY_COUNT,
+    RANK_PROD = 0,
+    RANK_BORROWED = RANK_PROD + PRIORITY_COUNT,
     RANK_BORROWED_LATE = RANK_BORROWED + PRIORITY_COUNT,
 };
 
@@ -63,7 +63,7 @@
 int job_queue_rank(struct leader *leader, const struct ledger_job *job)
 {
     if (job->priority == PRIORITY_PROD)
-        return RANK_SERVICE;
+        return RANK_PROD;
     if (quota_ledger_is_within_guarantee(quota_ledger_get_team(leader, job), job->task_resources))
         return job->priority;
     /* Overdue jobs precede all others that borrow resources, as jobs of high priority could
--- a/src/shard/lease_renewal.c
+++ b/src/shard/lease_renewal.c
@@ -24,12 +24,11 @@
 
 bool shard_may_renew_leases(struct shard *shard)
 {
-    mono_time known_until = shard->replica->fresh_at;
-    mono_time cancellations_known_until =
-        cancel_broadcast_get_complete_until(shard->cancel_broadcast);
-    if (time_before(known_until, cancellations_known_until))
-        known_until = cancellations_known_until;
-    return time_ms_since(loop_now(shard->loop), known_until) < shard_max_renewal_ms(shard);
+    mono_time complete_until = shard->replica->fresh_at;
+    mono_time cancels_complete_until = cancel_broadcast_get_complete_until(shard->cancel_broadcast);
+    if (time_before(complete_until, cancels_complete_until))
+        complete_until = cancels_complete_until;
+    return time_ms_since(loop_now(shard->loop), complete_until) < shard_max_renewal_ms(shard);
 }
 
 /* Neither the owner nor the key-value store can be reached from here, for example because this node
--- a/src/singleton/intent_log_writer.c
+++ b/src/singleton/intent_log_writer.c
@@ -247,11 +247,12 @@
     struct txn *txn = txn_new();
     role_manager_add_guard(config->role_manager, config->role, txn);
     txn_compare(txn, config->guard_key, guard_revision);
-    enum kv_priority lane = has_unrecorded_scale_out(log) ? KV_PRIORITY_URGENT : KV_PRIORITY_NORMAL;
+    enum kv_priority priority =
+        has_unrecorded_scale_out(log) ? KV_PRIORITY_URGENT : KV_PRIORITY_NORMAL;
     add_dirty_pages(log, txn);
     log->txn_in_flight = true;
     config->on_write(config->ctx, txn_write_count(txn));
-    kv_client_commit(config->kv, lane, txn, on_txn_done, pending_write_new(log));
+    kv_client_commit(config->kv, priority, txn, on_txn_done, pending_write_new(log));
 }
 
 void intent_log_on_flush_timer(void *arg)
--- a/tests/support/role_failures.c
+++ b/tests/support/role_failures.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-static bool random_chance(struct role_scenario *scenario, double probability)
+static bool random_bool(struct role_scenario *scenario, double probability)
 {
     return g_rand_double(scenario->random) < probability;
 }
@@ -11,10 +11,10 @@
  * longer than two leases. */
 static int64_t random_pause_ms(struct role_scenario *scenario)
 {
-    if (random_chance(scenario, 0.55))
+    if (random_bool(scenario, 0.55))
         return g_rand_int_range(scenario->random, 20, 300);
-    return random_chance(scenario, 0.7) ? g_rand_int_range(scenario->random, 3000, 5500)
-                                        : g_rand_int_range(scenario->random, 8500, 13000);
+    return random_bool(scenario, 0.7) ? g_rand_int_range(scenario->random, 3000, 5500)
+                                      : g_rand_int_range(scenario->random, 8500, 13000);
 }
 
 static void pause_node(struct role_scenario *scenario, int node, bool after_send)
@@ -55,20 +55,20 @@
         return FAULT_NONE;
     /* Hold the intent while the epoch changes; it may be delivered just as a run record is
      * written. */
-    if (is_return_intent(request) && random_chance(scenario, 0.3)) {
+    if (is_return_intent(request) && random_bool(scenario, 0.3)) {
         membership_raise_epoch(world->nodes[node]->membership, "by the driver");
         return FAULT_REQUEST_HELD;
     }
-    if (request_writes_records(request) && random_chance(scenario, 0.3))
+    if (request_writes_records(request) && random_bool(scenario, 0.3))
         scenario->deliver_held_at = loop_now(world->loop);
-    if (random_chance(scenario, get_pause_probability(request)))
-        pause_node(scenario, node, random_chance(scenario, 0.5));
+    if (random_bool(scenario, get_pause_probability(request)))
+        pause_node(scenario, node, random_bool(scenario, 0.5));
     if (strcmp(request->path, "/txn") != 0 && !request_is_to_cloud(request))
         return FAULT_NONE;
     static const enum request_fault faults[] = {FAULT_REQUEST_LOST, FAULT_RESPONSE_LOST,
                                                 FAULT_REQUEST_HELD, FAULT_RESPONSE_DELAYED,
                                                 FAULT_UNAVAILABLE};
-    return random_chance(scenario, 0.08)
+    return random_bool(scenario, 0.08)
                ? faults[g_rand_int_range(scenario->random, 0, G_N_ELEMENTS(faults))]
                : FAULT_NONE;
 }
@@ -90,7 +90,7 @@
     if (is_due(scenario, &scenario->next_kill, 9000, 20000) && world->nodes[node]) {
         world_kill(world, node);
         scenario->start_at[node] =
-            time_add_ms(loop_now(world->loop), random_chance(scenario, 0.5) ? 50 : 3000);
+            time_add_ms(loop_now(world->loop), random_bool(scenario, 0.5) ? 50 : 3000);
     }
     for (int i = 0; i < WORLD_NODES; i++)
         if (!world->nodes[i] && !time_before(loop_now(world->loop), scenario->start_at[i]))
--- a/tests/support/rules_submission.c
+++ b/tests/support/rules_submission.c
@@ -3,8 +3,8 @@
 
 #include <math.h>
 
-static const char *const form_words[] = {"sweep", "gang", "daemon"};
-static const char *const priority_words[] = {"prod", "high", "normal", "best_effort"};
+static const char *const form_names[] = {"sweep", "gang", "daemon"};
+static const char *const priority_names[] = {"prod", "high", "normal", "best_effort"};
 
 void submission_free(struct submission *submission)
 {
@@ -55,10 +55,10 @@
     return (int64_t)ceil(json_object_get_double(rules_json_field(object, name)) * 1000 - 1e-6);
 }
 
-static int find_word(const char *const *words, int n, const char *word)
+static int find_name(const char *const *names, int n, const char *name)
 {
-    for (int i = 0; word && i < n; i++)
-        if (strcmp(words[i], word) == 0)
+    for (int i = 0; name && i < n; i++)
+        if (strcmp(names[i], name) == 0)
             return i;
     return -1;
 }
@@ -84,10 +84,10 @@
     if (!json_object_is_type(rules_json_field(object, "Pieces"), json_type_int) || tasks < 1 ||
         tasks > 100000)
         return "Pieces";
-    if (find_word(form_words, G_N_ELEMENTS(form_words),
+    if (find_name(form_names, G_N_ELEMENTS(form_names),
                   json_object_get_string(rules_json_field(object, "Form"))) < 0)
         return "Form";
-    if (find_word(priority_words, G_N_ELEMENTS(priority_words),
+    if (find_name(priority_names, G_N_ELEMENTS(priority_names),
                   json_object_get_string(rules_json_field(object, "Urgency"))) < 0)
         return "Urgency";
     return NULL;
@@ -105,7 +105,7 @@
     submission->type_names = copy_string_list(object, "Builds");
     submission->dependencies = copy_string_list(object, "Awaits");
     submission->form =
-        (enum submission_form)find_word(form_words, G_N_ELEMENTS(form_words),
+        (enum submission_form)find_name(form_names, G_N_ELEMENTS(form_names),
                                         json_object_get_string(rules_json_field(object, "Form")));
     submission->tasks = json_object_get_int64(rules_json_field(object, "Pieces"));
     submission->per_task = (struct milli_resources){
--- a/tests/test_gang_failures.c
+++ b/tests/test_gang_failures.c
@@ -308,18 +308,18 @@
  * and how many machines are unreachable or faulty at the same time.
  */
 enum {
-    CLOUD_MACHINES = 40,
+    LARGE_WORLD_WORKERS = 40,
     LOAD_DURATION_S = 400,
     RECOVERY_S = 240,
     MAX_UNREACHABLE = 3,
     MAX_FAULTY = 2
 };
 
-/** The cmocka setup of LARGE_WORLD_TEST: a world of CLOUD_MACHINES workers and three teams. */
+/** The cmocka setup of LARGE_WORLD_TEST: a world of LARGE_WORLD_WORKERS workers and three teams. */
 static int setup_large_world(void **state)
 {
     struct world_config config = world_default_config();
-    config.worker_count = CLOUD_MACHINES;
+    config.worker_count = LARGE_WORLD_WORKERS;
     config.team_count = 3;
     config.team_cpus = 80;
     config.team_cpus_max = 160;
@@ -337,7 +337,7 @@
  * failures of each kind were injected.
  */
 struct active_failures {
-    int unreachable_until_s[CLOUD_MACHINES], faulty_until_s[CLOUD_MACHINES];
+    int unreachable_until_s[LARGE_WORLD_WORKERS], faulty_until_s[LARGE_WORLD_WORKERS];
     int killed_node, killed_until_s, state_outage_until_s;
     int killed_leader_count, state_outage_count, unreachable_count, faulty_count;
 };
@@ -346,7 +346,7 @@
 static int count_active(const int *until_s)
 {
     int n = 0;
-    for (int i = 0; i < CLOUD_MACHINES; i++)
+    for (int i = 0; i < LARGE_WORLD_WORKERS; i++)
         n += until_s[i] > 0;
     return n;
 }
@@ -354,7 +354,7 @@
 /** Ends the failures whose time is over. */
 static void end_expired_failures(struct world *world, struct active_failures *failures, int now)
 {
-    for (int i = 0; i < CLOUD_MACHINES; i++) {
+    for (int i = 0; i < LARGE_WORLD_WORKERS; i++) {
         if (failures->unreachable_until_s[i] && now >= failures->unreachable_until_s[i]) {
             world->workers[i].unreachable = false;
             failures->unreachable_until_s[i] = 0;
@@ -394,7 +394,7 @@
     enum { FAILURE_INTERVAL_S = 4, FAILURE_KINDS = 5 };
     if (now % FAILURE_INTERVAL_S)
         return;
-    int random_worker = g_rand_int_range(random, 0, CLOUD_MACHINES),
+    int random_worker = g_rand_int_range(random, 0, LARGE_WORLD_WORKERS),
         until_s = now + g_rand_int_range(random, 5, 25);
     switch (now / FAILURE_INTERVAL_S % FAILURE_KINDS) {
     case 0:
@@ -428,7 +428,7 @@
 static void fail_tasks_on_faulty_machines(struct world *world,
                                           const struct active_failures *failures)
 {
-    for (int i = 0; i < CLOUD_MACHINES; i++) {
+    for (int i = 0; i < LARGE_WORLD_WORKERS; i++) {
         struct worker *worker = &world->workers[i];
         for (guint n = 0; failures->faulty_until_s[i] && worker->up && !worker->unreachable &&
                           n < worker->tasks->len;
@@ -513,7 +513,7 @@
     GRand *random = g_rand_new_with_seed(seed);
     struct active_failures failures = {0};
     GQueue queue = G_QUEUE_INIT;
-    for (int i = 0; i < CLOUD_MACHINES; i++)
+    for (int i = 0; i < LARGE_WORLD_WORKERS; i++)
         world_add_worker(world, i, i % 2 ? "a" : "b", i % 3 != 0);
     world_run(world, 4000);
     int jobs = run_load_with_failures(world, random, &failures, &queue);
--- a/tests/test_scheduling.c
+++ b/tests/test_scheduling.c
@@ -281,26 +281,25 @@
  */
 static void increasing_task_durations_do_not_make_machines_slow(void **state)
 {
-    enum { CLOUD_MACHINES = 4, TASKS = 60, TASKS_PER_DURATION = 12 };
+    enum { WORKERS = 4, TASKS = 60, TASKS_PER_DURATION = 12 };
     static const int64_t takes_ms[] = {4000, 10000, 25000, 60000, 60000};
     struct world *world = *state;
     world->cloud_capacity = 0;
-    for (int i = 0; i < CLOUD_MACHINES; i++)
+    for (int i = 0; i < WORKERS; i++)
         world_add_worker(world, i, i % 2 ? "a" : "b", false);
     world_run(world, 3000);
-    char *service = world_format_job("wk-0", "daemon", CLOUD_MACHINES, "blue", 5.0, "");
+    char *service = world_format_job("wk-0", "daemon", WORKERS, "blue", 5.0, "");
     assert_int_equal(world_send_user_request(world, 0, "POST", "/work", service).status, 201);
     g_free(service);
     world_run(world, 5000);
-    assert_int_equal(world_count_active_tasks(world, "wk-0"),
-                     CLOUD_MACHINES); /* one on each machine */
+    assert_int_equal(world_count_active_tasks(world, "wk-0"), WORKERS); /* one on each machine */
     char *array = world_format_job("wk-1", "sweep", TASKS, "blue", 1.0, "");
     assert_int_equal(world_send_user_request(world, 0, "POST", "/work", array).status, 201);
     g_free(array);
     for (int s = 0; s < 300; s++) {
         world_run(world, 1000);
         world_check_progress(world);
-        for (int i = 0; i < CLOUD_MACHINES; i++)
+        for (int i = 0; i < WORKERS; i++)
             for (uint32_t t = 0; world->workers[i].up && t < TASKS; t++) {
                 struct worker_task *task = worker_find_task(&world->workers[i], "wk-1", t);
                 if (task && strcmp(task->stage, "running") == 0 &&
