--- a/src/api/api_internal.h
+++ b/src/api/api_internal.h
@@ -120,7 +120,7 @@
 void api_request_refuse(struct api_request *request);
 /** Frees a request, which must have its response already or need none. */
 void api_request_free(struct api_request *request);
-/** Timer callback: refuses the requests that were not settled in time. `api` is a struct api. */
+/** Refuses the requests that were not settled in time; a timer callback. `api` is a struct api. */
 void api_expire_requests(void *api);
 
 /* ---- job_write.c ---- */
--- a/src/api/job_write.c
+++ b/src/api/job_write.c
@@ -82,7 +82,7 @@
     if (request->action == API_ACTION_CANCEL)
         cancel_broadcast_finish_txn(request->api->cancel_broadcast, request->job_id, outcome);
     if (request->is_answered)
-        api_request_free(request); /* the 503 response told the user to repeat the request */
+        api_request_free(request); /* the 503 response asked the user to repeat the request */
     else if (outcome->status == TXN_COMMITTED)
         on_committed(request, outcome->at_revision);
     else
--- a/src/cloud/cloud_provider.h
+++ b/src/cloud/cloud_provider.h
@@ -130,8 +130,8 @@
 void cloud_provider_mark_cordoned(struct cloud_provider *cloud, const char *id, epoch_no epoch);
 
 /**
- * Returns the ids of returned machines whose owners (shards) must be told before the intents are
- * settled. The array and its strings are new, and the length of the array is limited.
+ * Returns the ids of returned machines whose owners (shards) must be notified before the intents
+ * are settled. The array and its strings are new, and the length of the array is limited.
  */
 GPtrArray *cloud_provider_list_to_announce(struct cloud_provider *cloud);
 
--- a/src/cloud/cloud_provider_internal.h
+++ b/src/cloud/cloud_provider_internal.h
@@ -17,7 +17,7 @@
 /** The delay before a scale-out or scale-in without a usable response is sent again. */
 enum { CLOUD_RETRY_MS = 700 };
 
-/** Whether a request was sent to the cloud, and so may have been carried out. */
+/** The progress of a request to the cloud; once sent, it may have been carried out. */
 enum cloud_send_state {
     CLOUD_NOT_SENT,
     CLOUD_IN_FLIGHT,
@@ -52,7 +52,7 @@
     SCALE_IN_RECORDING,
     /** The request may be sent. */
     SCALE_IN_READY,
-    /** The cloud has confirmed the return. The owner must be told before the intent is settled. */
+    /** The cloud has confirmed the return. The intent is settled after notifying the owner. */
     SCALE_IN_CONFIRMED,
 };
 
--- a/src/cluster/cancel_broadcast.c
+++ b/src/cluster/cancel_broadcast.c
@@ -40,7 +40,7 @@
     struct replica *replica;
     const struct settings *settings;
     struct actor *listener;
-    /** Maps a job id to its struct reported_state, which owns the key. */
+    /** Maps a job id to its struct local_cancel, which owns the key. */
     GHashTable *local_cancels;
     /** Links of the local cancellations, oldest first. */
     GQueue local_cancel_order;
--- a/src/cluster/lease_proxy.c
+++ b/src/cluster/lease_proxy.c
@@ -20,7 +20,10 @@
     mono_time answered_request_sent_at;
     /** The node has renewed no lease for another node since this time, by its latest response. */
     mono_time no_renewals_since;
-    /** Since when the node's key is known to be absent; 0 if it exists or its state is unknown. */
+    /**
+     * The time since which the node's key is known to be absent; 0 if it exists or its state is
+     * unknown.
+     */
     mono_time absent_since;
 };
 
--- a/src/cluster/membership.c
+++ b/src/cluster/membership.c
@@ -239,8 +239,8 @@
 }
 
 /**
- * Adds an announcement of the version that this program understands. The key is not attached to a
- * lease and outlives the process, because later processes of the node understand this version too.
+ * Adds an announcement of the version that this program supports. The key is not attached to a
+ * lease and outlives the process, because later processes of the node support this version too.
  */
 static void add_version_announcement(const struct membership *membership, struct txn *txn)
 {
--- a/src/cluster/membership.h
+++ b/src/cluster/membership.h
@@ -47,9 +47,9 @@
 lease_id membership_get_incarnation(const struct membership *membership);
 
 /**
- * Returns whether every node, live or not, has announced that it understands the version, and no
+ * Returns whether every node, live or not, has announced that it supports the version, and no
  * live node runs a program that does not. Nodes are not downgraded afterwards, so no node will ever
- * read a record that it does not understand.
+ * read a record whose version it does not support.
  */
 bool membership_all_nodes_support(struct membership *membership, enum node_version version);
 
--- a/src/cluster/node_lease.h
+++ b/src/cluster/node_lease.h
@@ -13,7 +13,7 @@
 
 struct node_lease;
 
-/** Why a node gives up its lease. */
+/** The reason why a node does not hold its lease any more. */
 enum lease_loss_reason {
     /** The key-value store responded to a renewal that the lease has expired. */
     LEASE_EXPIRED,
@@ -46,7 +46,7 @@
  */
 void node_lease_request(struct node_lease *lease);
 
-/** Gives up the lease and calls on_lost; does nothing if there is no lease. */
+/** Drops the lease and calls on_lost; does nothing if there is no lease. */
 void node_lease_drop(struct node_lease *lease, enum lease_loss_reason reason);
 
 /** Returns the id of the lease; 0 if there is none. */
--- a/src/cluster/version_support.c
+++ b/src/cluster/version_support.c
@@ -1,6 +1,6 @@
 /**
  * @file
- * Determines which versions of stored records and messages all nodes of the cluster understand.
+ * Determines which versions of stored records and messages all nodes of the cluster support.
  */
 #include "version_support.h"
 
--- a/src/cluster/version_support.h
+++ b/src/cluster/version_support.h
@@ -1,6 +1,6 @@
 /**
  * @file
- * Determines which versions of stored records and messages all nodes of the cluster understand.
+ * Determines which versions of stored records and messages all nodes of the cluster support.
  */
 #ifndef LL_VERSION_SUPPORT_H
 #define LL_VERSION_SUPPORT_H
@@ -25,7 +25,7 @@
     struct version_support_entry entries[NODE_VERSION_CURRENT + 1];
 };
 
-/** Returns the highest version that processes of the node announced to understand; 0 if none. */
+/** Returns the highest version that processes of the node announced as supported; 0 if none. */
 guint version_support_get_announced(const struct replica *replica, const char *label);
 
 /** Implements membership_all_nodes_support() with the cache. */
--- a/src/config/feature_set.h
+++ b/src/config/feature_set.h
@@ -8,7 +8,7 @@
 #include <glib.h>
 #include <stdbool.h>
 
-/** Which features are enabled, and their parameters. */
+/** The features that are enabled, and their parameters. */
 struct feature_set {
     /** Scaling and garbage collection are done by holders of singleton roles, which record their
      * intents. The table in the file is named "duties". */
--- a/src/replica/replica_internal.h
+++ b/src/replica/replica_internal.h
@@ -97,13 +97,13 @@
 
 /** Returns a job; creates one that is not loaded if there is none. NULL if the id is invalid. */
 struct job *replica_get_or_create_job(struct replica *replica, const char *id);
-/** GDestroyNotify that frees a struct job. */
+/** Frees a struct job; a GDestroyNotify. */
 void replica_job_free(gpointer job);
 /** Applies a change of ll/j/JOB. */
 void replica_apply_job(struct replica *replica, const struct key_update *update);
-/** completions_callback that merges completions into a job; the context is the replica. */
+/** Merges completions into a job; a completions_callback whose context is the replica. */
 void replica_merge_completions(void *context, job_id id, uint32_t unit, const GByteArray *bits);
-/** job_dag_observer that updates a job from the job DAG; the context is the replica. */
+/** Updates a job from the job DAG; a job_dag_observer whose context is the replica. */
 void replica_on_job_dag_change(void *context, const char *id,
                                const struct job_dag_state *dag_state);
 
@@ -115,30 +115,30 @@
 void replica_remove_unused_machine(struct replica *replica, struct machine_record *machine);
 /** Applies the description on a page or in an inventory unless the machine has its own key. */
 void machine_apply_description(struct machine_record *machine, const char *text);
-/** GDestroyNotify that frees a struct machine_record. */
+/** Frees a struct machine_record; a GDestroyNotify. */
 void replica_machine_free(gpointer machine);
 /** Applies a change of ll/h/MACHINE. */
 void replica_apply_machine(struct replica *replica, const struct key_update *update);
 
 /* ---- inventories.c ---- */
 
-/** GDestroyNotify that frees a struct machine_inventory. */
+/** Frees a struct machine_inventory; a GDestroyNotify. */
 void replica_inventory_free(gpointer inventory);
 /** Applies a change of ll/a/LABEL/N. */
 void replica_apply_inventory(struct replica *replica, const struct key_update *update);
 
 /* ---- run_records.c ---- */
 
-/** GDestroyNotify that frees a struct record_page. */
+/** Frees a struct record_page; a GDestroyNotify. */
 void replica_page_free(gpointer page);
 /** Applies a change of ll/p/LABEL/N. */
 void replica_apply_page(struct replica *replica, const struct key_update *update);
 
 /* ---- cluster_records.c ---- */
 
-/** GDestroyNotify that frees a struct node_record. */
+/** Frees a struct node_record; a GDestroyNotify. */
 void replica_node_free(gpointer node);
-/** GDestroyNotify that frees the contents of a struct shard_map_entry. */
+/** Frees the contents of a struct shard_map_entry; a GDestroyNotify. */
 void shard_map_entry_clear(gpointer entry);
 /** Applies a change of ll/n/LABEL. */
 void replica_apply_node(struct replica *replica, const struct key_update *update);
@@ -155,7 +155,7 @@
 
 /* ---- machine_types.c ---- */
 
-/** GDestroyNotify that frees a struct machine_type_part. */
+/** Frees a struct machine_type_part; a GDestroyNotify. */
 void machine_type_part_free(gpointer part);
 /** Applies a change of ll/types or ll/types/N. */
 void replica_apply_machine_types(struct replica *replica, const struct key_update *update);
@@ -163,8 +163,8 @@
 /* ---- watch.c ---- */
 
 /**
- * Timer callback: sends the next watch when its rate limit allows, or starts or continues a reload
- * if the keys are not read yet.
+ * Sends the next watch when its rate limit allows, or starts or continues a reload if the keys are
+ * not read yet. A timer callback; `arg` is the replica.
  */
 void replica_watch(void *arg);
 /** Sends a GET request with the priority of the watch; the callback receives the replica. */
--- a/src/scheduler/job_queue.c
+++ b/src/scheduler/job_queue.c
@@ -18,7 +18,8 @@
 
 /**
  * First rank of each group of jobs. Within a group, the rank depends on the priority. The first
- * group contains services and the jobs within the guarantee of their team.
+ * group contains the jobs whose own or inherited priority is PRIORITY_PROD, and the jobs within the
+ * guarantee of their team.
  */
 enum {
     RANK_PROD = 0,
@@ -37,7 +38,7 @@
 
 /**
  * Waiting time in seconds after which a job precedes all jobs that borrow resources, and is
- * preempted only by services.
+ * preempted on account of its lower priority only by services.
  */
 static const double OVERDUE_AFTER_S = 190;
 
--- a/src/scheduler/job_queue.h
+++ b/src/scheduler/job_queue.h
@@ -6,8 +6,9 @@
 
 /**
  * Returns the dispatch rank of the job, from 0 to RANK_COUNT - 1; lower ranks are dispatched first.
- * Services are dispatched first, then jobs within the guarantee of their team, then jobs that
- * borrow resources beyond it. The rank depends on what the team uses at the moment.
+ * Jobs whose own or inherited priority is PRIORITY_PROD are dispatched first, then jobs within the
+ * guarantee of their team, then jobs that borrow resources beyond it. The rank depends on what the
+ * team uses at the moment.
  */
 int job_queue_rank(struct leader *leader, const struct ledger_job *job);
 /**
--- a/src/scheduler/ledger_job.h
+++ b/src/scheduler/ledger_job.h
@@ -49,15 +49,15 @@
     /** Whether a task's run record was removed, so that the gang may already have begun to run. */
     bool has_lost_task;
     /**
-     * Since when only some of the tasks have had run records with none dispatched; 0 if that is not
-     * the case.
+     * The time since which only some of the tasks have had run records with none dispatched; 0 if
+     * that is not the case.
      */
     mono_time partially_allocated_since;
     /** Epoch in which the remaining tasks were last stopped; 0 if they never were. */
     epoch_no stopped_in_epoch;
     /** When the remaining tasks were last stopped. */
     mono_time stopped_at;
-    /** Since when there have not been enough resources for all tasks; 0 if there are enough. */
+    /** The time since which there are too few resources for all tasks; 0 if there are enough. */
     mono_time unschedulable_since;
     /** Per pass: number of tasks for which resources are reserved. */
     uint32_t reserved_task_count;
@@ -116,7 +116,7 @@
 
 /** Failures that are attributed to the job rather than to its machines. */
 struct job_failures {
-    /** Until when no task of the job is dispatched. */
+    /** The time until which no task of the job is dispatched. */
     mono_time retry_at;
     /** Number of consecutive failures. Each doubles the retry delay, up to a maximum. */
     int count;
--- a/src/scheduler/ledger_machine.h
+++ b/src/scheduler/ledger_machine.h
@@ -26,9 +26,11 @@
 
 /** Health of a machine, as derived from task failures and run times. */
 struct machine_health {
-    /** Until when nothing is dispatched to the machine. */
+    /** The time until which nothing is dispatched to the machine. */
     mono_time avoid_until;
-    /** Until when the machine is quarantined because tasks of several jobs failed on it. */
+    /**
+     * The time until which the machine is quarantined because tasks of several jobs failed on it.
+     */
     mono_time quarantined_until;
     /**
      * Moving average of task run times on this machine, relative to the run times of the same jobs
--- a/src/scheduler/placement.h
+++ b/src/scheduler/placement.h
@@ -62,8 +62,8 @@
                                   const struct ledger_machine *machine);
 
 /**
- * Comparison function that sorts struct placement_candidate by descending score, then by machine
- * id.
+ * Compares two values of struct placement_candidate, for sorting by descending score, then by
+ * machine id.
  */
 gint placement_compare_candidates(gconstpointer a, gconstpointer b);
 /**
--- a/src/scheduler/preemption.c
+++ b/src/scheduler/preemption.c
@@ -21,7 +21,8 @@
      */
     PREEMPTION_INTERVAL_MS = 1000,
     /**
-     * How long a service waits, from when it is eligible, for a machine that has its image cached.
+     * How long a job whose own priority is PRIORITY_PROD waits, from when it is eligible, for a
+     * machine that has its image cached.
      */
     IMAGE_WAIT_MS = 1200,
 };
--- a/src/scheduler/preemption.h
+++ b/src/scheduler/preemption.h
@@ -18,9 +18,9 @@
                                struct job *job_record, bool needs_image);
 /**
  * Returns whether the job should, for now, be placed only on machines that have its image cached.
- * This applies to a service for a short time after it becomes eligible, if on some machine with the
- * image preemption could free enough resources: users are waiting for the service, and fetching the
- * image takes longer than preempting tasks.
+ * This applies to a job whose own priority is PRIORITY_PROD, for a short time after it becomes
+ * eligible, if on some machine with the image preemption could free enough resources: users are
+ * waiting for such a job, and fetching the image takes longer than preempting tasks.
  */
 bool preemption_should_wait_for_image(struct leader *leader, const struct ledger_job *job,
                                       const struct job *job_record);
--- a/src/scheduler/scheduler_internal.h
+++ b/src/scheduler/scheduler_internal.h
@@ -67,7 +67,9 @@
     int first_team_index;
     /** Array of struct ledger_machine that accept new tasks. Does not own the machines. */
     GPtrArray *schedulable_machines;
-    /** Array of struct unschedulable: requests that no machine could satisfy in this pass. */
+    /**
+     * Array of struct unschedulable_request: requests that no machine could satisfy in this pass.
+     */
     GArray *unschedulable_requests;
     /** Total CPUs of the on-demand machines, indexed by zone. */
     double *zone_cpus;
@@ -114,8 +116,8 @@
      */
     int64_t *service_shortfall_tasks;
     /**
-     * Until when a zone is avoided because most of its machines are, or recently were, unreachable;
-     * indexed by zone.
+     * The time until which a zone is avoided because most of its machines are, or recently were,
+     * unreachable; indexed by zone.
      */
     mono_time *zone_avoid_until;
 };
--- a/src/shard/agent_session_internal.h
+++ b/src/shard/agent_session_internal.h
@@ -20,8 +20,8 @@
 
 /* agent_commands.c: selection of commands */
 
-/** Returns whether the agent may be told to forget an attempt. It must not be told while a copy of
- * the run command may still arrive, as that copy would start the task again. */
+/** Returns whether the agent may be instructed to forget an attempt. This is not allowed while a
+ * copy of the run command may still arrive, as that copy would start the task again. */
 bool shard_can_clear_attempt(const struct machine *machine, const struct task_run *run);
 /** Returns the commands that are due for an agent, as an array of struct agent_command, and records
  * them as sent. A node without a valid lease only stops tasks of finished jobs: a cancellation is
--- a/src/shard/completions_internal.h
+++ b/src/shard/completions_internal.h
@@ -51,17 +51,17 @@
 
 /* ---- completions.c: which tasks completed ---- */
 
-/** Whether the completion of a run can be recorded now. If not, the end of the run has to wait as
- * well. */
+/** Returns whether the completion of a run can be recorded now. If not, the end of the run has to
+ * wait as well. */
 bool shard_can_record_completion(struct shard *shard, const struct task_run *run);
 
 /** Adds the completion of a run. It is recorded by the same transaction as the end of the run, or
  * an earlier one. */
 void shard_add_completion(struct shard *shard, struct task_run *run);
 
-/** Whether the completion of a run is durable, or will be once the pages of the predicate are
- * written. Also true if there is no completion to record, because the run ended in another way or
- * its job is finished. */
+/** Returns whether the completion of a run is durable, or will be once the pages of the predicate
+ * are written. Also true if there is no completion to record, because the run ended in another way
+ * or its job is finished. */
 bool shard_completion_is_written(struct shard *shard, const struct task_run *run,
                                  page_predicate is_written, const void *ctx);
 
@@ -113,12 +113,12 @@
 struct completion_unit *completion_unit_find(struct shard *shard, job_id job, uint32_t unit_number,
                                              int page_number);
 
-/** Like completion_unit_find(), but adds empty completions if there are none. The shard owns them.
- */
+/** Returns the same as completion_unit_find(), but adds empty completions if there are none. The
+ * shard owns them. */
 struct completion_unit *completion_unit_get(struct shard *shard, job_id job, uint32_t unit_number,
                                             int page_number);
 
-/** Whether a unit has the bit of a task set.
+/** Returns whether a unit has the bit of a task set.
  * @param bit the position of the task within the unit. */
 bool completion_unit_has_bit(const struct completion_unit *unit, uint32_t bit);
 
--- a/src/shard/machine_internal.h
+++ b/src/shard/machine_internal.h
@@ -41,8 +41,8 @@
     mono_time owner_token_seen_at;
 };
 
-/** Whether this node's responses and commands reach the agent. Heartbeats alone do not prove that,
- * as a connection may fail in one direction only. */
+/** The evidence that this node's responses and commands reach the agent. Heartbeats alone do not
+ * prove that, as a connection may fail in one direction only. */
 struct machine_reachability {
     /** The newest heartbeat or response of the agent proves that the agent can be reached. */
     bool is_confirmed;
@@ -57,7 +57,7 @@
     int probe_failures;
 };
 
-/** How the transaction in flight changes the stored record of a machine. */
+/** The change that the transaction in flight makes to the stored record of a machine. */
 enum machine_record_change {
     MACHINE_RECORD_UNCHANGED,
     /** The transaction writes the record. */
@@ -157,8 +157,8 @@
 bool shard_machine_has_unrecorded_run(const struct machine *machine);
 /** Updates the machine and its runs to match the replica.
  *
- * Must be called only if the replica is not older than this node's last write of the records in
- * question. Other records may be outdated in the replica; applying those would release runs that
+ * Must be called only if the replica is not older than this node's last write of the records that
+ * are applied. Other records may be outdated in the replica; applying those would release runs that
  * were recorded a moment ago.
  * @param page number of the own page whose records are applied; -1: all records. */
 void shard_machine_reconcile(struct shard *shard, struct machine *machine, int page);
--- a/src/shard/machine_inventory_internal.h
+++ b/src/shard/machine_inventory_internal.h
@@ -11,8 +11,8 @@
 /** Updates this node's inventories, and which of them lists each machine, to match the replica. */
 void shard_inventories_reconcile(struct shard *shard);
 
-/** Whether an inventory has to be written: machines with runs are not listed in any, or one lists
- * machines that this node does not own any more. */
+/** Returns whether an inventory has to be written: machines with runs are not listed in any, or one
+ * lists machines that this node does not own any more. */
 bool shard_inventory_is_due(struct shard *shard);
 
 /** Marks the inventory that lists the machine, if any, as outdated, so that it is rewritten without
--- a/src/shard/machine_returns.c
+++ b/src/shard/machine_returns.c
@@ -78,7 +78,7 @@
         g_hash_table_remove(shard->machines, machine_name);
 }
 
-/* Placed runs that are not recorded are handed back to the leader or, if a transaction may still
+/* Placed runs that are not recorded are returned to the leader or, if a transaction may still
  * record them, waited for. A later owner cannot miss the leader's intent: its replica shows the
  * recorded intent before it owns the machine, because the transaction of the intent compares the
  * shard map. */
--- a/src/shard/machine_returns_internal.h
+++ b/src/shard/machine_returns_internal.h
@@ -7,9 +7,10 @@
 
 #include "shard_internal.h"
 
-/** Whether the machine was returned to the cloud provider, as far as this process remembers. */
+/** Returns whether the machine was returned to the cloud provider, as far as this process
+ * remembers. */
 bool shard_machine_was_returned(const struct shard *shard, const char *machine_name);
-/** Whether the machine is going to be returned, so that no tasks may be placed on it. */
+/** Returns whether the machine is going to be returned, so that no tasks may be placed on it. */
 bool shard_machine_is_returning(const struct shard *shard, const char *machine_name);
 /** Handles the return of a machine to the cloud provider: ends its runs and removes its records. */
 void shard_handle_machine_returned(struct shard *shard, const char *machine_name);
--- a/src/shard/page_split_internal.h
+++ b/src/shard/page_split_internal.h
@@ -9,10 +9,11 @@
 
 #include "shard_internal.h"
 
-/** Whether any page of the node with that label is oversized. */
+/** Returns whether any page of the node with that label is oversized. */
 bool shard_node_has_oversized_page(const struct shard *shard, const char *label);
 
-/** Whether there is a page for this node to split, and no failed attempt was made a moment ago. */
+/** Returns whether there is a page for this node to split, and no failed attempt was made a moment
+ * ago. */
 bool shard_split_is_due(struct shard *shard);
 
 /** Splits a page, or copies part of it. Must only be called when a split is due and no transaction
--- a/src/shard/page_split_plan.h
+++ b/src/shard/page_split_plan.h
@@ -9,7 +9,7 @@
 
 /** One of the pages that an oversized page is split into. */
 struct planned_page {
-    /** struct record_page_entry */
+    /** The records on the page (struct record_page_entry). */
     GArray *records;
     /** The completions, as they are written. */
     GString *completions;
@@ -26,7 +26,7 @@
  * contents cannot be distributed as long as nodes of version 0 may read them. */
 GPtrArray *page_split_plan(struct shard *shard, const struct record_page *page, bool legacy_format);
 
-/** Whether a node supports records of one machine on several pages. */
+/** Returns whether a node supports records of one machine on several pages. */
 bool node_supports_machine_on_multiple_pages(const struct shard *shard, const char *label);
 
 #endif
--- a/src/shard/record_batch_internal.h
+++ b/src/shard/record_batch_internal.h
@@ -19,7 +19,7 @@
 /** The new contents of an own page, as the transaction will write them. The batch owns it. */
 struct page_draft {
     int number;
-    /** struct record_page_entry */
+    /** The records on the draft (struct record_page_entry). */
     GArray *records;
     /** "JOB" and "JOB ATTEMPT" for each record on the draft: another record of the same job or
      * attempt takes fewer bytes. */
@@ -39,22 +39,22 @@
  * it, or shard_flush() if there is nothing to write. */
 struct record_batch {
     struct shard *shard;
-    /** shard.generation when the batch was created. If the shard has a newer one when the outcome
-     * arrives, the outcome is not applied. */
+    /** The value of shard.generation when the batch was created. If the shard has a newer one when
+     * the outcome arrives, the outcome is not applied. */
     uint64_t generation;
     /** Nodes of version 0 may read the pages, see shard_uses_legacy_format(). */
     bool legacy_format;
-    /** char *: ids of the machines with a record that the transaction changes. Ids, because a
-     * machine may be freed while the transaction is in flight. */
+    /** The ids (char *) of the machines with a record that the transaction changes. No pointers,
+     * because a machine may be freed while the transaction is in flight. */
     GPtrArray *machine_ids;
     /** Owned by the batch until it is passed to record_txn_commit(). */
     struct txn *txn;
     /** Ids of the jobs that the transaction compares. */
     GHashTable *compared_jobs;
-    /** struct page_draft */
+    /** The drafts of pages (struct page_draft). */
     GPtrArray *drafts;
-    /** struct record_page: the pages of other nodes that records are adopted from. The replica owns
-     * them; valid only until the transaction is sent. */
+    /** The pages of other nodes (struct record_page) that records are adopted from. The replica
+     * owns them; they are valid only until the transaction is sent. */
     GPtrArray *source_pages;
     /** The limit on writes of the machines' own records: the writes that the pages leave over. */
     int max_machine_writes;
@@ -93,7 +93,7 @@
 /** Returns the draft of the page with that number, or NULL. */
 struct page_draft *record_batch_find_draft(const struct record_batch *batch, int page_number);
 
-/** Whether the batch has a draft of the page; a page_predicate.
+/** Returns whether the batch has a draft of the page; a page_predicate.
  * @param batch the struct record_batch. */
 bool record_batch_writes_page(const void *batch, int page_number);
 
@@ -103,7 +103,7 @@
 /** Frees a struct page_draft; a GDestroyNotify. */
 void page_draft_free(gpointer draft);
 
-/** Whether the draft has records of the job. */
+/** Returns whether the draft has records of the job. */
 bool page_draft_has_job(const struct page_draft *draft, job_id job);
 
 /** Adds a record that was not on the page. Returns false if the draft could exceed max_bytes then,
@@ -121,11 +121,12 @@
 
 /* ---- record_batch_adopt.c: adopting records from pages of other nodes ---- */
 
-/** Whether records may be adopted from another node's page in its present state. An oversized page
- * has to be split first, and while any page of a node is oversized, none of its pages is used,
- * because a split may be copying records between them. The exception is a page of a node of version
- * 0, which keeps writing it and cannot split it: removing records leaves an oversized page no
- * longer than it was, and the state service accepts that as long as it has not lowered its limits.
+/** Returns whether records may be adopted from another node's page in its present state. An
+ * oversized page has to be split first, and while any page of a node is oversized, none of its
+ * pages is used, because a split may be copying records between them. The exception is a page of a
+ * node of version 0, which keeps writing it and cannot split it: removing records leaves an
+ * oversized page no longer than it was, and the state service accepts that as long as it has not
+ * lowered its limits.
  */
 bool shard_source_page_is_usable(struct shard *shard, const struct record_page *page,
                                  bool legacy_format);
@@ -146,8 +147,8 @@
 
 /* ---- record_batch_machine.c: the machines' own records ---- */
 
-/** Whether the address, type and zone of the machine are stored somewhere, or will be with its run
- * records, so that a reader of those records finds them. */
+/** Returns whether the address, type and zone of the machine are stored somewhere, or will be with
+ * its run records, so that a reader of those records finds them. */
 bool record_batch_is_machine_described(struct machine *machine);
 
 /** Writes the machine's own record if it is missing or lacks cached images, and the limits allow
--- a/src/shard/record_batch_select.c
+++ b/src/shard/record_batch_select.c
@@ -34,7 +34,7 @@
 /** The changes that are pending. */
 struct write_demand {
     mono_time now;
-    /** By page number: the total weight of the changes that are pending for the page. */
+    /** The total weight of the changes that are pending for each page, indexed by page number. */
     double *page_weights;
     /** There are new runs or completions that can be recorded on any page. */
     bool has_unassigned;
--- a/src/shard/record_txn.h
+++ b/src/shard/record_txn.h
@@ -29,8 +29,8 @@
 
 #include "run_records_internal.h"
 
-/** Whether this node may write records at all, as far as it knows: its lease is valid, the newest
- * shard map contains this process, and the shard has applied that map. The compares of the
+/** Returns whether this node may write records at all, as far as it knows: its lease is valid, the
+ * newest shard map contains this process, and the shard has applied that map. The compares of the
  * transactions ensure the same; this check only saves writes that would fail. */
 bool record_txn_is_allowed(const struct shard *shard);
 
--- a/src/shard/run_records_internal.h
+++ b/src/shard/run_records_internal.h
@@ -45,22 +45,22 @@
     /** The length of the page's strings when they were last written or read, plus an upper bound of
      * the bytes reserved on the page since. */
     gsize used_bytes;
-    /** struct record_page_entry: the records of machines that other nodes own now and have not
+    /** The records (struct record_page_entry) of machines that other nodes own now and have not
      * adopted yet. They stay on the page until their owners remove them. */
     GArray *foreign_records;
 };
 
 /* ---- run_records_pages.c: own pages and the free bytes on them ---- */
 
-/** The maximum total length of the strings of a page. */
+/** Returns the maximum total length in bytes of the strings of a page. */
 gsize shard_max_page_bytes(const struct shard *shard);
 
-/** Whether a page of any node exceeds shard_max_page_bytes(). Such a page can be read, but has to
- * be split before it can be written again. */
+/** Returns whether a page of any node exceeds shard_max_page_bytes(). Such a page can be read, but
+ * has to be split before it can be written again. */
 bool shard_page_is_oversized(const struct shard *shard, const struct record_page *page);
 
-/** Whether nodes of version 0 may read what is written now. They expect all records of a machine on
- * one page, and cannot read completions that begin in the middle of a chunk. */
+/** Returns whether nodes of version 0 may read what is written now. They expect all records of a
+ * machine on one page, and cannot read completions that begin in the middle of a chunk. */
 bool shard_uses_legacy_format(const struct shard *shard);
 
 /** Frees a struct own_page; a GDestroyNotify. */
@@ -70,16 +70,16 @@
  * The shard owns the page. */
 struct own_page *shard_get_own_page(struct shard *shard, int page_number);
 
-/** Whether a page of the replica belongs to this node. */
+/** Returns whether a page of the replica belongs to this node. */
 bool shard_is_own_page(const struct shard *shard, const struct record_page *page);
 
 /** Returns the replica's version of this node's page, or NULL. The replica owns it. */
 struct record_page *shard_find_replica_page(struct shard *shard, int page_number);
 
-/** Whether this node's page exceeds shard_max_page_bytes(). */
+/** Returns whether this node's page exceeds shard_max_page_bytes(). */
 bool shard_own_page_is_oversized(struct shard *shard, int page_number);
 
-/** Whether nothing is stored on the page and no bytes are reserved on it. */
+/** Returns whether nothing is stored on the page and no bytes are reserved on it. */
 bool shard_own_page_is_empty(struct shard *shard, int page_number);
 
 /** Returns the replica's record of exactly this run (machine, task and attempt) on any page, or
@@ -104,9 +104,9 @@
 struct record_page_entry shard_make_page_entry_from_replica(struct shard *shard,
                                                             const struct run_record *run_record);
 
-/** Whether one more run of the machine can be recorded. This can only be false while a node of
- * version 0 may read the pages: the page with the machine's records then needs enough free bytes,
- * and all of the machine's records must have been adopted. */
+/** Returns whether one more run of the machine can be recorded. This can only be false while a node
+ * of version 0 may read the pages: the page with the machine's records then needs enough free
+ * bytes, and all of the machine's records must have been adopted. */
 bool shard_can_record_run(struct shard *shard, struct machine *machine, job_id job);
 
 /** Reserves bytes for the record of one more run on the page with the machine's records, if there
@@ -153,7 +153,7 @@
 /** The context of a transaction other than a batch, until its outcome is known. */
 struct pending_write {
     struct shard *shard;
-    /** shard.generation when the transaction was created. */
+    /** The value of shard.generation when the transaction was created. */
     uint64_t generation;
 };
 
--- a/src/shard/shard_internal.h
+++ b/src/shard/shard_internal.h
@@ -56,14 +56,14 @@
      * decrease. */
     /** Machines that may have free resources (struct machine). */
     GPtrArray *available_machines;
-    /** Requests that no machine can hold (struct unschedulable). */
+    /** Requests that no machine can hold (struct unschedulable_request). */
     GArray *unschedulable;
     /** Number of searches for attempts that keep a task off a machine. */
     int blocked_attempt_searches;
 };
 
-/** How long starts and ends of runs waited for their records to be written, since the last log
- * entry. */
+/** The time that starts and ends of runs waited for their records to be written, since the last
+ * log entry. */
 struct write_waits {
     guint start_count, end_count, write_count;
     double start_wait_ms, end_wait_ms;
--- a/src/shard/task_run_internal.h
+++ b/src/shard/task_run_internal.h
@@ -24,7 +24,7 @@
     TASK_RUN_RELEASED,
 };
 
-/** Where the record of a run is stored. */
+/** The place where the record of a run is stored. */
 struct run_record_state {
     /** Number of this node's page that holds the record; -1: none of them does. */
     int page;
@@ -54,7 +54,7 @@
     mono_time sent_at;
 };
 
-/** Whether the agent's heartbeats name a run. */
+/** States whether the agent's heartbeats name a run. */
 enum run_visibility {
     /** No heartbeat has named the run, or it has ended since. */
     RUN_NOT_REPORTED,
--- a/src/singleton/role_manager.c
+++ b/src/singleton/role_manager.c
@@ -200,8 +200,8 @@
 }
 
 /**
- * Releases the role, or hands it over to `successor` if that is not NULL. Listeners are told at
- * once to stop acting, before the record changes.
+ * Releases the role, or hands it over to `successor` if that is not NULL. Listeners are notified
+ * at once that they must stop acting, before the record changes.
  */
 static void send_release(struct role_state *state, const struct role_holder *successor)
 {
--- a/src/singleton/role_manager.h
+++ b/src/singleton/role_manager.h
@@ -19,7 +19,7 @@
 struct role_manager;
 
 /**
- * Called when the replica has reached a revision, or has failed to in time.
+ * A callback for when the replica has reached a revision, or has failed to reach it in time.
  *
  * @param ok  whether the replica reached the revision in time
  */
