--- a/src/scheduler/job_queue.c
+++ b/src/scheduler/job_queue.c
@@ -18,11 +18,12 @@
 
 /**
  * First rank of each group of jobs. Within a group, the rank depends on the priority. The first
- * group contains services and the jobs within the guarantee of their team.
+ * group contains the jobs whose own or inherited priority is PRIORITY_PROD, and the jobs within the
+ * guarantee of their team.
  */
 enum {
-    RANK_SERVICE = 0,
-    RANK_BORROWED = RANK_SERVICE + PRIORITY_COUNT,
+    RANK_PROD = 0,
+    RANK_BORROWED = RANK_PROD + PRIORITY_COUNT,
     RANK_BORROWED_LATE = RANK_BORROWED + PRIORITY_COUNT,
 };
 
@@ -37,7 +38,7 @@
 
 /**
  * Waiting time in seconds after which a job precedes all jobs that borrow resources, and is
- * preempted only by services.
+ * preempted on account of its lower priority only by services.
  */
 static const double OVERDUE_AFTER_S = 190;
 
@@ -63,7 +64,7 @@
 int job_queue_rank(struct leader *leader, const struct ledger_job *job)
 {
     if (job->priority == PRIORITY_PROD)
-        return RANK_SERVICE;
+        return RANK_PROD;
     if (quota_ledger_is_within_guarantee(quota_ledger_get_team(leader, job), job->task_resources))
         return job->priority;
     /* Overdue jobs precede all others that borrow resources, as jobs of high priority could
