--- a/cmake/Package.cmake
+++ b/cmake/Package.cmake
@@ -1,7 +1,8 @@
 # linenlanding_package(NAME [USES package...] [LIBRARIES target...])
 #
-# Makes the static library linenlanding_NAME of all sources in the current folder. A package sees its
-# own headers and those of the packages it uses, so a cycle between packages does not build.
+# Adds the static library linenlanding_NAME, built from all sources in the current directory. A
+# package can include its own headers and those of the packages that it uses, directly or indirectly,
+# and no others. A dependency cycle between packages therefore does not build.
 function(linenlanding_package name)
   cmake_parse_arguments(PACKAGE "" "" "USES;LIBRARIES" ${ARGN})
   file(GLOB sources CONFIGURE_DEPENDS *.c *.cpp)
--- a/tests/transcript.sh
+++ b/tests/transcript.sh
@@ -1,14 +1,15 @@
 #!/usr/bin/env bash
-# Compares what nodes do, seen from outside, between two builds: the whole-node tests write a
-# transcript of every message to and from users, workers, cloud, state service and between nodes,
-# with its simulated time (tests/support/transcript.h). It is a tool for changes that must not change
-# behaviour, and no part of CI, as libm differs between machines.
+# Compares the messages that nodes send and receive between two builds, to verify that a change does
+# not affect behaviour. Tests of whole nodes write a transcript of every message between nodes and
+# to and from users, workers, the cloud and the state service, each with its simulated time
+# (tests/support/transcript.h). CI does not run this script, because libm differs between machines.
 #
-#   tests/transcript.sh record DIR [BUILD]   writes the transcripts of the tests in BUILD/tests to DIR
-#   tests/transcript.sh compare DIR [BUILD]  plays them again and shows the first difference
-#   tests/transcript.sh check                compares with $LL_TRANSCRIPT_REFERENCE
+#   tests/transcript.sh record DIR [BUILD]   runs the tests in BUILD/tests, writes transcripts to DIR
+#   tests/transcript.sh compare DIR [BUILD]  runs the tests again, shows the first difference of each
+#   tests/transcript.sh check                the same as compare "$LL_TRANSCRIPT_REFERENCE"
 #
-# BUILD is "target" unless given; it is built first. JOBS plays run at once (2). TESTS names the tests to play.
+# BUILD is the build directory ("target" by default) and is built first. The environment variable
+# JOBS sets how many tests run in parallel (2 by default), and TESTS the names of the tests to run.
 set -eu
 cd "$(dirname "$0")/.."
 TESTS=${TESTS:-"test_node_failures test_scheduling test_message_faults test_partitions_and_outages test_restarts
@@ -17,13 +18,13 @@
     test_gang_failures test_job_dependencies test_upgrade test_load_fairness test_role_pauses test_role_handover
     test_role_feature_switch test_role_returns"}
 JOBS=${JOBS:-2}
-verb=${1:-check}
+subcommand=${1:-check}
 
-play() { # DIR BUILD
+record_transcripts() { # DIR BUILD
     cmake --build "$2" -j"$JOBS" >/dev/null
     mkdir -p "$1"
     export LL_OUT=$1 LL_BUILD=$2
-    # shellcheck disable=SC2016
+    # shellcheck disable=SC2016 # expanded by the inner shell: $0 is the test, $1 the mode
     for name in $TESTS; do
         printf '%s plain\n%s roles\n' "$name" "$name"
     done | xargs -L 1 -P "$JOBS" bash -c '
@@ -32,25 +33,25 @@
             { echo "FAILED: $0 $1"; exit 1; }'
 }
 
-case $verb in
+case $subcommand in
 record)
-    play "$2" "${3:-target}"
+    record_transcripts "$2" "${3:-target}"
     ;;
 compare | check)
-    reference=${2:-${LL_TRANSCRIPT_REFERENCE:?names the folder that record wrote}}
-    out=$(mktemp -d)
-    trap 'rm -rf "$out"' EXIT
-    play "$out" "${3:-target}"
+    reference=${2:-${LL_TRANSCRIPT_REFERENCE:?must name a directory written by the subcommand record}}
+    actual=$(mktemp -d)
+    trap 'rm -rf "$actual"' EXIT
+    record_transcripts "$actual" "${3:-target}"
     status=0
     for name in $TESTS; do
         for mode in plain roles; do
             if [ ! -e "$reference/$name.$mode" ]; then
                 status=1
                 echo "not recorded: $name $mode"
-            elif ! cmp -s "$reference/$name.$mode" "$out/$name.$mode"; then
+            elif ! cmp -s "$reference/$name.$mode" "$actual/$name.$mode"; then
                 status=1
                 echo "differs: $name $mode"
-                diff "$reference/$name.$mode" "$out/$name.$mode" | head -4 | cut -c 1-600
+                diff "$reference/$name.$mode" "$actual/$name.$mode" | head -4 | cut -c 1-600
             fi
         done
     done
@@ -58,7 +59,7 @@
     exit $status
     ;;
 *)
-    sed -n '2,11p' "$0"
+    sed -n '2,12p' "$0"
     exit 2
     ;;
 esac
