--- a/tests/support/world_state.c
+++ b/tests/support/world_state.c
@@ -89,9 +89,10 @@
     for (size_t i = 0; i < json_object_array_length(when); i++) {
         json_object *compare = json_object_array_get_idx(when, i);
         const char *key;
-        uint64_t stamp = 0;
-        assert_true(json_get_string(compare, "K", &key) && json_get_u64(compare, "Stamp", &stamp));
-        if (get_mod_revision(world, key) != stamp)
+        uint64_t required_revision = 0;
+        assert_true(json_get_string(compare, "K", &key) &&
+                    json_get_u64(compare, "Stamp", &required_revision));
+        if (get_mod_revision(world, key) != required_revision)
             json_object_array_add(failed, json_object_new_string(key));
     }
     return failed;
