--- a/tests/support/gang_fixtures.h
+++ b/tests/support/gang_fixtures.h
@@ -32,8 +32,8 @@
 /** The worker to which reclaim_during_dispatch() gave notice. It has to be NULL before. */
 extern struct worker *reclaimed_worker;
 /**
- * A request_fault_fn: while the first message between nodes that dispatches a task is in transit,
- * the machine of the task is given notice that the cloud reclaims it.
+ * Gives the machine of a task notice that the cloud reclaims it, while the first message between
+ * nodes that dispatches the task is in transit; a request_fault_fn.
  */
 enum request_fault reclaim_during_dispatch(struct world *world, int node,
                                            const struct http_client_request *request);
@@ -51,8 +51,8 @@
  */
 void run_load_for_a_second(struct world *world, GRand *random, double failure_probability);
 /**
- * For use in a request_fault_fn: returns whether the request is the first command to a worker, and
- * stores that worker in *first, which is NULL until then.
+ * Returns whether the request is the first command to a worker, and stores that worker in *first,
+ * which is NULL until then. For use in a request_fault_fn.
  */
 bool capture_first_start(struct world *world, const struct http_client_request *request,
                          struct worker **first);
--- a/tests/support/rules.h
+++ b/tests/support/rules.h
@@ -74,8 +74,8 @@
  */
 GPtrArray *rules_list_uncancelled_job_paths(struct rules *rules);
 /**
- * For tests with a load: checks that at least half of the jobs of each class and each team have
- * started, and at least half of the largest jobs of each class within RULES_START_LIMIT_MS.
+ * Checks that at least half of the jobs of each class and each team have started, and at least half
+ * of the largest jobs of each class within RULES_START_LIMIT_MS. For tests with a load.
  */
 void rules_check_start_shares(struct rules *rules);
 /**
